--- a/packages/host/src/daemon.ts
+++ b/packages/host/src/daemon.ts
@@ -20,13 +20,13 @@
 import { RequestGuard } from "./endpoints/request-guard.js";
 import { createOperators } from "./operators/operators.js";
 import { Peers } from "./peers/peers.js";
-import { budgetBytes, type HostCfg } from "./runtime/config.js";
+import { type HostCfg, memoryBudgetBytes } from "./runtime/config.js";
 import { HostMemory } from "./runtime/host-memory.js";
 import type { Log } from "./runtime/log.js";
 import { Metrics } from "./runtime/metrics.js";
 import { SettingsFeed } from "./store/settings-feed.js";
 import { SettingsStore } from "./store/settings-store.js";
-import { treeSpread } from "./store/spread.js";
+import { settingsExchange } from "./store/version-exchange.js";
 import { watchEndpoints } from "./watch-endpoints.js";
 
 /** A running daemon. */
@@ -59,10 +59,10 @@
  * ```
  */
 export async function startDaemon(cfg: HostCfg, log: Log, clock: Clock = createClock()): Promise<Daemon> {
-    const own = new AbortController();
+    const controller = new AbortController();
     // Every call on its way listens to it.
-    setMaxListeners(0, own.signal);
-    const { signal } = own;
+    setMaxListeners(0, controller.signal);
+    const { signal } = controller;
     const kv = createEtcd({ url: cfg["platform.key-value"], timeoutMs: cfg["platform.timeout"] });
     const store = new SettingsStore(kv, cfg["platform.prefix"]);
     const metrics = new Metrics();
@@ -105,13 +105,13 @@
         plain: new Placement(signal, clock, PLAIN_VARIANT),
         runs: new OpenRuns(),
         limits: new LimitBook(),
-        memory: new HostMemory({ budgetBytes: budgetBytes(cfg), clock, log, metrics }),
+        memory: new HostMemory({ budgetBytes: memoryBudgetBytes(cfg), clock, log, metrics }),
         guard,
         claims: new Claims(kv, cfg["platform.prefix"], signal),
         peers: undefined,
     };
     if (cfg["peers.secrets"].length === 0) log.warn({}, "peers_secret_missing");
-    host.peers = await Peers.start({ ...host, spread: treeSpread(feed) });
+    host.peers = await Peers.start({ ...host, spread: settingsExchange(feed) });
     clock.onWake(({ suspendedMs, jumpMs }) => {
         log.warn({ suspended_ms: Math.round(suspendedMs), jump_ms: Math.round(jumpMs) }, "host_woke");
         host.runs.woke();
@@ -134,7 +134,7 @@
         tls: tls !== undefined,
     }, "listening");
     const end = async (): Promise<void> => {
-        own.abort();
+        controller.abort();
         await Promise.all([servers.callers.close(), servers.operators.close()]);
         await dispatcher.destroy();
     };
--- a/packages/host/src/gateway.ts
+++ b/packages/host/src/gateway.ts
@@ -37,8 +37,8 @@
 import { serveEndpoints } from "./operators/endpoints-api.js";
 import { allowSecrets, serveQuarantine } from "./operators/quarantine-api.js";
 import { Peers } from "./peers/peers.js";
-import { budgetBytes, type HostCfg } from "./runtime/config.js";
-import { Descriptors } from "./runtime/descriptors.js";
+import { type HostCfg, memoryBudgetBytes } from "./runtime/config.js";
+import { DescriptorLimit } from "./runtime/descriptors.js";
 import { HostMemory } from "./runtime/host-memory.js";
 import type { Log } from "./runtime/log.js";
 import { Metrics } from "./runtime/metrics.js";
@@ -72,15 +72,15 @@
     askAlways: true,
 } as const;
 /** How long one call of a watch waits, and the time for its answer beyond that: a lost one is noticed within their sum. */
-const WATCH_MS = 2_000;
+const WATCH_WAIT_MS = 2_000;
 const WATCH_MARGIN_MS = 400;
 /** A stop ends this long before the platform ends the process. */
 const STOP_MARGIN_MS = 400;
 /** A stopping host looks this often whether anything still runs, and gives its last refusals this long to leave. */
-const STOP_LOOK_MS = 50;
+const STOP_POLL_MS = 50;
 const STOP_FLUSH_MS = 100;
 /** A host that does nothing notices a wake within this time. */
-const LOOK_AT_CLOCK_MS = 50;
+const CLOCK_POLL_MS = 50;
 const SEED_RANGE = 1_000_000;
 
 /**
@@ -93,15 +93,15 @@
  * ```
  */
 export async function startGateway(cfg: HostCfg, log: Log, clock: Clock = createClock()): Promise<Gateway> {
-    const own = new AbortController();
-    const { signal } = own;
+    const controller = new AbortController();
+    const { signal } = controller;
     // Every call on its way listens to it.
     setMaxListeners(0, signal);
     const metrics = new Metrics();
     const kv = createPlatformStore({
         url: cfg["platform.key-value"],
         timeoutMs: cfg["platform.timeout"],
-        watchMs: WATCH_MS,
+        watchMs: WATCH_WAIT_MS,
         watchMarginMs: WATCH_MARGIN_MS,
         onCall: call => metrics.countStoreCall(call, feed.callReason),
     });
@@ -116,7 +116,7 @@
     const options = { hall: cfg["host.hall"], retries };
     const engines = new Placement(signal, clock, ENGINE_VARIANT, seed, options);
     const plain = new Placement(signal, clock, PLAIN_VARIANT, seed, options);
-    const memory = new HostMemory({ budgetBytes: budgetBytes(cfg), clock, log, metrics });
+    const memory = new HostMemory({ budgetBytes: memoryBudgetBytes(cfg), clock, log, metrics });
     const copies = new Copies({
         clock,
         engines,
@@ -135,7 +135,7 @@
             onAnswered: address => peers.reach.answered(address),
             onUnreachable: address => peers.reach.failed(address),
             onEndedAtRest: address => {
-                for (const endpoint of endpointsAt(address, known)) doubts.raise(endpoint);
+                for (const endpoint of endpointsAt(address, latestRegistry)) doubts.raise(endpoint);
             },
         },
     );
@@ -150,15 +150,15 @@
             endings.broke(endpoint, run);
         },
     });
-    let known: Registry | undefined;
+    let latestRegistry: Registry | undefined;
     const endings = new EndingWatch({
         clock,
         log,
-        probe: endpoint => probeWhereAllowed(endpoint, [engines, plain], signal),
+        probe: endpoint => probeWithinLimit(endpoint, [engines, plain], signal),
         isLeaving: incarnation => isLeaving(incarnation, engines, plain),
         // One that had said that it leaves has ended as planned.
-        isOver: incarnation => hasBegunAgain(incarnation, known) && !words.hasSaidLeaving(incarnation),
-        isDeaf: () => feed.isDeaf,
+        isOver: incarnation => hasRestarted(incarnation, latestRegistry) && !words.hasSaidLeaving(incarnation),
+        isDeaf: () => feed.isStoreAway,
         onEnded: ending => guard.ended(ending),
         onNotEnded: runs => guard.notEnded(runs),
         meetLife: life => peers.meetLife(life),
@@ -166,7 +166,7 @@
     const doubts = new LifeDoubts({
         log,
         placements: [engines, plain],
-        probe: endpoint => probeWhereAllowed(endpoint, [engines, plain], signal),
+        probe: endpoint => probeWithinLimit(endpoint, [engines, plain], signal),
         meetLife: life => peers.meetLife(life),
     });
     const words = new EndpointWords({
@@ -177,12 +177,12 @@
         tell: news => peers.tellWords(news),
     });
     let endsAt: number | undefined;
-    let callersOpen = 0;
-    const descriptors = new Descriptors({
-        most: cfg["host.descriptors"],
+    let openCallerSockets = 0;
+    const descriptorLimit = new DescriptorLimit({
+        maxDescriptors: cfg["host.descriptors"],
         log,
-        open: () => ({ callers: callersOpen, endpoints: connections.size, peers: peers.connections }),
-        free: () => connections.forgetAll(),
+        countSockets: () => ({ callers: openCallerSockets, endpoints: connections.size, peers: peers.connections }),
+        closeIdle: () => connections.forgetAll(),
     });
     const deps: Forwarding = {
         wire: platformWire,
@@ -202,13 +202,13 @@
         bodyMs: cfg["callers.body-timeout"],
         logCalls: cfg["log.requests"],
         endsAt: () => endsAt,
-        hasDescriptors: () => descriptors.hasRoom(),
+        hasDescriptors: () => descriptorLimit.hasRoom(),
         isStale: () => feed.isStale,
         table: () => feed.table,
         endpoint: incarnation => feed.endpoint(incarnation),
-        isEvacuated: hall => known?.halls.evacuated.has(hall) === true,
+        isEvacuated: hall => latestRegistry?.halls.evacuated.has(hall) === true,
         hallsIn: homes => hallsIn(cfg["forward.regions"], homes),
-        softwareOf: service => softwareOf(service, known),
+        softwareOf: service => softwareOf(service, latestRegistry),
         onOtherIncarnation: incarnation => {
             // A source of its own: an owner that has not met the other one says that this one stays.
             if (engines.setLeaving(incarnation, "address", true) || plain.setLeaving(incarnation, "address", true)) {
@@ -223,8 +223,8 @@
         onCall: (req, target, out) => forward(deps, req, target, out),
     });
     callers.server.on("connection", (socket: Socket) => {
-        callersOpen += 1;
-        socket.once("close", () => callersOpen -= 1);
+        openCallerSockets += 1;
+        socket.once("close", () => openCallerSockets -= 1);
     });
     const peers: Peers = await Peers.start({
         cfg,
@@ -243,31 +243,31 @@
     clock.onWake(({ suspendedMs, jumpMs }) => {
         log.warn({ suspended_ms: Math.round(suspendedMs), jump_ms: Math.round(jumpMs) }, "host_woke");
         connections.forgetAll();
-        feed.woke(suspendedMs);
+        feed.onWake(suspendedMs);
         runs.woke();
         peers.woke();
     });
     // Without a call a wake is noticed by the next of these.
-    repeat(() => void clock.now(), () => LOOK_AT_CLOCK_MS, signal);
+    repeat(() => void clock.now(), () => CLOCK_POLL_MS, signal);
     watchSpeeds({ clock, log, metrics, view: () => engines.view, signal });
-    const operators = createProbes(() => feed.isReady && peers.isInformed && !runs.stopping, metrics);
+    const operatorsServer = createOperatorsServer(() => feed.isReady && peers.isInformed && !runs.stopping, metrics);
     const allow = allowSecrets(cfg["peers.secrets"]);
-    serveQuarantine(operators, guard, allow);
-    serveEndpoints(operators, [engines, plain], () => clock.now(), allow);
-    const bounds = { over: cfg["forward.cold-over"], slack: cfg["forward.cold-slack"] };
+    serveQuarantine(operatorsServer, guard, allow);
+    serveEndpoints(operatorsServer, [engines, plain], () => clock.now(), allow);
+    const coldBounds = { over: cfg["forward.cold-over"], slack: cfg["forward.cold-slack"] };
     const declare = (): void => {
-        if (known && feed.table) declareEndpoints(feed.table, known, bounds, engines, plain);
+        if (latestRegistry && feed.table) declareEndpoints(feed.table, latestRegistry, coldBounds, engines, plain);
     };
     feed.onDeployment(table => {
         applyLimits(callers, table.deployment.limits);
         declare();
     });
     feed.onEndpoints(registry => {
-        known = registry;
+        latestRegistry = registry;
         peers.reach.setEndpoints([...registry.endpoints.values()].map(({ entry }) => entry));
         declare();
         endings.take(registry);
-        endLives(registry, { lives, connections, engines, plain, log });
+        endFinishedLives(registry, { lives, connections, engines, plain, log });
         words.count();
         copies.evacuate();
     });
@@ -277,8 +277,8 @@
         log,
         metrics,
         signal,
-        isDeaf: () => feed.isDeaf,
-        owned: () => ownedEngines(engines, feed, peers),
+        isDeaf: () => feed.isStoreAway,
+        owned: () => ownedEnginesInUse(engines, feed, peers),
         mayAsk: incarnation => engines.mayAsk(incarnation),
         onStay: (endpoint, { leaving, born }) => {
             const life = { id: endpoint.id, born };
@@ -291,11 +291,11 @@
             peers.tellNow();
         },
     });
-    const collectors = createMetricsServer(metrics);
+    const metricsServer = createMetricsServer(metrics);
     const [operatorsPort, callersPort, metricsPort] = await Promise.all([
-        listen(operators, cfg["operators.listen"]),
+        listen(operatorsServer, cfg["operators.listen"]),
         listen(callers, cfg["callers.listen"]),
-        cfg["metrics.listen"] === undefined ? undefined : listen(collectors, cfg["metrics.listen"]),
+        cfg["metrics.listen"] === undefined ? undefined : listen(metricsServer, cfg["metrics.listen"]),
     ]);
     feed.start();
     const { capacity } = peers;
@@ -308,18 +308,18 @@
         held_budget: memory.state.budget,
     }, "listening");
     const kill = async (): Promise<void> => {
-        own.abort();
+        controller.abort();
         callers.server.closeAllConnections();
-        await Promise.all([callers.close(), operators.close(), collectors.close()]);
+        await Promise.all([callers.close(), operatorsServer.close(), metricsServer.close()]);
     };
     const stop = async (): Promise<void> => {
         log.info({ open: runs.size }, "stopping");
         peers.leave();
         void runs.drain();
-        const end = clock.now() + cfg["forward.stop-grace"] - STOP_MARGIN_MS;
-        endsAt = end;
+        const deadline = clock.now() + cfg["forward.stop-grace"] - STOP_MARGIN_MS;
+        endsAt = deadline;
         await pause(cfg["callers.still-served"]);
-        while (runs.size > 0 && clock.now() < end) await pause(STOP_LOOK_MS);
+        while (runs.size > 0 && clock.now() < deadline) await pause(STOP_POLL_MS);
         // From here on every call is refused as not run; the answers get a moment to leave.
         endsAt = clock.now();
         await pause(STOP_FLUSH_MS);
@@ -335,9 +335,9 @@
  * Engines that this host asks for all: those that it owns and that hold streams or their copies. A host that is cut off owns all that it
  * knows, but nobody else's streams are told to it.
  */
-function ownedEngines(engines: Placement, feed: DeploymentFeed, peers: Peers): readonly EndpointEntry[] {
+function ownedEnginesInUse(engines: Placement, feed: DeploymentFeed, peers: Peers): readonly EndpointEntry[] {
     return engines.view.endpoints.values()
-        .filter(view => holdsAny(view) && peers.owns(view.cfg.id))
+        .filter(view => holdsStreams(view) && peers.owns(view.cfg.id))
         .flatMap(view => feed.endpoint(view.cfg.id) ?? []);
 }
 
@@ -345,7 +345,7 @@
  * Ends what rests on lives that are found to be over: first their copies, so that no stream goes on there, then their streams,
  * which go on elsewhere or are told as unknown.
  */
-function endLives(
+function endFinishedLives(
     registry: Registry,
     { lives, connections, engines, plain, log }: Pick<
         Forwarding,
@@ -382,13 +382,13 @@
 }
 
 /** Whether an endpoint that was not leaving has begun a later life. */
-function hasBegunAgain(incarnation: string, registry: Registry | undefined): boolean {
+function hasRestarted(incarnation: string, registry: Registry | undefined): boolean {
     const departed = registry?.departed.get(incarnation);
     return departed?.isOver === true && departed.entry.state === EndpointState.Ready;
 }
 
 /** Asks an endpoint whether its life is still there, unless the limit that it names keeps the question away. */
-async function probeWhereAllowed(
+async function probeWithinLimit(
     { incarnation, address, id, born }: WatchedEndpoint,
     placements: readonly Placement[],
     signal: AbortSignal,
@@ -398,7 +398,7 @@
     return probeByReport(platformWire, address, { id, born }, signal);
 }
 
-function holdsAny({ streams, backups, others }: EndpointView): boolean {
+function holdsStreams({ streams, backups, others }: EndpointView): boolean {
     return streams.size + backups.size > 0 || others.curve.mean[0]! > 0;
 }
 
@@ -407,7 +407,7 @@
 }
 
 /** The port at which the platform asks for readiness, and which tells the metrics. */
-function createProbes(isReady: () => boolean, metrics: Metrics): FastifyInstance {
+function createOperatorsServer(isReady: () => boolean, metrics: Metrics): FastifyInstance {
     const app = Fastify({ forceCloseConnections: true });
     app.get(platformWire.readyPath, (_req, reply) => {
         const ready = isReady();
--- a/packages/host/src/main.ts
+++ b/packages/host/src/main.ts
@@ -15,7 +15,7 @@
 const EXIT = { done: 0, failed: 1, usage: 2 } as const;
 
 /** Each interface's daemon; loaded only where it is served, as loading is most of a start. */
-const START = {
+const STARTERS = {
     completions: async (cfg: HostCfg, log: Log) => (await import("./daemon.js")).startDaemon(cfg, log),
     forward: async (cfg: HostCfg, log: Log) => (await import("./gateway.js")).startGateway(cfg, log),
 } as const satisfies Record<
@@ -75,17 +75,17 @@
     if (options.print || options.check) return;
     const log = createLog(read.cfg["log.level"], process.stdout);
     if (read.cfg["tls.certificate"] === undefined) log.warn({}, "tls_is_off");
-    const daemon = await START[read.cfg["callers.interface"]](read.cfg, log);
-    let stopping = false;
-    const onSignal = (name: string): void => {
-        if (stopping) {
+    const daemon = await STARTERS[read.cfg["callers.interface"]](read.cfg, log);
+    let isStopping = false;
+    const onStop = (name: string): void => {
+        if (isStopping) {
             log.warn({ signal: name }, "ending_at_once");
             process.exit(EXIT.failed);
         }
-        stopping = true;
+        isStopping = true;
         void daemon.stop().then(() => process.exit(EXIT.done));
     };
-    handleSignals({ onReload: () => reload(options, read.cfg, log), onStop: onSignal });
+    handleSignals({ onReload: () => reload(options, read.cfg, log), onStop: onStop });
 }
 
 sade("drumpaddled", true)
--- a/packages/host/src/operators/operators.ts
+++ b/packages/host/src/operators/operators.ts
@@ -44,7 +44,7 @@
     hall: Type.Optional(Type.String()),
 });
 
-const EDIT_STATUS: { readonly [K in EditResult["kind"]]: number } = {
+const STATUS_BY_RESULT: { readonly [K in EditResult["kind"]]: number } = {
     accepted: 200,
     noChange: 200,
     conflict: 409,
@@ -54,23 +54,23 @@
 };
 
 /** Bytes of a whole tree with room to spare. */
-const LARGEST_EDIT = 16_000_000;
+const MAX_EDIT_BYTES = 16_000_000;
 
 /** Builds the operators' server; it does not listen yet. */
 export function createOperators(host: Host, tls: { cert: string; key: string } | undefined): FastifyInstance {
     const app = Fastify({
-        bodyLimit: LARGEST_EDIT,
+        bodyLimit: MAX_EDIT_BYTES,
         forceCloseConnections: true,
         ...(tls ? { https: tls } as object : {}),
     });
-    health(host, app);
+    healthRoutes(host, app);
     serveQuarantine(app, host.guard, (req, reply, role) => allow(host, req, reply, role) !== undefined);
     settingsRoutes(host, app);
-    trailRoutes(host, app);
+    auditRoutes(host, app);
     return app;
 }
 
-function health(host: Host, app: FastifyInstance): void {
+function healthRoutes(host: Host, app: FastifyInstance): void {
     app.get("/healthz", () => ({ ok: true }));
     app.get("/readyz", (_req, reply) => {
         const why = host.runs.stopping ? "stopping" : host.feed.directory ? undefined : "no settings yet";
@@ -161,7 +161,7 @@
                 result: result.kind,
                 version: "version" in result ? result.version : undefined,
             }, "settings_edit");
-            return reply.code(EDIT_STATUS[result.kind]).send({ ...result, snapshot: undefined });
+            return reply.code(STATUS_BY_RESULT[result.kind]).send({ ...result, snapshot: undefined });
         },
     );
     app.get<{ Params: { id: string } }>("/settings/outcome/:id", async (req, reply) => {
@@ -196,7 +196,7 @@
 }
 
 /** The trail up to a version, or an answer that says why there is none. */
-async function readTrail(
+async function readAuditTrail(
     host: Host,
     req: FastifyRequest,
     reply: FastifyReply,
@@ -208,13 +208,13 @@
     return undefined;
 }
 
-function trailRoutes(host: Host, app: FastifyInstance): void {
+function auditRoutes(host: Host, app: FastifyInstance): void {
     app.get("/settings/log", async (req, reply) => {
-        const trail = await readTrail(host, req, reply);
+        const trail = await readAuditTrail(host, req, reply);
         return trail ? { entries: trail } : reply;
     });
     app.get<{ Params: { version: string } }>("/settings/version/:version", async (req, reply) => {
-        const trail = await readTrail(host, req, reply);
+        const trail = await readAuditTrail(host, req, reply);
         if (!trail) return reply;
         const version = Number(req.params.version);
         const replayed = replay(trail.slice(0, version));
@@ -224,7 +224,7 @@
         return { version, tree: replayed.tree, ini: writeTree(replayed.tree) };
     });
     app.get("/settings/verify", async (req, reply) => {
-        const trail = await readTrail(host, req, reply);
+        const trail = await readAuditTrail(host, req, reply);
         if (!trail) return reply;
         const replayed = replay(trail);
         const differences = replayed.ok ? diff(replayed.tree, treeOf(host)) : [];
--- a/packages/host/src/peers/peer-messages.ts
+++ b/packages/host/src/peers/peer-messages.ts
@@ -17,7 +17,7 @@
 import type { FrameMessage } from "@drumpaddle/protocol";
 import { Type } from "@sinclair/typebox";
 import { TypeCompiler } from "@sinclair/typebox/compiler";
-import type { StorePeerMessage, StoreStamp } from "../store/store-words.js";
+import type { StorePeerMessage, StoreStamp } from "../store/store-messages.js";
 
 const News = Type.Object({
     name: Type.String(),
--- a/packages/host/src/peers/quarantine-sharing.ts
+++ b/packages/host/src/peers/quarantine-sharing.ts
@@ -6,7 +6,7 @@
  */
 import type { QuarantineNews } from "@drumpaddle/hall";
 import type { Clock } from "@drumpaddle/protocol";
-import { someOf } from "../runtime/some-of.js";
+import { someOf } from "../runtime/random-sample.js";
 import { AskAtStart } from "./ask-at-start.js";
 import { MOST_TOLD, type QuarantinePeerMessage } from "./peer-messages.js";
 
--- a/packages/host/src/peers/reach-sharing.ts
+++ b/packages/host/src/peers/reach-sharing.ts
@@ -19,7 +19,7 @@
 import type { Clock } from "@drumpaddle/protocol";
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
-import { someOf } from "../runtime/some-of.js";
+import { someOf } from "../runtime/random-sample.js";
 import type { ReachPeerMessage } from "./peer-messages.js";
 
 /** An endpoint as far as its hall is concerned. */
--- a/packages/host/src/peers/word-sharing.ts
+++ b/packages/host/src/peers/word-sharing.ts
@@ -7,8 +7,8 @@
  */
 import type { EndpointWord } from "@drumpaddle/hall";
 import type { Clock } from "@drumpaddle/protocol";
+import { someOf } from "../runtime/random-sample.js";
 import { repeat } from "../runtime/repeat.js";
-import { someOf } from "../runtime/some-of.js";
 import { AskAtStart } from "./ask-at-start.js";
 import { MOST_TOLD, type WordPeerMessage } from "./peer-messages.js";
 
--- a/packages/host/src/runtime/call-memory.ts
+++ b/packages/host/src/runtime/call-memory.ts
@@ -17,7 +17,7 @@
 }
 
 /** What a call's account asks of its host's. */
-export interface AccountOfHost {
+export interface HostAccount {
     readonly isBounded: boolean;
     mayTakeIn(bytes: number): boolean;
     readAhead(): number;
@@ -26,15 +26,15 @@
     close(): void;
 }
 
-const NOTHING: HeldBytes = { body: 0, answer: 0, unread: 0, link: 0 };
+const NOTHING_HELD: HeldBytes = { body: 0, answer: 0, unread: 0, link: 0 };
 
 /** What one call holds. */
 export class CallMemory {
-    held: HeldBytes = NOTHING;
+    held: HeldBytes = NOTHING_HELD;
     private readonly openedAt: number;
     /** Since when its caller has taken nothing of what waits for it. */
     private unreadSince: number | undefined;
-    private onReadOn: (() => void) | undefined;
+    private resumeSource: (() => void) | undefined;
     private isClosed = false;
     /** How long its endpoint has taken nothing of its body, in milliseconds; 0 where nothing waits for it. */
     bodyStuckMs: () => number = () => 0;
@@ -43,7 +43,7 @@
     /** Ends the call, with a true answer or a visible break. */
     onGiveUp: (givenUp: GivenUp) => void = () => undefined;
 
-    constructor(readonly req: string, private readonly clock: Clock, private readonly host: AccountOfHost) {
+    constructor(readonly req: string, private readonly clock: Clock, private readonly host: HostAccount) {
         this.openedAt = clock.now();
     }
 
@@ -90,16 +90,16 @@
     /** Calls back when the source may be read on, if it may not be now; returns whether it may be. */
     whenRoom(resume: () => void): boolean {
         if (this.mayReadAhead) return true;
-        this.onReadOn = resume;
+        this.resumeSource = resume;
         this.host.setHeldBack(true);
         return false;
     }
 
     /** Reads the source on, if it was held back and may be read now. */
     readOn(): void {
-        const { onReadOn } = this;
+        const { resumeSource: onReadOn } = this;
         if (!onReadOn || !this.mayReadAhead) return;
-        this.onReadOn = undefined;
+        this.resumeSource = undefined;
         this.host.setHeldBack(false);
         this.onRead();
         onReadOn();
@@ -138,7 +138,7 @@
         for (const kind of Object.values(HeldKind)) this.hold(kind, 0);
         this.isClosed = true;
         this.unreadSince = undefined;
-        this.onReadOn = undefined;
+        this.resumeSource = undefined;
         this.bodyStuckMs = () => 0;
         this.host.close();
     }
--- a/packages/host/src/runtime/config.ts
+++ b/packages/host/src/runtime/config.ts
@@ -155,17 +155,17 @@
 /** Name of a key, as `section.key`. */
 export type ConfigKey = keyof typeof KEYS;
 type ValueOf<K extends ConfigKey> = typeof KEYS[K]["type"] extends ValueType<infer T> ? T : never;
-type Optional = { [K in ConfigKey]: typeof KEYS[K] extends { optional: true } ? K : never }[ConfigKey];
+type OptionalKey = { [K in ConfigKey]: typeof KEYS[K] extends { optional: true } ? K : never }[ConfigKey];
 
 /** The daemon's settings, read and checked. */
 export type HostCfg =
-    & { readonly [K in Exclude<ConfigKey, Optional>]: ValueOf<K> }
-    & { readonly [K in Optional]?: ValueOf<K> | undefined };
+    & { readonly [K in Exclude<ConfigKey, OptionalKey>]: ValueOf<K> }
+    & { readonly [K in OptionalKey]?: ValueOf<K> | undefined };
 
 const BYTES_PER_MB = 1_000_000;
 
 /** What the host may hold for slow readers, in bytes; undefined where its memory is not known. */
-export function budgetBytes(cfg: Pick<HostCfg, "host.memory">): number | undefined {
+export function memoryBudgetBytes(cfg: Pick<HostCfg, "host.memory">): number | undefined {
     const memoryMb = cfg["host.memory"];
     return memoryMb > 0 ? budgetOf(memoryMb * BYTES_PER_MB) : undefined;
 }
@@ -191,20 +191,20 @@
 
 /** Settings or all that is wrong with them. */
 export type ConfigResult =
-    | { readonly ok: true; readonly cfg: HostCfg; readonly said: ReadonlyMap<ConfigKey, Said> }
+    | { readonly ok: true; readonly cfg: HostCfg; readonly said: ReadonlyMap<ConfigKey, GivenValue> }
     | { readonly ok: false; readonly errors: readonly ConfigError[] };
 
 /** A value as it was written, and by which source. */
-export interface Said {
+export interface GivenValue {
     readonly text: string;
     readonly source: string;
 }
 
-const ENV_START = "DRUMPADDLE_";
+const ENV_PREFIX = "DRUMPADDLE_";
 
 /** Name of the environment variable of a key: `host.name` is `DRUMPADDLE_HOST_NAME`. */
 export function envName(key: ConfigKey): string {
-    return ENV_START + key.replace(/[.-]/g, "_").toUpperCase();
+    return ENV_PREFIX + key.replace(/[.-]/g, "_").toUpperCase();
 }
 
 /**
@@ -218,38 +218,38 @@
  */
 export function readConfig(sources: ConfigSources): ConfigResult {
     const errors: ConfigError[] = [];
-    const said = new Map<ConfigKey, Said>();
-    const take = (key: string, value: string, source: string): void => {
-        if (Object.hasOwn(KEYS, key)) said.set(key as ConfigKey, { text: value, source });
+    const given = new Map<ConfigKey, GivenValue>();
+    const setValue = (key: string, value: string, source: string): void => {
+        if (Object.hasOwn(KEYS, key)) given.set(key as ConfigKey, { text: value, source });
         else errors.push({ kind: "unknownKey", source, key });
     };
-    if (sources.file) takeFile(sources.file, take);
+    if (sources.file) readIniFile(sources.file, setValue);
     for (const key of Object.keys(KEYS) as ConfigKey[]) {
         const value = sources.env?.[envName(key)];
-        if (value !== undefined) take(key, value, `environment ${envName(key)}`);
+        if (value !== undefined) setValue(key, value, `environment ${envName(key)}`);
     }
-    for (const [key, value] of Object.entries(sources.flags ?? {})) take(key, value, `flag --${key}`);
-    const cfg = readValues(said, errors);
-    return errors.length > 0 ? { ok: false, errors } : { ok: true, cfg: cfg as unknown as HostCfg, said };
+    for (const [key, value] of Object.entries(sources.flags ?? {})) setValue(key, value, `flag --${key}`);
+    const cfg = readValues(given, errors);
+    return errors.length > 0 ? { ok: false, errors } : { ok: true, cfg: cfg as unknown as HostCfg, said: given };
 }
 
-function takeFile(
+function readIniFile(
     file: { name: string; text: string },
-    take: (key: string, value: string, source: string) => void,
+    setValue: (key: string, value: string, source: string) => void,
 ): void {
     const sections = parse(file.text, { bracketedArray: false }) as Record<string, unknown>;
     for (const [section, node] of Object.entries(sections)) {
-        if (typeof node !== "object" || node === null) take(section, String(node), file.name);
+        if (typeof node !== "object" || node === null) setValue(section, String(node), file.name);
         else {for (const [key, value] of Object.entries(node)) {
-                take(`${section}.${key}`, String(value), `${file.name} [${section}]`);
+                setValue(`${section}.${key}`, String(value), `${file.name} [${section}]`);
             }}
     }
 }
 
-function readValues(said: ReadonlyMap<ConfigKey, Said>, errors: ConfigError[]): Record<string, unknown> {
+function readValues(given: ReadonlyMap<ConfigKey, GivenValue>, errors: ConfigError[]): Record<string, unknown> {
     const cfg: Record<string, unknown> = {};
     for (const [key, def] of Object.entries(KEYS) as [ConfigKey, KeyDef<unknown>][]) {
-        const value = said.get(key)
+        const value = given.get(key)
             ?? (def.fallback === undefined ? undefined : { text: def.fallback, source: "default" });
         if (!value) {
             if (!def.optional) errors.push({ kind: "missingKey", key, allowed: def.type.allowed });
@@ -268,7 +268,7 @@
     return cfg;
 }
 
-const DESCRIBE: { readonly [K in ConfigError["kind"]]: (err: Extract<ConfigError, { kind: K }>) => string } = {
+const DESCRIPTIONS: { readonly [K in ConfigError["kind"]]: (err: Extract<ConfigError, { kind: K }>) => string } = {
     unknownKey: err => `${err.source}: ${err.key}: unknown key; known: ${Object.keys(KEYS).join(", ")}`,
     missingKey: err => `${err.key}: must be given: ${err.allowed}`,
     badValue: err => `${err.source}: ${err.key}: found ${JSON.stringify(err.found)}, allowed: ${err.allowed}`,
@@ -276,7 +276,7 @@
 
 /** An error in one line, for people. */
 export function describeConfigError(err: ConfigError): string {
-    return DESCRIBE[err.kind](err as never);
+    return DESCRIPTIONS[err.kind](err as never);
 }
 
 /**
@@ -287,14 +287,14 @@
  * printConfig(read.said); // "[host]\nname = k1-a ; host.ini [host]\n..."
  * ```
  */
-export function printConfig(said: ReadonlyMap<ConfigKey, Said>): string {
+export function printConfig(given: ReadonlyMap<ConfigKey, GivenValue>): string {
     const lines: string[] = [];
     let section = "";
     for (const [key, def] of Object.entries(KEYS) as [ConfigKey, KeyDef<unknown>][]) {
-        const [head, name] = key.split(".") as [string, string];
-        const value = said.get(key) ?? { text: def.fallback ?? "", source: "default" };
-        if (head !== section) lines.push(`[${head}]`);
-        section = head;
+        const [sectionOfKey, name] = key.split(".") as [string, string];
+        const value = given.get(key) ?? { text: def.fallback ?? "", source: "default" };
+        if (sectionOfKey !== section) lines.push(`[${sectionOfKey}]`);
+        section = sectionOfKey;
         const shown = def.secret && value.text !== "" ? "********" : value.text;
         lines.push(`; ${def.doc} (${value.source})`, `${name} = ${shown}`);
     }
--- a/packages/host/src/runtime/host-memory.ts
+++ b/packages/host/src/runtime/host-memory.ts
@@ -33,9 +33,9 @@
 }
 
 /** Sources that are held back are looked at this often while room comes free: a hundred such looks pass before an endpoint loses patience. */
-const LOOK_MS = 50;
+const RESUME_DELAY_MS = 50;
 /** Calls that are held back are logged one in this time. */
-const LOG_EVERY_MS = 1_000;
+const LOG_INTERVAL_MS = 1_000;
 
 /** The memory that one host holds for others. */
 export class HostMemory {
@@ -45,10 +45,10 @@
     /** Calls whose sources are held back. */
     private readonly heldBack = new Set<CallMemory>();
     private wasFull = false;
-    private isRelieving = false;
-    private look: NodeJS.Timeout | undefined;
-    private lastLogged = -Infinity;
-    private unlogged = 0;
+    private isReliefScheduled = false;
+    private resumeTimer: NodeJS.Timeout | undefined;
+    private lastLoggedAt = -Infinity;
+    private suppressedLogs = 0;
     /** Ends the link to a peer, with all that waits for it. */
     onCutLink: (link: number) => void = () => undefined;
 
@@ -120,12 +120,12 @@
         if (bytes === 0) return;
         this.account = holdMore(this.account, kind, bytes);
         if (!this.isBounded) return;
-        this.noteFilling();
-        if (bytes < 0) this.lookSoon();
-        else if (isOverBudget(this.account)) this.relieveSoon();
+        this.updateFull();
+        if (bytes < 0) this.scheduleResume();
+        else if (isOverBudget(this.account)) this.scheduleRelief();
     }
 
-    private noteFilling(): void {
+    private updateFull(): void {
         const full = isFull(this.account, this.wasFull);
         if (full === this.wasFull) return;
         this.wasFull = full;
@@ -137,11 +137,11 @@
     }
 
     /** Not at once: whoever holds more may be within a step of its own. */
-    private relieveSoon(): void {
-        if (this.isRelieving) return;
-        this.isRelieving = true;
+    private scheduleRelief(): void {
+        if (this.isReliefScheduled) return;
+        this.isReliefScheduled = true;
         queueMicrotask(() => {
-            this.isRelieving = false;
+            this.isReliefScheduled = false;
             this.relieve();
         });
     }
@@ -149,7 +149,7 @@
     /** Gives up what waits for peers, which is sent again, and then calls, until the rest is within the budget. */
     private relieve(): void {
         while (isOverBudget(this.account)) {
-            const link = largest(this.links);
+            const link = largestLink(this.links);
             if (link !== undefined) {
                 this.setLink(link, 0);
                 this.onCutLink(link);
@@ -185,28 +185,28 @@
         this.heldBack.add(call);
         if (!this.isBounded) return;
         const now = this.deps.clock.now();
-        if (now - this.lastLogged < LOG_EVERY_MS) {
-            this.unlogged += 1;
+        if (now - this.lastLoggedAt < LOG_INTERVAL_MS) {
+            this.suppressedLogs += 1;
             return;
         }
-        this.lastLogged = now;
+        this.lastLoggedAt = now;
         const { req, ageMs, holder: { bytes } } = call;
-        const more = this.unlogged;
-        this.unlogged = 0;
+        const more = this.suppressedLogs;
+        this.suppressedLogs = 0;
         this.deps.log.info({ req, bytes, age_ms: Math.round(ageMs), more, ...this.state }, "call_held_back");
     }
 
     /** Room that others leave lets sources go on whose own readers take nothing. */
-    private lookSoon(): void {
-        if (this.look || this.heldBack.size === 0) return;
-        this.look = setTimeout(() => {
-            this.look = undefined;
+    private scheduleResume(): void {
+        if (this.resumeTimer || this.heldBack.size === 0) return;
+        this.resumeTimer = setTimeout(() => {
+            this.resumeTimer = undefined;
             for (const call of [...this.heldBack]) call.readOn();
-        }, LOOK_MS);
-        this.look.unref();
+        }, RESUME_DELAY_MS);
+        this.resumeTimer.unref();
     }
 }
 
-function largest(links: ReadonlyMap<number, number>): number | undefined {
+function largestLink(links: ReadonlyMap<number, number>): number | undefined {
     return [...links].toSorted(([, a], [, b]) => b - a)[0]?.[0];
 }
--- a/packages/host/src/runtime/log.ts
+++ b/packages/host/src/runtime/log.ts
@@ -10,16 +10,16 @@
 export type Log = bunyan;
 
 const LEVEL_NAME: Readonly<Record<number, string>> = bunyan.nameFromLevel;
-const PLAIN = /^[A-Za-z0-9_.:/@+-]+$/;
-const MAX_VALUE = 500;
+const UNQUOTED_VALUE = /^[A-Za-z0-9_.:/@+-]+$/;
+const MAX_VALUE_LENGTH = 500;
 /** Fields that bunyan adds to every record: said elsewhere in the line, or the same in all lines of a process. */
 const BUNYAN_FIELDS: ReadonlySet<string> = new Set(["time", "level", "msg", "name", "hostname", "pid", "v"]);
 
 /** A value as it stands in a line: quoted unless it is plain, so that no value can forge a pair or a line. */
-function written(value: unknown): string {
+function formatValue(value: unknown): string {
     const text = typeof value === "string" ? value : JSON.stringify(value) ?? "undefined";
-    const short = text.length > MAX_VALUE ? `${text.slice(0, MAX_VALUE)}...` : text;
-    if (PLAIN.test(short)) return short;
+    const short = text.length > MAX_VALUE_LENGTH ? `${text.slice(0, MAX_VALUE_LENGTH)}...` : text;
+    if (UNQUOTED_VALUE.test(short)) return short;
     return JSON.stringify(short).replace(
         /[\u007f-\uffff]/g,
         char => `\\u${char.charCodeAt(0).toString(16).padStart(4, "0")}`,
@@ -39,8 +39,8 @@
     const { time, level, msg } = record;
     const at = time instanceof Date ? time.toISOString() : String(time);
     const pairs = Object.entries(record).filter(([key, value]) => value !== undefined && !BUNYAN_FIELDS.has(key))
-        .map(([key, value]) => `${key.replace(/[^A-Za-z0-9_.-]/g, "_")}=${written(value)}`);
-    return [`time=${at}`, `level=${LEVEL_NAME[Number(level)] ?? String(level)}`, `event=${written(msg)}`, ...pairs]
+        .map(([key, value]) => `${key.replace(/[^A-Za-z0-9_.-]/g, "_")}=${formatValue(value)}`);
+    return [`time=${at}`, `level=${LEVEL_NAME[Number(level)] ?? String(level)}`, `event=${formatValue(msg)}`, ...pairs]
         .join(" ");
 }
 
--- a/packages/host/src/runtime/metrics.ts
+++ b/packages/host/src/runtime/metrics.ts
@@ -11,20 +11,20 @@
 const QUANTILES = [0.5, 0.9, 0.99, 0.999] as const;
 /** Histograms count in tenths of a millisecond, so that gaps of a few milliseconds keep their shape. */
 const UNITS_PER_MS = 10;
-const LONGEST_MS = 3_600_000;
+const MAX_TIME_MS = 3_600_000;
 
 /** A distribution of times in milliseconds. */
 export class Timing {
     private readonly histogram: Histogram = build({
         lowestDiscernibleValue: 1,
-        highestTrackableValue: LONGEST_MS * UNITS_PER_MS,
+        highestTrackableValue: MAX_TIME_MS * UNITS_PER_MS,
         numberOfSignificantValueDigits: 3,
     });
     private total = 0;
 
     /** Counts one time. */
     record(ms: number): void {
-        const bounded = Math.min(Math.max(ms, 0), LONGEST_MS);
+        const bounded = Math.min(Math.max(ms, 0), MAX_TIME_MS);
         this.histogram.recordValue(Math.round(bounded * UNITS_PER_MS));
         this.total += bounded;
     }
@@ -69,12 +69,12 @@
     private readonly preemptions = this.counter("drumpaddle_preemptions_total", "Preemptions that engines reported.", [
         "endpoint",
     ]);
-    private readonly settings = this.counter(
+    private readonly settingsOffers = this.counter(
         "drumpaddle_settings_offers_total",
         "Versions of settings offered, by what became of them.",
         ["result"],
     );
-    private readonly unreadable = this.counter(
+    private readonly unreadableRegistrations = this.counter(
         "drumpaddle_unreadable_registrations_total",
         "Registrations of endpoints that could not be read, by where they came from.",
         ["source"],
@@ -86,11 +86,15 @@
     private readonly copies = this.counter("drumpaddle_copies_total", "Copies of running generations ordered.", [
         "result",
     ]);
-    private readonly stays = this.counter("drumpaddle_stay_answers_total", "What engines said of leaving when asked.", [
-        "answer",
-    ]);
+    private readonly stayAnswers = this.counter(
+        "drumpaddle_stay_answers_total",
+        "What engines said of leaving when asked.",
+        [
+            "answer",
+        ],
+    );
     private readonly connections = this.counter("drumpaddle_connections_total", "Connections opened to endpoints.", []);
-    private readonly givenUp = this.counter(
+    private readonly givenUpCalls = this.counter(
         "drumpaddle_memory_given_up_total",
         "Calls given up for the memory that they held, by whose reading they waited for.",
         ["unread_by"],
@@ -100,18 +104,18 @@
         "Calls refused as there was no memory left for their bodies.",
         [],
     );
-    private readonly droppedForPeers = this.counter(
+    private readonly droppedPeerMessages = this.counter(
         "drumpaddle_peer_messages_dropped_total",
         "Messages to peers that read too slowly.",
         [],
     );
-    private readonly peers = this.counter("drumpaddle_peer_bytes_total", "Bytes to and from peers.", ["direction"]);
+    private readonly peerBytes = this.counter("drumpaddle_peer_bytes_total", "Bytes to and from peers.", ["direction"]);
     private readonly endings = this.counter(
         "drumpaddle_endings_total",
         "Endpoints that ended under calls of this host, by how that was found out.",
         ["sign"],
     );
-    private readonly withheld = this.counter(
+    private readonly withheldCalls = this.counter(
         "drumpaddle_withheld_total",
         "Calls that were not begun, as they were running where endpoints ended.",
         ["code"],
@@ -176,16 +180,16 @@
     }
 
     countOffer(result: string): void {
-        this.settings.inc({ result });
+        this.settingsOffers.inc({ result });
     }
 
     /** A registration names no endpoint to use; `source`: the store, or a peer's list. */
     countUnreadable(source: "store" | "peer"): void {
-        this.unreadable.inc({ source });
+        this.unreadableRegistrations.inc({ source });
     }
 
     countPeerBytes(direction: "in" | "out", bytes: number): void {
-        this.peers.inc({ direction }, bytes);
+        this.peerBytes.inc({ direction }, bytes);
     }
 
     /** `reason`: why this host calls, as `first`, `second` or `alone` of its hall's watchers, or at its `start`. */
@@ -198,7 +202,7 @@
     }
 
     countStay(answer: string): void {
-        this.stays.inc({ answer });
+        this.stayAnswers.inc({ answer });
     }
 
     countEnding(sign: string): void {
@@ -206,12 +210,12 @@
     }
 
     countWithheld(code: FailCode): void {
-        this.withheld.inc({ code });
+        this.withheldCalls.inc({ code });
     }
 
     /** `unreadBy`: whose reading the call waited for, or `nobody`. */
     countGivenUp(unreadBy: string): void {
-        this.givenUp.inc({ unread_by: unreadBy });
+        this.givenUpCalls.inc({ unread_by: unreadBy });
     }
 
     countMemoryRefusal(): void {
@@ -219,7 +223,7 @@
     }
 
     countDroppedForPeer(): void {
-        this.droppedForPeers.inc();
+        this.droppedPeerMessages.inc();
     }
 
     /** Tells what is held for others by kind, and the budget for it in bytes; undefined where there is none. */
--- a/packages/host/src/runtime/repeat.ts
+++ b/packages/host/src/runtime/repeat.ts
@@ -12,12 +12,12 @@
  * repeat(() => beat(), () => 500 * stretch(live.length), signal);
  * ```
  */
-export function repeat(run: () => void | Promise<void>, pauseMs: () => number, signal: AbortSignal): void {
+export function repeat(run: () => void | Promise<void>, delayMs: () => number, signal: AbortSignal): void {
     let timer: NodeJS.Timeout | undefined;
-    const round = async (): Promise<void> => {
+    const runOnce = async (): Promise<void> => {
         await run();
-        if (!signal.aborted) timer = setTimeout(() => void round(), pauseMs());
+        if (!signal.aborted) timer = setTimeout(() => void runOnce(), delayMs());
     };
     signal.addEventListener("abort", () => clearTimeout(timer), { once: true });
-    void round();
+    void runOnce();
 }
--- a/packages/host/src/runtime/signals.ts
+++ b/packages/host/src/runtime/signals.ts
@@ -13,11 +13,11 @@
 }
 
 let handlers: SignalHandlers | undefined;
-const early: ((handlers: SignalHandlers) => void)[] = [];
+const pending: ((handlers: SignalHandlers) => void)[] = [];
 
 function deliver(call: (handlers: SignalHandlers) => void): void {
     if (handlers) call(handlers);
-    else early.push(call);
+    else pending.push(call);
 }
 
 process.on("SIGHUP", () => deliver(({ onReload }) => onReload()));
@@ -33,5 +33,5 @@
  */
 export function handleSignals(given: SignalHandlers): void {
     handlers = given;
-    for (const call of early.splice(0)) call(given);
+    for (const call of pending.splice(0)) call(given);
 }
--- a/packages/host/src/store/deployment-feed.ts
+++ b/packages/host/src/store/deployment-feed.ts
@@ -1,7 +1,8 @@
 /**
- * Keeps the newest deployment and the endpoints at this host: read at start, then a watch, or the word of peers that
- * watch. What comes from peers enters by the same door; a version only ever grows within the life of a process, and so
- * does the store's position, whose revision starts over when the store comes back from an older copy.
+ * Keeps this host's deployment and list of endpoints up to date. A host reads the store at start; afterwards it watches the
+ * store itself or receives the changes from peers that do. What peers send passes the same checks as what the store
+ * sends. Within the life of a process the version of the deployment only grows, and so does the position in the store's
+ * history; the revision alone starts over when the store is restored from an older copy.
  *
  * @module
  */
@@ -36,13 +37,13 @@
 } from "@drumpaddle/routes";
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
-import { logChange, logDifferences, type ToldChange } from "./endpoint-log.js";
-import { Registrations } from "./registrations.js";
-import type { Spread } from "./spread.js";
-import type { StoreFollower } from "./store-follower.js";
-import type { StoreState, StoreWord } from "./store-words.js";
+import { logChange, logDifferences, type RevisedChange } from "./endpoint-log.js";
+import { RegistrationReader } from "./registrations.js";
+import type { StoreState, StoreUpdate } from "./store-messages.js";
+import type { StoreFollower } from "./store-sharing.js";
+import type { Spread } from "./version-exchange.js";
 
-/** What the feed is made of. */
+/** What a {@link DeploymentFeed} depends on. */
 export interface DeploymentFeedDeps {
     readonly clock: Clock;
     readonly kv: KeyValue;
@@ -52,116 +53,120 @@
     readonly signal: AbortSignal;
 }
 
-/** Where a deployment came from. */
+/** Who sent a deployment to this host. */
 export type DeploymentSource = "store" | "peer";
 
-/** What a host says that knows no deployment. */
+/** The version that a host without a deployment reports. */
 const NO_VERSION = -1;
-/** Pauses between two tries to read the store, in milliseconds: short, as a host that knows nothing serves nobody. */
-const FIRST_RETRY_MS = 100;
-/** With the time for a read (1 s) well within the least time after the store's return by which its news must be in force (3 s). */
-const LONGEST_RETRY_MS = 500;
+/** First delay between two reads of the store that fail, doubled each time. Short, as a host without a deployment serves nobody. */
+const INITIAL_RETRY_DELAY_MS = 100;
+/** Together with the time limit of a read (1 s) well below the 3 s after the store's return in which its changes must be in force. */
+const MAX_RETRY_DELAY_MS = 500;
 /**
- * What other hosts rely on is known to be cut off this soon: their own bound on news is 2 s at the least. Calls are paid
- * for, so that changes of a few moments ride on one; a watcher that only stands by lets more of them gather.
+ * Timing of the calls of a watch, by why this host watches. Other hosts rely on a watcher for changes and expect them within
+ * 2 s at the least, so it has to notice within 1 s that it is cut off. Each call costs money, so changes that follow each
+ * other closely share one; the second watcher is a standby and collects them for longer.
  */
-const TIMING: Readonly<Record<WatchReason, WatchTiming>> = {
+const WATCH_TIMINGS: Readonly<Record<WatchReason, WatchTiming>> = {
     first: { waitMs: 1_000, gatherMs: 100 },
     second: { waitMs: 1_000, gatherMs: 600 },
     alone: { waitMs: 1_000, gatherMs: 300 },
 };
-/** The first call of a watch waits for nothing: it shows at once whether the store answers. */
-const FIRST_TIMING: WatchTiming = { waitMs: 1 };
-/** Lapsed registrations are looked at this often. */
-const EXPIRE_EVERY_MS = 250;
-/** A host that hears of nobody after a suspension serves by what it knew after this: the store and peers answer within milliseconds. */
-const STALE_MOST_MS = 500;
-/** The store's whole content is watched by one call: deployment and endpoints have no prefix in common. */
-const EVERYTHING = "";
-
-/** The deployment in force and the endpoints that are there. */
+/** The first call of a watch returns without waiting for changes, which shows at once whether the store answers. */
+const INITIAL_WATCH_TIMING: WatchTiming = { waitMs: 1 };
+/** How often the registry is checked for registrations that have lapsed. */
+const EXPIRY_INTERVAL_MS = 250;
+/**
+ * A host that has been suspended and that neither the store nor a peer answers serves by its old state again after this time;
+ * they usually answer within milliseconds.
+ */
+const MAX_STALE_MS = 500;
+/** The prefix of all keys. One watch covers the whole store, as deployment and endpoints have no longer prefix in common. */
+const ALL_KEYS = "";
+
+/** Holds the deployment in force and the registry of endpoints, and follows the store for both. */
 export class DeploymentFeed {
     private current: { readonly table: RouteTable; readonly text: string } | undefined;
     private registry: Registry = EMPTY_REGISTRY;
     private endpointsRead = false;
-    /** The point in the store's history that this host is up to date with. */
+    /** The position in the store's history up to which this host knows all changes. */
     private position: StorePosition | undefined;
-    /** Whether the store answered last; undefined before the first answer. */
-    private answered: boolean | undefined;
+    /** Whether the store answered this host's last call; undefined until a call has ended since the watch was started. */
+    private lastCallAnswered: boolean | undefined;
     /** When the store last answered this host. */
-    private answeredAt = -Infinity;
-    /** As of when the store is known to have answered a peer. */
+    private lastAnsweredAt = -Infinity;
+    /** The latest time at which the store is known to have answered a peer. */
     private peersAnsweredAt = -Infinity;
-    private readonly registrations: Registrations;
-    private watching: AbortController | undefined;
-    /** When the host woke last from a suspension. */
+    private readonly registrations: RegistrationReader;
+    private watchController: AbortController | undefined;
+    /** When this host last resumed from a suspension. */
     private wokeAt: number | undefined;
-    /** Why this host watches. */
-    private reason: WatchReason | undefined;
+    /** Why this host watches the store; undefined while it does not. */
+    private watchReason: WatchReason | undefined;
     private readonly answerListeners = new Set<() => void>();
-    private readonly changeListeners = new Set<(word: StoreWord) => void>();
+    private readonly changeListeners = new Set<(update: StoreUpdate) => void>();
     private readonly deploymentListeners = new Set<(table: RouteTable) => void>();
     private readonly endpointListeners = new Set<(registry: Registry) => void>();
 
     constructor(private readonly deps: DeploymentFeedDeps) {
-        this.registrations = new Registrations(deps);
+        this.registrations = new RegistrationReader(deps);
     }
 
-    /** The deployment in force; undefined until a first one was learnt. */
+    /** The routes of the deployment in force; undefined before the first deployment. */
     get table(): RouteTable | undefined {
         return this.current?.table;
     }
 
-    /** Whether neither the store nor a peer that it answers tells this host what changes. */
-    get isDeaf(): boolean {
+    /** Whether this host gets no changes: neither the store answers it, nor a peer that the store answers. */
+    get isStoreAway(): boolean {
         return this.registry.storeAway;
     }
 
-    /** How this host and its peers tell each other of deployments, so that one that the store is deaf to hears too. */
+    /** Exchanges deployments with peers, so that a host that the store does not answer gets them too. */
     get spread(): Spread {
         return {
             news: () => ({ version: this.table?.version ?? NO_VERSION, hash: "" }),
             ask: ({ version }) => version > (this.table?.version ?? NO_VERSION) ? { have: {} } : undefined,
-            give: () => this.toGive(),
-            take: given => this.takeGiven(given),
+            give: () => this.currentDeployment(),
+            take: given => this.offerFromPeer(given),
             setWatching: () => undefined,
         };
     }
 
-    private toGive(): SettingsGive | undefined {
+    private currentDeployment(): SettingsGive | undefined {
         if (!this.current) return undefined;
         const { table, text } = this.current;
         return { head: { version: table.version, parts: {}, hash: "" }, parts: { deployment: text } };
     }
 
-    private takeGiven({ parts }: SettingsGive): void {
+    private offerFromPeer({ parts }: SettingsGive): void {
         if (parts.deployment !== undefined) this.offer(parts.deployment, "peer");
     }
 
-    /** As of when the store is known to have answered this host, or one that told it. */
+    /** The latest time at which the store is known to have answered this host, or a peer that reported it. */
     private get freshAt(): number {
-        return Math.max(this.answeredAt, this.peersAnsweredAt);
+        return Math.max(this.lastAnsweredAt, this.peersAnsweredAt);
     }
 
-    /** Why this host calls the store now, for the count of what is paid for. */
+    /** Why this host calls the store now: the label of the metric that counts the calls, each of which costs money. */
     get callReason(): WatchReason | "start" {
-        return this.reason ?? "start";
+        return this.watchReason ?? "start";
     }
 
-    /** How this host and its peers share what they hear of the store. */
+    /** This feed as {@link StoreSharing} uses it to share the store's changes with peers. */
     get follower(): StoreFollower {
         return {
-            heard: () => ({ hears: this.watching ? this.answered : undefined, freshAt: this.freshAt }),
+            heard: () => ({ hears: this.watchController ? this.lastCallAnswered : undefined, freshAt: this.freshAt }),
             isReady: () => this.isReady,
-            word: () => this.word([]),
+            currentUpdate: () => this.updateWith([]),
             setWatching: reason => this.setWatching(reason),
             onChanges: listener => void this.changeListeners.add(listener),
             onAnswer: listener => void this.answerListeners.add(listener),
-            hear: word => this.hear(word),
-            hearOf: freshAt => this.hearOf(freshAt),
+            receiveUpdate: update => this.receiveUpdate(update),
+            noteStoreAnswered: freshAt => this.noteStoreAnswered(freshAt),
             progress: () => this.progress,
-            state: asker => this.state(asker),
-            take: state => this.takeState(state),
+            state: asker => this.stateNewerThan(asker),
+            take: state => this.adoptState(state),
             meetLife: (life, source) => this.meetLife(life, source),
         };
     }
@@ -170,36 +175,36 @@
         return { ...this.position ?? NO_POSITION, version: this.table?.version ?? NO_VERSION };
     }
 
-    /** What this host says of the store: how far it is, and what has just changed. */
-    private word(changes: readonly KvChange[], after = this.position?.revision): StoreWord | undefined {
+    /** The message that tells peers this host's position and the changes since `after`; undefined before the first read. */
+    private updateWith(changes: readonly KvChange[], after = this.position?.revision): StoreUpdate | undefined {
         if (this.position === undefined || after === undefined) return undefined;
-        return { ...this.position, hears: this.answered === true, after, changes };
+        return { ...this.position, hears: this.lastCallAnswered === true, after, changes };
     }
 
-    /** Takes in a watcher's word; true if changes before it are missing here. */
-    private hear({ epoch, revision, hears, after, changes }: StoreWord): boolean {
+    /** Applies a watcher's update; returns true if this host lacks changes that precede it. */
+    private receiveUpdate({ epoch, revision, hears, after, changes }: StoreUpdate): boolean {
         const now = this.deps.clock.now();
         const known = this.position ?? NO_POSITION;
         if (!hears) {
-            // Mere silence does not show that the store is away; a watcher that it does not answer does.
+            // Getting no updates does not show that the store is away; a watcher whose calls it does not answer does.
             if (now - this.freshAt > WORD_VALID_MS) this.setRegistry(storeFailed(this.registry));
             return isAfter({ epoch, revision }, known);
         }
         this.peersAnsweredAt = now;
         if (isAfter({ epoch, revision: after }, known)) return true;
-        this.take(changes, epoch, "peer");
+        this.applyStoreChanges(changes, epoch, "peer");
         return false;
     }
 
-    /** A peer knows that the store answered at a time. */
-    private hearOf(freshAt: number): void {
+    /** Notes that the store answered a peer at a time. */
+    private noteStoreAnswered(freshAt: number): void {
         this.peersAnsweredAt = Math.max(this.peersAnsweredAt, freshAt);
         const now = this.deps.clock.now();
         if (now - freshAt < WORD_VALID_MS) this.setRegistry(storeAnswered(this.registry, now));
     }
 
-    /** All that is known here; the deployment only where the asker has an older version. */
-    private state(asker: StoreProgress): StoreState | undefined {
+    /** This host's whole state for a peer that is behind it; the deployment only where the peer's version is older. */
+    private stateNewerThan(asker: StoreProgress): StoreState | undefined {
         if (this.position === undefined || !this.current || !isFurther(this.progress, asker)) return undefined;
         const endpoints = writeEndpoints([...this.registry.endpoints.values()].map(({ entry }) => entry));
         const evacuated = [...this.registry.halls.evacuated];
@@ -213,22 +218,22 @@
         };
     }
 
-    /** Takes over what a peer knows, if it is further than this host. */
-    private takeState({ epoch, revision, ageMs, deployment, endpoints, evacuated }: StoreState): void {
-        this.hearOf(this.deps.clock.now() - ageMs);
+    /** Replaces this host's state with a peer's, if the peer is further ahead in the store's history. */
+    private adoptState({ epoch, revision, ageMs, deployment, endpoints, evacuated }: StoreState): void {
+        this.noteStoreAnswered(this.deps.clock.now() - ageMs);
         if (deployment !== undefined) this.offer(deployment, "peer");
         if (!isAfter({ epoch, revision }, this.position ?? NO_POSITION)) return;
-        const entries = this.registrations.fromPeer(endpoints);
+        const entries = this.registrations.readPeerList(endpoints);
         if (!entries) return;
-        this.moveTo({ epoch, revision }, "peer");
+        this.setPosition({ epoch, revision }, "peer");
         this.deps.log.info({ endpoints: entries.length, revision, age_ms: ageMs }, "endpoints_from_peer");
-        this.setWhole(adoptEndpoints(this.registry, entries, evacuated, this.deps.clock.now()));
+        this.replaceRegistry(adoptEndpoints(this.registry, entries, evacuated, this.deps.clock.now()));
     }
 
     /**
-     * Takes in that an endpoint has begun a later life than the one that is known, by its own word or a peer's.
+     * Records that an endpoint has begun a later life than the known one, as the endpoint or a peer reports.
      *
-     * @returns Whether it was news.
+     * @returns Whether this host did not know that life.
      */
     private meetLife(life: Life, source: "endpoint" | "peer"): boolean {
         const next = meetLife(this.registry, life, this.deps.clock.now());
@@ -238,24 +243,27 @@
         return true;
     }
 
-    /** The host was suspended, or may have been: what was heard before is old, and the store is asked at once. */
-    woke(suspendedMs: number): void {
+    /** Handles the end of a suspension, or of a possible one: the known state may be old, so a watching host calls the store at once. */
+    onWake(suspendedMs: number): void {
         if (suspendedMs > 0) this.wokeAt = this.deps.clock.now();
-        if (this.watching) this.beginWatch();
+        if (this.watchController) this.restartWatch();
     }
 
-    /** Whether nothing was heard since the host was suspended: versions may have come meanwhile. A cut-off host serves again soon. */
+    /**
+     * Whether the known state may be out of date, as the store has answered neither this host nor a peer since a suspension. Ends
+     * after {@link MAX_STALE_MS}, so that a host that is cut off from the store serves again soon.
+     */
     get isStale(): boolean {
         const { wokeAt } = this;
-        return wokeAt !== undefined && this.freshAt < wokeAt && this.deps.clock.now() - wokeAt < STALE_MOST_MS;
+        return wokeAt !== undefined && this.freshAt < wokeAt && this.deps.clock.now() - wokeAt < MAX_STALE_MS;
     }
 
-    /** Whether deployment and endpoints were read. */
+    /** Whether this host has a deployment and a list of endpoints. */
     get isReady(): boolean {
         return this.current !== undefined && this.endpointsRead;
     }
 
-    /** An endpoint that is registered, or was until lately; undefined for a life that is over. */
+    /** An endpoint that is registered, or was until recently; undefined for a life that has ended. */
     endpoint(incarnation: string): EndpointEntry | undefined {
         const registered = this.registry.endpoints.get(incarnation);
         if (registered) return registered.entry;
@@ -263,58 +271,58 @@
         return departed?.isOver === false ? departed.entry : undefined;
     }
 
-    /** Calls back with each deployment that comes into force. */
+    /** Registers a listener for each deployment that comes into force. */
     onDeployment(listener: (table: RouteTable) => void): void {
         this.deploymentListeners.add(listener);
     }
 
-    /** Calls back whenever endpoints change. */
+    /** Registers a listener for each change of the endpoints or of the evacuated halls. */
     onEndpoints(listener: (registry: Registry) => void): void {
         this.endpointListeners.add(listener);
     }
 
-    /** Reads the store once, or until a peer has told what it holds; ends with the signal. */
+    /** Reads the store until a read succeeds, a peer has sent its state or this host begins to watch. Ends with the signal. */
     start(): void {
         const { signal } = this.deps;
         const timer = setInterval(
             () => this.setRegistry(settle(this.registry, this.deps.clock.now())),
-            EXPIRE_EVERY_MS,
+            EXPIRY_INTERVAL_MS,
         );
         signal.addEventListener("abort", () => clearInterval(timer), { once: true });
-        void this.readFirst(signal);
+        void this.readUntilReady(signal);
     }
 
-    private async readFirst(signal: AbortSignal): Promise<void> {
-        let pauseMs = FIRST_RETRY_MS;
-        while (!signal.aborted && !this.isReady && !this.watching) {
+    private async readUntilReady(signal: AbortSignal): Promise<void> {
+        let delayMs = INITIAL_RETRY_DELAY_MS;
+        while (!signal.aborted && !this.isReady && !this.watchController) {
             if (await this.readAll(signal) !== undefined) return;
-            await pause(pauseMs);
-            pauseMs = Math.min(LONGEST_RETRY_MS, pauseMs * 2);
+            await pause(delayMs);
+            delayMs = Math.min(MAX_RETRY_DELAY_MS, delayMs * 2);
         }
     }
 
-    /** Begins or ends to watch. */
+    /** Starts or stops watching the store, or changes the reason for it. */
     private setWatching(reason: WatchReason | undefined): void {
-        if (reason === this.reason) return;
-        this.deps.log.info({ reason, before: this.reason, revision: this.position?.revision }, "store_watching");
-        this.reason = reason;
+        if (reason === this.watchReason) return;
+        this.deps.log.info({ reason, before: this.watchReason, revision: this.position?.revision }, "store_watching");
+        this.watchReason = reason;
         if (reason === undefined) {
-            this.watching?.abort();
-            this.watching = undefined;
+            this.watchController?.abort();
+            this.watchController = undefined;
             return;
         }
-        if (!this.watching) this.beginWatch();
+        if (!this.watchController) this.restartWatch();
     }
 
-    private beginWatch(): void {
-        this.watching?.abort();
-        const own = new AbortController();
-        this.watching = own;
-        this.answered = undefined;
-        void this.follow(AbortSignal.any([this.deps.signal, own.signal]));
+    private restartWatch(): void {
+        this.watchController?.abort();
+        const controller = new AbortController();
+        this.watchController = controller;
+        this.lastCallAnswered = undefined;
+        void this.readAndWatch(AbortSignal.any([this.deps.signal, controller.signal]));
     }
 
-    /** Judges a deployment and puts it in force if it is newer; a malformed one is ignored with a log line. */
+    /** Puts a deployment in force if it is newer than the current one; a malformed one is logged and ignored. */
     offer(text: string, source: DeploymentSource): void {
         const { wire, log, metrics } = this.deps;
         if (text === this.current?.text) {
@@ -341,53 +349,53 @@
         for (const listener of this.deploymentListeners) listener(table);
     }
 
-    private async follow(signal: AbortSignal): Promise<void> {
+    private async readAndWatch(signal: AbortSignal): Promise<void> {
         const { log } = this.deps;
-        let pauseMs = FIRST_RETRY_MS;
-        // One that has followed others is up to date: it goes on from there, without reading all again.
+        let delayMs = INITIAL_RETRY_DELAY_MS;
+        // A host that has followed peers is up to date and watches from its position, without another full read.
         let position = this.isReady ? this.position : undefined;
         while (!signal.aborted) {
             position ??= await this.readAll(signal);
             if (position !== undefined) {
-                pauseMs = FIRST_RETRY_MS;
+                delayMs = INITIAL_RETRY_DELAY_MS;
                 const ended = await this.watchFrom(position, signal);
                 if (signal.aborted) return;
-                if (isAway(ended)) this.onStoreAway();
+                if (isUnanswered(ended)) this.onStoreUnanswered();
                 log.warn({ err: ended.kind, detail: ended.detail }, "store_watch_ended");
                 position = undefined;
                 continue;
             }
-            await pause(pauseMs);
-            pauseMs = Math.min(LONGEST_RETRY_MS, pauseMs * 2);
+            await pause(delayMs);
+            delayMs = Math.min(MAX_RETRY_DELAY_MS, delayMs * 2);
         }
     }
 
     private watchFrom({ epoch, revision }: StorePosition, signal: AbortSignal): Promise<KvError> {
         let isFirst = true;
         const timing = (): WatchTiming => {
-            if (!isFirst) return this.reason === undefined ? {} : TIMING[this.reason];
+            if (!isFirst) return this.watchReason === undefined ? {} : WATCH_TIMINGS[this.watchReason];
             isFirst = false;
-            return FIRST_TIMING;
+            return INITIAL_WATCH_TIMING;
         };
-        const watch = { prefix: EVERYTHING, after: revision, epoch, timing };
-        return this.deps.kv.watch(watch, changes => this.take(changes, epoch, "store"), signal);
+        const watch = { prefix: ALL_KEYS, after: revision, epoch, timing };
+        return this.deps.kv.watch(watch, changes => this.applyStoreChanges(changes, epoch, "store"), signal);
     }
 
-    /** Reads everything; returns the position to watch from, or undefined where the store did not answer. */
+    /** Reads the whole store; returns the position to watch from, or undefined if the read failed. */
     private async readAll(signal: AbortSignal): Promise<StorePosition | undefined> {
         const { kv, wire, log } = this.deps;
-        const listed = await kv.list(EVERYTHING, signal);
+        const listed = await kv.list(ALL_KEYS, signal);
         if (signal.aborted) return undefined;
         if (!listed.ok) {
-            if (isAway(listed.err)) this.onStoreAway();
+            if (isUnanswered(listed.err)) this.onStoreUnanswered();
             if (!signal.aborted) log.warn({ err: listed.err.kind, detail: listed.err.detail }, "store_read_failed");
             return undefined;
         }
         const { entries, epoch, revision } = listed.value;
         const now = this.deps.clock.now();
-        // A peer may have told of changes after this read.
-        const isBehind = this.position !== undefined && isAfter(this.position, { epoch, revision });
-        if (!isBehind) this.moveTo({ epoch, revision }, "store");
+        // A peer may have sent changes that are later than this read.
+        const isOutdated = this.position !== undefined && isAfter(this.position, { epoch, revision });
+        if (!isOutdated) this.setPosition({ epoch, revision }, "store");
         const answered = storeAnswered(this.registry, now);
         const changes = entries.flatMap(entry => this.registrations.changeOf(entry) ?? []);
         const endpoints = changes.flatMap(change => change.kind === "registered" ? [change.entry] : []);
@@ -395,24 +403,24 @@
         const evacuated = changes.flatMap(change => change.kind === "evacuated" ? [change.hall] : []);
         const deployment = entries.find(entry => entry.key === wire.storeKeys.deployment);
         if (deployment) this.offerStored(deployment, "store");
-        const found = { endpoints: endpoints.length, deployment: deployment !== undefined };
-        log.info({ epoch, revision, ...found, behind: isBehind }, "store_read");
-        const whole = isBehind ? answered : replaceAll(answered, endpoints, unreadable, evacuated, now);
-        this.setWhole(whole, unreadable);
-        this.setAnswered(true);
+        const summary = { endpoints: endpoints.length, deployment: deployment !== undefined };
+        log.info({ epoch, revision, ...summary, behind: isOutdated }, "store_read");
+        const whole = isOutdated ? answered : replaceAll(answered, endpoints, unreadable, evacuated, now);
+        this.replaceRegistry(whole, unreadable);
+        this.setLastCallAnswered(true);
         return { epoch, revision };
     }
 
-    /** Goes on to a later point in the store's history; in another epoch what the store holds is older than what is known here. */
-    private moveTo(position: StorePosition, source: DeploymentSource): void {
+    /** Sets the position. A new epoch means that the store was restored from a copy older than what this host knows. */
+    private setPosition(position: StorePosition, source: DeploymentSource): void {
         const before = this.position;
         this.position = position;
         this.deps.metrics.storeEpoch.set(position.epoch);
         if (before === undefined || before.epoch === position.epoch) return;
         const { epoch, revision } = position;
-        const told = { source, epoch, revision, before_epoch: before.epoch, before_revision: before.revision };
-        this.deps.log.warn(told, "store_restored");
-        this.registrations.forget();
+        const fields = { source, epoch, revision, before_epoch: before.epoch, before_revision: before.revision };
+        this.deps.log.warn(fields, "store_restored");
+        this.registrations.resetReported();
         this.setRegistry(storeRestored(this.registry, this.deps.clock.now()));
     }
 
@@ -422,42 +430,44 @@
         this.deps.log.warn({ source, at: "/", detail: unreadable }, "deployment_ignored");
     }
 
-    /** The store does not answer this host; that it is away is believed only while no peer is answered either. */
-    private onStoreAway(): void {
+    /** Handles a call that the store did not answer. The store counts as away only if it has lately answered no peer either. */
+    private onStoreUnanswered(): void {
         if (this.deps.clock.now() - this.peersAnsweredAt > WORD_VALID_MS) this.setRegistry(storeFailed(this.registry));
-        this.setAnswered(false);
+        this.setLastCallAnswered(false);
     }
 
-    private setAnswered(answered: boolean): void {
-        if (answered) this.answeredAt = this.deps.clock.now();
-        if (answered === this.answered) return;
-        this.answered = answered;
+    private setLastCallAnswered(answered: boolean): void {
+        if (answered) this.lastAnsweredAt = this.deps.clock.now();
+        if (answered === this.lastCallAnswered) return;
+        this.lastCallAnswered = answered;
         for (const listener of this.answerListeners) listener();
     }
 
-    private take(changes: readonly KvChange[], epoch: number, source: DeploymentSource): void {
+    private applyStoreChanges(changes: readonly KvChange[], epoch: number, source: DeploymentSource): void {
         const now = this.deps.clock.now();
-        if (source === "store") this.setAnswered(true);
+        if (source === "store") this.setLastCallAnswered(true);
         const answered = storeAnswered(this.registry, now);
-        const told: ToldChange[] = [];
+        const registryChanges: RevisedChange[] = [];
         const known = this.position ?? NO_POSITION;
-        const news = changes.filter(({ modRevision }) => isAfter({ epoch, revision: modRevision }, known));
-        for (const item of news) {
-            const { key, value, modRevision } = item;
+        const newChanges = changes.filter(({ modRevision }) => isAfter({ epoch, revision: modRevision }, known));
+        for (const entry of newChanges) {
+            const { key, value, modRevision } = entry;
             const position = { epoch, revision: modRevision };
             if (isAfter(position, this.position ?? NO_POSITION)) this.position = position;
             if (key === this.deps.wire.storeKeys.deployment && value !== undefined) {
-                this.offerStored({ ...item, value }, source);
+                this.offerStored({ ...entry, value }, source);
             }
-            const change = this.registrations.changeOf(item);
-            if (change) told.push({ change, revision: modRevision });
+            const change = this.registrations.changeOf(entry);
+            if (change) registryChanges.push({ change, revision: modRevision });
         }
-        const next = told.length > 0 ? applyChanges(answered, told.map(({ change }) => change), now) : answered;
-        for (const one of told) logChange(this.deps.log, one, next);
+        const next = registryChanges.length > 0
+            ? applyChanges(answered, registryChanges.map(({ change }) => change), now)
+            : answered;
+        for (const revisedChange of registryChanges) logChange(this.deps.log, revisedChange, next);
         this.setRegistry(next);
-        if (source === "peer" || news.length === 0) return;
-        const word = this.word(news, known.revision);
-        if (word) { for (const listener of this.changeListeners) listener(word); }
+        if (source === "peer" || newChanges.length === 0) return;
+        const update = this.updateWith(newChanges, known.revision);
+        if (update) { for (const listener of this.changeListeners) listener(update); }
     }
 
     private logEvacuations(before: HallOrders, { evacuated }: HallOrders): void {
@@ -469,8 +479,8 @@
         metrics.evacuated.set(evacuated.size);
     }
 
-    /** Takes over all endpoints at once. The first ones are not told one by one. */
-    private setWhole(registry: Registry, unreadable: readonly string[] = []): void {
+    /** Replaces the whole registry and logs what differs, except for the first registry. */
+    private replaceRegistry(registry: Registry, unreadable: readonly string[] = []): void {
         const { registry: before } = this;
         const revision = this.position?.revision;
         if (this.endpointsRead) logDifferences(this.deps.log, { before, after: registry, revision, unreadable });
@@ -491,8 +501,8 @@
     }
 }
 
-/** Whether an error tells that the store does not answer; it does where only what it held before is gone. */
-function isAway({ kind }: KvError): boolean {
+/** Whether an error means that the store did not answer. Not so where it answers that it lacks the requested history. */
+function isUnanswered({ kind }: KvError): boolean {
     return kind !== "compacted" && kind !== "restored";
 }
 
--- a/packages/host/src/store/directory.ts
+++ b/packages/host/src/store/directory.ts
@@ -1,6 +1,6 @@
 /**
- * What a version of the settings means for serving: keys and tokens by hash, models and services, endpoints, and the
- * settings at a place. Built once for each version and then only read.
+ * An index over one version of the settings: API keys and operators' tokens by hash, models, services, endpoints, and the
+ * settings that apply to a workspace and service. Built once for each version and not changed afterwards.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { type InForce, namedNodes, NodeKind, type Settings, settingsAt, type Tree } from "@drumpaddle/settings";
 import { createHash } from "node:crypto";
 
-/** An endpoint as declared. */
+/** An endpoint as the settings declare it. */
 export interface DeclaredEndpoint extends EndpointCfg {
     readonly url: string;
     readonly service: string;
@@ -18,10 +18,10 @@
 /** What an operator may do. */
 export type Role = "read" | "edit";
 
-/** Memory that an engine is taken to have where its endpoint does not say. */
-const ASSUMED_MEMORY_TOKENS = 100_000;
+/** Memory that an engine is assumed to have if its endpoint declares none. */
+const DEFAULT_MEMORY_TOKENS = 100_000;
 
-/** The SHA-256 of a secret, as it stands in the settings. */
+/** The SHA-256 of a secret in hexadecimal digits, as the settings hold it. */
 export function hashSecret(secret: string): string {
     return createHash("sha256").update(secret).digest("hex");
 }
@@ -37,7 +37,7 @@
     readonly expires: number;
 }
 
-/** What one part of the tree means for serving. */
+/** The index of one part of the tree. */
 interface PartIndex {
     readonly endpoints: readonly (readonly [string, DeclaredEndpoint])[];
     readonly models: readonly (readonly [string, string])[];
@@ -47,43 +47,43 @@
     readonly operators: readonly (readonly [string, OperatorEntry])[];
 }
 
-/** One version of the settings, indexed for serving. Parts that did not change keep the index of the version before. */
+/** The index of one version of the settings. Parts that did not change reuse their index from the previous version. */
 export class Directory {
     readonly version: number;
     readonly tree: Tree;
     readonly endpoints: ReadonlyMap<string, DeclaredEndpoint>;
-    /** Service of each model. */
+    /** The service of each model. */
     readonly models: ReadonlyMap<string, string>;
-    /** Kind of each service. */
+    /** The kind of each service. */
     readonly services: ReadonlyMap<string, "engine" | "plain">;
-    /** Names of all halls, in order. */
+    /** Names of all halls, sorted. */
     readonly halls: readonly string[];
     private readonly keys: ReadonlyMap<string, KeyEntry>;
     private readonly operators: ReadonlyMap<string, OperatorEntry>;
     private readonly parts: ReadonlyMap<Tree, PartIndex>;
-    private readonly cached = new Map<string, Settings>();
+    private readonly cache = new Map<string, Settings>();
 
     constructor(inForce: InForce, private readonly hall: string, before?: Directory) {
         this.version = inForce.snapshot.head.version;
         this.tree = inForce.tree;
         const trees = Object.values(inForce.partTrees);
         this.parts = new Map(trees.map(part => [part, before?.parts.get(part) ?? indexPart(part)]));
-        const all = [...this.parts.values()];
-        this.endpoints = new Map(all.flatMap(part => part.endpoints));
-        this.models = new Map(all.flatMap(part => part.models));
-        this.services = new Map(all.flatMap(part => part.services));
-        this.halls = all.flatMap(part => part.halls).sort();
-        this.keys = new Map(all.flatMap(part => part.keys));
-        this.operators = new Map(all.flatMap(part => part.operators));
+        const partIndexes = [...this.parts.values()];
+        this.endpoints = new Map(partIndexes.flatMap(part => part.endpoints));
+        this.models = new Map(partIndexes.flatMap(part => part.models));
+        this.services = new Map(partIndexes.flatMap(part => part.services));
+        this.halls = partIndexes.flatMap(part => part.halls).sort();
+        this.keys = new Map(partIndexes.flatMap(part => part.keys));
+        this.operators = new Map(partIndexes.flatMap(part => part.operators));
     }
 
-    /** Workspace of a caller's key; undefined if it is unknown or has expired. */
+    /** The workspace of a caller's API key; undefined if the key is unknown or has expired. */
     workspaceOf(secret: string, nowEpochMs: number): string | undefined {
         const key = this.keys.get(hashSecret(secret));
         return key && nowEpochMs < key.expires ? key.workspace : undefined;
     }
 
-    /** The operator of a token; undefined if it is unknown or has expired. */
+    /** The operator of a token; undefined if the token is unknown or has expired. */
     operatorOf(token: string, nowEpochMs: number): { readonly name: string; readonly role: Role } | undefined {
         const operator = this.operators.get(hashSecret(token));
         return operator && nowEpochMs < operator.expires ? operator : undefined;
@@ -93,17 +93,17 @@
         return this.operators.size > 0;
     }
 
-    /** Settings for a workspace's requests to a service in this host's hall. */
+    /** The settings that apply to a workspace's requests to a service in this host's hall. */
     settingsFor(workspace: string, service: string | undefined): Settings {
-        const name = `${workspace}\n${service ?? ""}`;
-        let settings = this.cached.get(name);
-        if (!settings) this.cached.set(name, settings = settingsAt(this.tree, { workspace, service, hall: this.hall }));
+        const key = `${workspace}\n${service ?? ""}`;
+        let settings = this.cache.get(key);
+        if (!settings) this.cache.set(key, settings = settingsAt(this.tree, { workspace, service, hall: this.hall }));
         return settings;
     }
 }
 
-function expiry(written: unknown): number {
-    return typeof written === "string" ? Date.parse(written) : Infinity;
+function parseExpiry(value: unknown): number {
+    return typeof value === "string" ? Date.parse(value) : Infinity;
 }
 
 function indexPart(part: Tree): PartIndex {
@@ -116,11 +116,11 @@
             .map(({ name, values }) => [name, values["kind"] as "engine" | "plain"] as const),
         halls: Object.keys(part).map(path => /^hall\/([^/]+)$/.exec(path)?.[1]).filter(name => name !== undefined),
         keys: namedNodes(part, NodeKind.Key).map(({ values }) => {
-            const entry = { workspace: values["workspace"] as string, expires: expiry(values["expires"]) };
+            const entry = { workspace: values["workspace"] as string, expires: parseExpiry(values["expires"]) };
             return [values["hash"] as string, entry] as const;
         }),
         operators: namedNodes(part, NodeKind.Operator).map(({ name, values }) => {
-            const entry = { name, role: values["role"] as Role, expires: expiry(values["expires"]) };
+            const entry = { name, role: values["role"] as Role, expires: parseExpiry(values["expires"]) };
             return [values["hash"] as string, entry] as const;
         }),
     };
@@ -133,7 +133,7 @@
         service: values["service"] as string,
         hall: values["hall"] as string,
         models: (values["models"] as readonly string[] | undefined) ?? [],
-        memoryTokens: (values["memory-tokens"] as number | undefined) ?? ASSUMED_MEMORY_TOKENS,
+        memoryTokens: (values["memory-tokens"] as number | undefined) ?? DEFAULT_MEMORY_TOKENS,
         leaving: values["leaving"] === true,
     }));
 }
--- a/packages/host/src/store/endpoint-log.ts
+++ b/packages/host/src/store/endpoint-log.ts
@@ -1,22 +1,20 @@
 /**
- * Log lines that tell what became of endpoints' registrations, however this host learnt of it.
+ * Logs changes of endpoints' registrations, whether the store or a peer reported them.
  *
  * @module
  */
 import { compareLives, type EndpointEntry, LifeOrder, type Registry, type RegistryChange } from "@drumpaddle/routes";
 import type { Log } from "../runtime/log.js";
 
-/** A change as it was told, with the store's revision that it belongs to. */
-export interface ToldChange {
+/** A change of the registry, with the store's revision that made it. */
+export interface RevisedChange {
     readonly change: RegistryChange;
     readonly revision: number;
 }
 
-/**
- * Logs a change that the store or a watcher told.
- */
-export function logChange(log: Log, { change, revision }: ToldChange, { latest }: Registry): void {
-    // Told as it comes into force, whoever tells of it.
+/** Logs a single change that the store or a watching peer reported. */
+export function logChange(log: Log, { change, revision }: RevisedChange, { latest }: Registry): void {
+    // The feed logs evacuations itself when they come into force.
     if (change.kind === "evacuated" || change.kind === "reopened") return;
     if (change.kind !== "registered") return logGone(log, change.id, change.kind, revision);
     const { entry } = change;
@@ -25,25 +23,25 @@
     logRegistered(log, entry, isEarlier ? "earlier_life" : entry.state, revision);
 }
 
-/** All endpoints as they were told at once, by a read of the whole store or by a peer. */
-export interface Whole {
+/** The registry before and after a read of the whole store, or a peer's whole state, replaced it. */
+export interface RegistryDifference {
     readonly before: Registry;
     readonly after: Registry;
-    /** The store's revision that they belong to. */
+    /** The store's revision that `after` belongs to. */
     readonly revision: number | undefined;
-    /** Ids of those whose registrations stand there and cannot be read. */
+    /** Ids of endpoints whose registrations exist but cannot be decoded. */
     readonly unreadable: readonly string[];
 }
 
 /**
- * Logs what differs from what was known, where no single change was told.
+ * Logs the differences between two registries, where the single changes are not known.
  *
  * @example
  * ```ts
  * logDifferences(log, { before, after: replaceAll(before, entries, [], [], now), revision: 42, unreadable: [] });
  * ```
  */
-export function logDifferences(log: Log, { before, after, revision, unreadable }: Whole): void {
+export function logDifferences(log: Log, { before, after, revision, unreadable }: RegistryDifference): void {
     for (const [name, { entry, lapsedAt }] of after.endpoints) {
         const known = before.endpoints.get(name);
         const isBack = known?.lapsedAt !== undefined && lapsedAt === undefined;
@@ -55,11 +53,11 @@
     }
 }
 
-/** Whether a registration is gone, also where its endpoint is kept for a while as one that may be back. */
+/** Whether a registration is gone, even if the registry keeps the lapsed endpoint for a while in case it returns. */
 function isGone({ endpoints, latest }: Registry, name: string, id: string): boolean {
     const known = endpoints.get(name);
     if (known) return known.lapsedAt !== undefined;
-    // A later life that took the place of this one is told itself.
+    // A later life that replaced this one is logged itself.
     const later = latest.get(id)?.incarnation;
     return later === undefined || !endpoints.has(later);
 }
--- a/packages/host/src/store/registrations.ts
+++ b/packages/host/src/store/registrations.ts
@@ -1,6 +1,6 @@
 /**
- * Reads endpoints' registrations, from the store's items and from peers' lists, each by itself: others write to the store too, and
- * what cannot be read names no endpoint to use.
+ * Decodes endpoints' registrations from the store's entries and from peers' lists. Each is decoded by itself, as other programs
+ * write to the store too: an unreadable registration is logged and counted, and its endpoint is not used.
  *
  * @module
  */
@@ -9,26 +9,26 @@
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
 
-/** What reading needs of the gateway. */
-export interface RegistrationsDeps {
+/** What a {@link RegistrationReader} depends on. */
+export interface RegistrationReaderDeps {
     readonly wire: PlatformWire;
     readonly log: Log;
     readonly metrics: Metrics;
 }
 
-/** Unreadable registrations that were told of are remembered up to this number, so that each is told of once. */
-const MOST_NOTED = 1_000;
+/** Most unreadable registrations that are remembered, so that each is logged once. */
+const MAX_REPORTED = 1_000;
 
-/** The reader of one host. */
-export class Registrations {
-    /** Revisions of unreadable registrations that were told of, by endpoint. */
-    private readonly noted = new Map<string, number>();
+/** Decodes registrations for one host, and logs each unreadable one once. */
+export class RegistrationReader {
+    /** Revisions of the unreadable registrations that were logged, by endpoint. */
+    private readonly reported = new Map<string, number>();
 
-    constructor(private readonly deps: RegistrationsDeps) {}
+    constructor(private readonly deps: RegistrationReaderDeps) {}
 
     /**
-     * What an item of the store says of an endpoint's registration or a hall's evacuation; undefined where it is of something
-     * else.
+     * The change that an entry of the store makes to an endpoint's registration or a hall's evacuation; undefined for other
+     * keys.
      *
      * @example
      * ```ts
@@ -37,52 +37,52 @@
      */
     changeOf({ key, value, modRevision, unreadable }: KvChange): RegistryChange | undefined {
         const { wire } = this.deps;
-        const { endpoints: start, evacuations } = wire.storeKeys;
+        const { endpoints: endpointsPrefix, evacuations } = wire.storeKeys;
         if (key.startsWith(evacuations)) {
             return {
                 kind: value === undefined && unreadable === undefined ? "reopened" : "evacuated",
                 hall: key.slice(evacuations.length),
             };
         }
-        if (!key.startsWith(start)) return undefined;
-        const id = key.slice(start.length);
+        if (!key.startsWith(endpointsPrefix)) return undefined;
+        const id = key.slice(endpointsPrefix.length);
         if (value === undefined) return { kind: "gone", id };
         const decoded: Decoded<EndpointEntry, DecodeError> = unreadable === undefined
             ? wire.decodeEndpoint(id, value)
             : { ok: false, err: { kind: "badValue", at: "/", detail: unreadable } };
         if (decoded.ok) return { kind: "registered", entry: decoded.value };
-        this.note(id, modRevision, decoded.err);
+        this.reportUnreadable(id, modRevision, decoded.err);
         return { kind: "unreadable", id };
     }
 
-    /** Forgets which revisions were told of: the store gives them out again. */
-    forget(): void {
-        this.noted.clear();
+    /** Forgets which revisions were logged; a restored store assigns the same revisions again. */
+    resetReported(): void {
+        this.reported.clear();
     }
 
-    /** Tells of a registration that cannot be read, once for each time that it was written. */
-    private note(id: string, revision: number, { at, detail }: DecodeError): void {
-        if (this.noted.get(id) === revision) return;
-        this.noted.delete(id);
-        this.noted.set(id, revision);
-        const oldest = this.noted.keys().next();
-        if (this.noted.size > MOST_NOTED && !oldest.done) this.noted.delete(oldest.value);
+    /** Logs and counts an unreadable registration, once for each revision of it. */
+    private reportUnreadable(id: string, revision: number, { at, detail }: DecodeError): void {
+        if (this.reported.get(id) === revision) return;
+        this.reported.delete(id);
+        this.reported.set(id, revision);
+        const oldest = this.reported.keys().next();
+        if (this.reported.size > MAX_REPORTED && !oldest.done) this.reported.delete(oldest.value);
         this.deps.metrics.countUnreadable("store");
         this.deps.log.warn({ endpoint: id, revision, at, detail }, "endpoint_ignored");
     }
 
-    /** The endpoints of a peer's list that can be read; undefined where it is no list. */
-    fromPeer(text: string): readonly EndpointEntry[] | undefined {
+    /** The endpoints of a peer's list, without the unreadable ones; undefined if the text is not a list. */
+    readPeerList(text: string): readonly EndpointEntry[] | undefined {
         const { log, metrics } = this.deps;
-        const read = readEndpoints(text);
-        if (!read.ok) {
-            log.warn({ source: "peer", err: read.err.kind }, "endpoints_ignored");
+        const result = readEndpoints(text);
+        if (!result.ok) {
+            log.warn({ source: "peer", err: result.err.kind }, "endpoints_ignored");
             return undefined;
         }
-        for (const { at, detail } of read.bad) {
+        for (const { at, detail } of result.bad) {
             metrics.countUnreadable("peer");
             log.warn({ source: "peer", at, detail }, "endpoint_ignored");
         }
-        return read.value;
+        return result.value;
     }
 }
--- a/packages/host/src/store/settings-feed.ts
+++ b/packages/host/src/store/settings-feed.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the newest version of the settings in force at this host: read at start, then a watch, then reads where the
- * watch falls silent. Versions that come from peers enter by the same door.
+ * Keeps the newest version of the settings in force at this host. A host that watches the store also reads the head at
+ * intervals, in case the watch stalls; the others get versions from peers, which pass the same checks.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import { Directory } from "./directory.js";
 import type { SettingsStore } from "./settings-store.js";
 
-/** What the feed is made of. */
+/** What a {@link SettingsFeed} depends on. */
 export interface FeedDeps {
     readonly kv: KeyValue;
     readonly store: SettingsStore;
@@ -21,64 +21,64 @@
     readonly signal: AbortSignal;
 }
 
-/** Where an offered version came from. */
+/** Where an offered version came from: the store, a peer, or an edit at this host. */
 export type OfferSource = "service" | "peer" | "edit";
 
-const WATCH_RETRY_MS = 500;
-/** A watch may stall without ending: the head is read at least this often by a host that watches. */
-const READ_EVERY_MS = 5_000;
+const WATCH_RETRY_DELAY_MS = 500;
+/** How often a watching host also reads the head, as a watch may stall without ending. */
+const READ_INTERVAL_MS = 5_000;
 
-/** The settings in force at one host. */
+/** Holds the settings in force at one host and follows their changes. */
 export class SettingsFeed {
     private current: InForce | undefined;
-    private indexed: Directory | undefined;
+    private currentDirectory: Directory | undefined;
     private readonly listeners = new Set<(directory: Directory) => void>();
-    private reading: Promise<void> | undefined;
-    private wanted = 0;
-    private watching = false;
+    private pendingRead: Promise<void> | undefined;
+    private watchGeneration = 0;
+    private isWatching = false;
 
     constructor(private readonly deps: FeedDeps) {}
 
-    /** What is in force; undefined until a first version was learnt. */
+    /** The version in force; undefined before the first one. */
     get inForce(): InForce | undefined {
         return this.current;
     }
 
-    /** The version in force, indexed; undefined until a first version was learnt. */
+    /** The index of the version in force; undefined before the first one. */
     get directory(): Directory | undefined {
-        return this.indexed;
+        return this.currentDirectory;
     }
 
-    /** Calls back with each version that comes into force, and at once with the one that is. */
+    /** Registers a listener for each version that comes into force; it is called at once if there is one already. */
     onChange(listener: (directory: Directory) => void): void {
         this.listeners.add(listener);
-        if (this.indexed) listener(this.indexed);
+        if (this.currentDirectory) listener(this.currentDirectory);
     }
 
-    /** Judges a version and takes it if it is newer and whole. */
+    /** Puts a version in force if it is newer and complete; otherwise logs why not. */
     offer(snapshot: Snapshot, source: OfferSource): AdoptResult {
         const result = adopt(this.current, snapshot, Date.now());
         this.deps.metrics.countOffer(result.kind);
-        if (result.kind === "adopted") this.take(result.inForce, source);
+        if (result.kind === "adopted") this.putInForce(result.inForce, source);
         else if (result.kind !== "same") {
             this.deps.log.warn({ source, ...result, kind: undefined, result: result.kind }, "settings_ignored");
         }
         return result;
     }
 
-    private take(inForce: InForce, source: OfferSource): void {
+    private putInForce(inForce: InForce, source: OfferSource): void {
         this.current = inForce;
-        this.indexed = new Directory(inForce, this.deps.hall, this.indexed);
+        this.currentDirectory = new Directory(inForce, this.deps.hall, this.currentDirectory);
         const { version, hash } = inForce.snapshot.head;
         this.deps.metrics.version.set(version);
         this.deps.log.info({ version, hash, source }, "settings_in_force");
-        for (const listener of this.listeners) listener(this.indexed);
+        for (const listener of this.listeners) listener(this.currentDirectory);
     }
 
-    /** Reads the service once; several callers share one read. */
+    /** Reads the newest version from the store; concurrent callers share one read. */
     refresh(): Promise<void> {
-        this.reading ??= this.read().finally(() => this.reading = undefined);
-        return this.reading;
+        this.pendingRead ??= this.read().finally(() => this.pendingRead = undefined);
+        return this.pendingRead;
     }
 
     private async read(): Promise<void> {
@@ -91,30 +91,33 @@
         if (stored.value) this.offer(stored.value.snapshot, "service");
     }
 
-    /** Whether this host watches the service itself; the others hear from peers. */
+    /** Starts or stops watching the store; a host that does not watch gets versions from peers. */
     setWatching(watching: boolean): void {
-        if (watching === this.watching) return;
-        this.watching = watching;
-        this.wanted += 1;
-        if (watching) void this.watch(this.wanted);
+        if (watching === this.isWatching) return;
+        this.isWatching = watching;
+        this.watchGeneration += 1;
+        if (watching) void this.watch(this.watchGeneration);
     }
 
-    private async watch(turn: number): Promise<void> {
+    private async watch(generation: number): Promise<void> {
         const { kv, store, signal, log } = this.deps;
-        const own = new AbortController();
+        const controller = new AbortController();
         const timer = setInterval(() => {
-            if (turn === this.wanted) void this.refresh();
-            else own.abort();
-        }, READ_EVERY_MS);
-        const both = AbortSignal.any([signal, own.signal]);
-        while (!both.aborted && turn === this.wanted) {
+            if (generation === this.watchGeneration) void this.refresh();
+            else controller.abort();
+        }, READ_INTERVAL_MS);
+        const watchSignal = AbortSignal.any([signal, controller.signal]);
+        while (!watchSignal.aborted && generation === this.watchGeneration) {
             await this.refresh();
-            const ended = await kv.watch({ prefix: store.headKey }, changes => {
+            const watchError = await kv.watch({ prefix: store.headKey }, changes => {
                 for (const { key, value } of changes) if (key === store.headKey) this.onHead(value);
-            }, both);
-            if (both.aborted || turn !== this.wanted) break;
-            log.warn({ err: ended.kind, detail: "detail" in ended ? ended.detail : undefined }, "settings_watch_ended");
-            await new Promise(resolve => setTimeout(resolve, WATCH_RETRY_MS));
+            }, watchSignal);
+            if (watchSignal.aborted || generation !== this.watchGeneration) break;
+            log.warn(
+                { err: watchError.kind, detail: "detail" in watchError ? watchError.detail : undefined },
+                "settings_watch_ended",
+            );
+            await new Promise(resolve => setTimeout(resolve, WATCH_RETRY_DELAY_MS));
         }
         clearInterval(timer);
     }
--- a/packages/host/src/store/settings-store.ts
+++ b/packages/host/src/store/settings-store.ts
@@ -1,8 +1,8 @@
 /**
- * Settings in the platform's key-value service: reading a version whole, and writing an edit as one conditional write
- * that carries its audit entry.
+ * The settings in the platform's key-value service: reads a complete version, and writes an edit together with its audit
+ * entry in one conditional transaction.
  *
- * Keys: `P/settings/head`, `P/settings/part/NAME`, `P/audit/VERSION`, `P/edit/ID`.
+ * Keys, where P is the prefix: `P/settings/head`, `P/settings/part/NAME`, `P/audit/VERSION`, `P/edit/ID`.
  *
  * @module
  */
@@ -28,38 +28,38 @@
     writeTree,
 } from "@drumpaddle/settings";
 
-/** What an operator asks for. */
+/** An operator's edit of the settings. */
 export interface EditRequest extends Authorship {
     readonly changes: readonly Change[];
-    /** The version that the change was planned against; undefined lets an edit of untouched keys rebase by itself. */
+    /** The only version that the edit may apply to; if undefined, it applies to any version whose edited keys are unchanged. */
     readonly onlyAt?: number | undefined;
 }
 
-/** What became of an edit. */
+/** The outcome of an edit. */
 export type EditResult =
     | { readonly kind: "accepted"; readonly version: number; readonly snapshot: Snapshot | undefined }
     | { readonly kind: "conflict"; readonly version: number; readonly conflicts: readonly EditConflict[] }
     | { readonly kind: "invalid"; readonly errors: readonly SettingsError[] }
     | { readonly kind: "noChange"; readonly version: number }
-    /** Not accepted: the service is away and nothing was written. */
+    /** Not accepted: nothing was written, usually as the store does not answer. */
     | { readonly kind: "away"; readonly detail: string }
-    /** It may stand or not; ask for its outcome later by its id. */
+    /** It may have been written or not: {@link SettingsStore.outcome} tells later. */
     | { readonly kind: "unknown"; readonly detail: string };
 
-/** A version as it stands in the service, with the revision of its head; undefined where there is none yet. */
-export interface Stored {
+/** A version as the store holds it, with the revision of its head. */
+export interface StoredSettings {
     readonly snapshot: Snapshot;
     readonly headRevision: number;
 }
 
-/** A read of the service. */
+/** The result of a read of the store. */
 export type StoreResult<T> = { readonly ok: true; readonly value: T } | { readonly ok: false; readonly err: KvError };
 
 const VERSION_DIGITS = 10;
-const MAX_TRIES = 12;
-const RETRY_PAUSE_MS = 100;
+const MAX_ATTEMPTS = 12;
+const RETRY_DELAY_STEP_MS = 100;
 
-/** Settings in one key-value service under one prefix. */
+/** The settings in one key-value service under one prefix. */
 export class SettingsStore {
     readonly headKey: string;
 
@@ -67,67 +67,68 @@
         this.headKey = `${prefix}/settings/head`;
     }
 
-    /** Reads the newest version; parts that `have` already holds are not read again where there are few others. */
-    async read(have: InForce | undefined, signal: AbortSignal): Promise<StoreResult<Stored | undefined>> {
+    /** Reads the newest version. Only the parts that differ from `inForce` are read, if it is given. */
+    async read(inForce: InForce | undefined, signal: AbortSignal): Promise<StoreResult<StoredSettings | undefined>> {
         const head = await this.kv.get(this.headKey, signal);
         if (!head.ok) return head;
         if (!head.value) return { ok: true, value: undefined };
-        return have ? this.readChanged(have, head.value, signal) : this.readAll(signal);
+        return inForce ? this.readChanged(inForce, head.value, signal) : this.readAll(signal);
     }
 
     private async readChanged(
-        have: InForce,
+        inForce: InForce,
         entry: KvEntry,
         signal: AbortSignal,
-    ): Promise<StoreResult<Stored | undefined>> {
+    ): Promise<StoreResult<StoredSettings | undefined>> {
         const head = JSON.parse(entry.value) as Head;
         const read: Record<string, string> = {};
-        for (const name of partsToRead(have, head)) {
+        for (const name of partsToRead(inForce, head)) {
             const part = await this.kv.get(this.partKey(name), signal);
             if (!part.ok) return part;
             if (part.value) read[name] = part.value.value;
         }
-        const snapshot = completeSnapshot(have, head, read);
-        // A part that was written again since the head was read: take all in one atomic read.
+        const snapshot = completeSnapshot(inForce, head, read);
+        // A part was written after the head was read: read everything atomically.
         if (!joinSnapshot(snapshot).ok) return this.readAll(signal);
         return { ok: true, value: { snapshot, headRevision: entry.modRevision } };
     }
 
-    private async readAll(signal: AbortSignal): Promise<StoreResult<Stored | undefined>> {
-        const all = await this.kv.list(`${this.prefix}/settings/`, signal);
-        if (!all.ok) return all;
-        const head = all.value.entries.find(entry => entry.key === this.headKey);
+    private async readAll(signal: AbortSignal): Promise<StoreResult<StoredSettings | undefined>> {
+        const listed = await this.kv.list(`${this.prefix}/settings/`, signal);
+        if (!listed.ok) return listed;
+        const head = listed.value.entries.find(entry => entry.key === this.headKey);
         if (!head) return { ok: true, value: undefined };
-        const start = this.partKey("");
-        const parts = all.value.entries.filter(entry => entry.key.startsWith(start));
-        const named = Object.fromEntries(parts.map(entry => [entry.key.slice(start.length), entry.value]));
+        const partPrefix = this.partKey("");
+        const parts = listed.value.entries.filter(entry => entry.key.startsWith(partPrefix));
+        const named = Object.fromEntries(parts.map(entry => [entry.key.slice(partPrefix.length), entry.value]));
         const snapshot = completeSnapshot(undefined, JSON.parse(head.value) as Head, named);
         return { ok: true, value: { snapshot, headRevision: head.modRevision } };
     }
 
     /**
-     * Writes an edit. A lost reply is settled by sending the same conditional write again: it names the edit's id as not
-     * yet written, so it can take effect once only.
+     * Writes an edit. If a reply is lost, the same conditional write is sent again; its condition that the edit's id is not yet
+     * written makes it take effect at most once.
      */
-    async edit(edit: EditRequest, have: InForce | undefined, signal: AbortSignal): Promise<EditResult> {
+    async edit(edit: EditRequest, inForce: InForce | undefined, signal: AbortSignal): Promise<EditResult> {
         let maybeWritten = false;
-        for (let tried = 0; tried < MAX_TRIES && !signal.aborted; tried++) {
-            const result = await this.tryEdit(edit, have, signal);
+        for (let attempt = 0; attempt < MAX_ATTEMPTS && !signal.aborted; attempt++) {
+            const result = await this.tryEdit(edit, inForce, signal);
             if (result.kind !== "again") {
                 if (result.kind === "away" && maybeWritten) return { kind: "unknown", detail: result.detail };
-                if (result.kind === "conflict" && maybeWritten) return this.settle(edit.editId, result, signal);
+                if (result.kind === "conflict" && maybeWritten) return this.confirm(edit.editId, result, signal);
                 return result;
             }
             maybeWritten ||= result.maybeWritten;
-            await pause(RETRY_PAUSE_MS * (tried + 1), signal);
+            await pause(RETRY_DELAY_STEP_MS * (attempt + 1), signal);
         }
-        if (maybeWritten) return { kind: "unknown", detail: "the service did not say whether the edit stands" };
-        return { kind: "away", detail: "others kept editing at the same time" };
+        if (maybeWritten) return { kind: "unknown", detail: "the store did not confirm the edit" };
+        return { kind: "away", detail: "concurrent edits kept changing the settings" };
     }
 
-    private async settle(editId: string, otherwise: EditResult, signal: AbortSignal): Promise<EditResult> {
+    /** The edit's outcome by its id, as an earlier attempt may have written it; `otherwise` if none did. */
+    private async confirm(editId: string, otherwise: EditResult, signal: AbortSignal): Promise<EditResult> {
         const outcome = await this.outcome(editId, signal);
-        if (!outcome.ok) return { kind: "unknown", detail: "the service is away" };
+        if (!outcome.ok) return { kind: "unknown", detail: "the key-value service does not answer" };
         return outcome.value === undefined
             ? otherwise
             : { kind: "accepted", version: outcome.value, snapshot: undefined };
@@ -135,15 +136,15 @@
 
     private async tryEdit(
         edit: EditRequest,
-        have: InForce | undefined,
+        inForce: InForce | undefined,
         signal: AbortSignal,
     ): Promise<EditResult | { readonly kind: "again"; readonly maybeWritten: boolean }> {
         const done = await this.outcome(edit.editId, signal);
         if (!done.ok) return { kind: "away", detail: done.err.kind };
         if (done.value !== undefined) return { kind: "accepted", version: done.value, snapshot: undefined };
-        const stored = await this.read(have, signal);
+        const stored = await this.read(inForce, signal);
         if (!stored.ok) return { kind: "away", detail: stored.err.detail };
-        const planned = plan(edit, stored.value);
+        const planned = planEdit(edit, stored.value);
         if (planned.kind !== "write") return planned;
         const written = await this.kv.commit(
             {
@@ -151,8 +152,8 @@
                     { key: this.headKey, modRevision: stored.value?.headRevision ?? 0 },
                     { key: this.editKey(edit.editId), modRevision: 0 },
                 ],
-                puts: this.putsOf(planned),
-                deletes: planned.dropped.map(name => this.partKey(name)),
+                puts: this.keysToPut(planned),
+                deletes: planned.removedParts.map(name => this.partKey(name)),
             },
             signal,
         );
@@ -164,7 +165,7 @@
         return { kind: "again", maybeWritten: written.err.kind !== "away" || written.err.tookEffect === "unknown" };
     }
 
-    private putsOf({ next, changed, entry }: PlannedWrite): { key: string; value: string }[] {
+    private keysToPut({ next, changedParts: changed, entry }: PlannedWrite): { key: string; value: string }[] {
         return [
             { key: this.headKey, value: JSON.stringify(next.head) },
             ...changed.map(name => ({ key: this.partKey(name), value: next.parts[name]! })),
@@ -173,13 +174,13 @@
         ];
     }
 
-    /** Version that an edit made; undefined if it does not stand. */
+    /** The version that an edit made; undefined if the edit was not written. */
     async outcome(editId: string, signal: AbortSignal): Promise<StoreResult<number | undefined>> {
         const found = await this.kv.get(this.editKey(editId), signal);
         return found.ok ? { ok: true, value: found.value ? Number(found.value.value) : undefined } : found;
     }
 
-    /** The whole audit trail, the oldest first. */
+    /** The whole audit trail, oldest entry first. */
     async trail(signal: AbortSignal): Promise<StoreResult<readonly AuditEntry[]>> {
         const found = await this.kv.list(`${this.prefix}/audit/`, signal);
         return found.ok
@@ -203,13 +204,13 @@
 interface PlannedWrite {
     readonly kind: "write";
     readonly next: Snapshot;
-    readonly changed: readonly string[];
-    readonly dropped: readonly string[];
+    readonly changedParts: readonly string[];
+    readonly removedParts: readonly string[];
     readonly entry: AuditEntry;
 }
 
-/** What an edit would write on top of what is stored. */
-function plan(edit: EditRequest, stored: Stored | undefined): PlannedWrite | EditResult {
+/** Plans what an edit writes on top of the stored version, or why it writes nothing. */
+function planEdit(edit: EditRequest, stored: StoredSettings | undefined): PlannedWrite | EditResult {
     const version = stored?.snapshot.head.version ?? 0;
     const tree = treeOf(stored);
     if (!tree) return { kind: "away", detail: "the stored settings are corrupt" };
@@ -221,14 +222,20 @@
     if (errors.length > 0) return { kind: "invalid", errors };
     const next = snapshotOf(version + 1, applied.tree);
     const before = stored?.snapshot.head.parts ?? {};
-    const changed = Object.keys(next.parts).filter(name => before[name] !== next.head.parts[name]);
-    const dropped = Object.keys(before).filter(name => next.head.parts[name] === undefined);
-    if (changed.length + dropped.length === 0) return { kind: "noChange", version };
+    const changedParts = Object.keys(next.parts).filter(name => before[name] !== next.head.parts[name]);
+    const removedParts = Object.keys(before).filter(name => next.head.parts[name] === undefined);
+    if (changedParts.length + removedParts.length === 0) return { kind: "noChange", version };
     const { editId, who, why, at, changes } = edit;
-    return { kind: "write", next, changed, dropped, entry: { version: version + 1, editId, who, why, at, changes } };
+    return {
+        kind: "write",
+        next,
+        changedParts: changedParts,
+        removedParts: removedParts,
+        entry: { version: version + 1, editId, who, why, at, changes },
+    };
 }
 
-function treeOf(stored: Stored | undefined): Tree | undefined {
+function treeOf(stored: StoredSettings | undefined): Tree | undefined {
     if (!stored) return EMPTY;
     const joined = joinSnapshot(stored.snapshot);
     return joined.ok ? joined.joined.tree : undefined;
--- a/packages/host/src/store/spread.ts
+++ b/packages/host/src/store/version-exchange.ts
@@ -1,5 +1,5 @@
 /**
- * How versions of what is in force spread among hosts.
+ * How hosts exchange versions of what is in force: the deployment or the settings.
  *
  * @module
  */
@@ -14,26 +14,28 @@
 } from "@drumpaddle/hall";
 import type { SettingsFeed } from "./settings-feed.js";
 
-/** How versions of what is in force reach this host from its peers, and its peers from it. */
+/** A feed as seen by the exchange of its versions with peers. */
 export interface Spread {
-    /** What messages to peers say of the version in force. */
+    /** The version in force, as messages to peers announce it. */
     news(): VersionNews;
-    /** The question to ask after hearing of a version; undefined where it is not newer. */
+    /** The request for an announced version; undefined if it is not newer. */
     ask(news: VersionNews): SettingsAsk | undefined;
+    /** The reply to a peer's request; undefined if this host has nothing to send. */
     give(ask: SettingsAsk): SettingsGive | undefined;
+    /** Offers a peer's reply to the feed. */
     take(given: SettingsGive): void;
-    /** Whether this host is one of those that watch the service for all. */
+    /** Sets whether this host is one of those that watch the store for all others. */
     setWatching(watching: boolean): void;
 }
 
-/** The spread of the settings tree. */
-export function treeSpread(feed: SettingsFeed): Spread {
+/** Exchanges versions of the settings tree. */
+export function settingsExchange(feed: SettingsFeed): Spread {
     return {
         news: () => newsOf(feed.inForce),
         ask: news => askAfter(feed.inForce, news),
         give: ask => give(feed.inForce, ask),
         take: given => void feed.offer(takeGiven(feed.inForce, given), "peer"),
-        // A host that has no settings yet asks the service itself, whoever watches.
+        // A host without settings reads the store itself, even if others watch it.
         setWatching: watching => feed.setWatching(watching || feed.inForce === undefined),
     };
 }
--- a/packages/host/src/watch-endpoints.ts
+++ b/packages/host/src/watch-endpoints.ts
@@ -12,52 +12,52 @@
 import type { DeclaredEndpoint, Directory } from "./store/directory.js";
 
 /** How long an answer about load may take, as a share of the time between two questions. */
-const TIMEOUT_SHARE = 2;
+const TIMEOUT_INTERVALS = 2;
 /** Bytes of one answer about load with its head, and what a host may spend on such answers in a second. */
-const LOAD_ANSWER_BYTES = 300;
+const LOAD_RESPONSE_BYTES = 300;
 const LOAD_BUDGET_BYTES_PER_S = 3_000;
 /** An owner of endpoints in a large hall asks each of them at least this often. */
-const SLOWEST_LOAD_MS = 1_000;
+const MAX_LOAD_INTERVAL_MS = 1_000;
 /** In halls of more hosts than this, whose owners are asked where requests go, endpoints are asked more rarely. */
-const SMALL_HALL = 12;
+const SMALL_HALL_HOSTS = 12;
 /** The host list is asked for as often as this many bytes a second allow, and not more often than each second. */
 const LIST_BUDGET_BYTES_PER_S = 700;
-const FASTEST_LIST_MS = 1_000;
+const MIN_LIST_INTERVAL_MS = 1_000;
 
 /** Starts to watch; ends with the host's signal. */
 export function watchEndpoints(host: Host): void {
     const preemptions = new Map<string, number>();
-    host.feed.onChange(directory => declare(host, directory));
-    const every = host.cfg["control.load-interval"];
+    host.feed.onChange(directory => declareEndpoints(host, directory));
+    const intervalMs = host.cfg["control.load-interval"];
     repeat(
         () => {
-            for (const endpoint of endpointsToAsk(host)) void askLoad(host, endpoint, preemptions);
+            for (const endpoint of endpointsToPoll(host)) void pollLoad(host, endpoint, preemptions);
         },
         () =>
             Math.min(
-                Math.max(every, SLOWEST_LOAD_MS),
-                every * Math.max(1, (host.peers?.live.length ?? 1) / SMALL_HALL),
+                Math.max(intervalMs, MAX_LOAD_INTERVAL_MS),
+                intervalMs * Math.max(1, (host.peers?.live.length ?? 1) / SMALL_HALL_HOSTS),
             ),
         host.signal,
     );
     let listBytes = 0;
     repeat(
         async () => {
-            listBytes = await askHostList(host) ?? listBytes;
+            listBytes = await pollHostList(host) ?? listBytes;
         },
-        () => Math.max(FASTEST_LIST_MS, listBytes / LIST_BUDGET_BYTES_PER_S * 1000),
+        () => Math.max(MIN_LIST_INTERVAL_MS, listBytes / LIST_BUDGET_BYTES_PER_S * 1000),
         host.signal,
     );
 }
 
 /** Engines of this hall whose load this host asks for: all while that costs little, else those that it owns. */
-function endpointsToAsk(host: Host): readonly DeclaredEndpoint[] {
+function endpointsToPoll(host: Host): readonly DeclaredEndpoint[] {
     const engines = [...host.feed.directory?.endpoints.values() ?? []]
         .filter(endpoint => inHall(host, endpoint) && isEngine(host, endpoint));
-    const every = host.cfg["control.load-interval"];
+    const intervalMs = host.cfg["control.load-interval"];
     // While it costs little every host asks for itself, so that no owner's death delays a sign of leaving.
-    const all = engines.length * LOAD_ANSWER_BYTES * 1000 / every <= LOAD_BUDGET_BYTES_PER_S;
-    return all ? engines : engines.filter(endpoint => host.peers?.owns(endpoint.id) === true);
+    const canAskAll = engines.length * LOAD_RESPONSE_BYTES * 1000 / intervalMs <= LOAD_BUDGET_BYTES_PER_S;
+    return canAskAll ? engines : engines.filter(endpoint => host.peers?.owns(endpoint.id) === true);
 }
 
 function isEngine(host: Host, endpoint: DeclaredEndpoint): boolean {
@@ -72,7 +72,7 @@
     return isEngine(host, endpoint) ? host.engines : host.plain;
 }
 
-function declare(host: Host, directory: Directory): void {
+function declareEndpoints(host: Host, directory: Directory): void {
     const local = [...directory.endpoints.values()].filter(endpoint => inHall(host, endpoint));
     host.engines.setEndpoints(local.filter(endpoint => isEngine(host, endpoint)));
     const plain = local.filter(endpoint => !isEngine(host, endpoint));
@@ -80,8 +80,8 @@
     for (const endpoint of local) placementOf(host, endpoint).setLeaving(endpoint.id, "settings", endpoint.leaving);
 }
 
-async function askLoad(host: Host, endpoint: DeclaredEndpoint, preemptions: Map<string, number>): Promise<void> {
-    const timeout = host.cfg["control.load-interval"] * TIMEOUT_SHARE;
+async function pollLoad(host: Host, endpoint: DeclaredEndpoint, preemptions: Map<string, number>): Promise<void> {
+    const timeout = host.cfg["control.load-interval"] * TIMEOUT_INTERVALS;
     const load = await fetchLoad(host.dispatcher, endpoint.url, timeout, host.signal);
     if (!load || host.signal.aborted) return;
     if (host.engines.setLeaving(endpoint.id, "endpoint", load.leaving)) host.peers?.tellNow();
@@ -92,18 +92,18 @@
 }
 
 /** Takes in the host list; returns the size of the answer. */
-async function askHostList(host: Host): Promise<number | undefined> {
+async function pollHostList(host: Host): Promise<number | undefined> {
     const url = host.cfg["platform.host-list"];
     if (url === undefined) return undefined;
-    const answer = await fetchHosts(url, host.cfg["host.hall"], host.cfg["platform.timeout"], host.signal);
-    if (!answer) return undefined;
-    const peers = answer.hosts.filter(machine => machine.peer !== undefined && machine.state === "live");
+    const response = await fetchHosts(url, host.cfg["host.hall"], host.cfg["platform.timeout"], host.signal);
+    if (!response) return undefined;
+    const peers = response.hosts.filter(machine => machine.peer !== undefined && machine.state === "live");
     host.peers?.setListed(peers.map(machine => machine.peer!));
-    for (const machine of answer.hosts) {
+    for (const machine of response.hosts) {
         const endpoint = machine.endpoint === undefined
             ? undefined
             : host.feed.directory?.endpoints.get(machine.endpoint);
         if (endpoint) placementOf(host, endpoint).setLeaving(endpoint.id, "hostList", machine.state === "leaving");
     }
-    return answer.bytes;
+    return response.bytes;
 }
--- a/packages/host/test/descriptors.test.ts
+++ b/packages/host/test/descriptors.test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { Descriptors, hasDescriptors, type OpenSockets } from "../src/runtime/descriptors.js";
+import { DescriptorLimit, hasDescriptors, type OpenSockets } from "../src/runtime/descriptors.js";
 
 const MOST = 4_100;
 const NONE: OpenSockets = { callers: 0, endpoints: 0, peers: 0 };
@@ -21,11 +21,11 @@
     let open: OpenSockets = { callers: 2_000, endpoints: 1_800, peers: 60 };
     let freed = 0;
     const log: string[] = [];
-    const descriptors = new Descriptors({
-        most: MOST,
+    const descriptors = new DescriptorLimit({
+        maxDescriptors: MOST,
         log: { warn: (_fields: object, event: string) => void log.push(event) } as never,
-        open: () => open,
-        free: () => {
+        countSockets: () => open,
+        closeIdle: () => {
             freed += 1;
             if (open.endpoints === 1_800) open = { ...open, endpoints: 1_000 };
         },
--- a/packages/standins/src/mutations.ts
+++ b/packages/standins/src/mutations.ts
@@ -433,7 +433,7 @@
     {
         promise: "suspended: a host that is cut off serves again",
         file: "packages/host/src/store/deployment-feed.ts",
-        find: "this.deps.clock.now() - wokeAt < STALE_MOST_MS",
+        find: "this.deps.clock.now() - wokeAt < MAX_STALE_MS",
         replace: "wokeAt > 0",
         tests: [SUSPENDED],
     },
--- a/packages/standins/src/store-mutations.ts
+++ b/packages/standins/src/store-mutations.ts
@@ -47,8 +47,8 @@
     {
         promise: "restored: the same, seen from the hosts",
         file: FEED,
-        find: "const watch = { prefix: EVERYTHING, after: revision, epoch, timing };",
-        replace: "const watch = { prefix: EVERYTHING, after: revision, timing };",
+        find: "const watch = { prefix: ALL_KEYS, after: revision, epoch, timing };",
+        replace: "const watch = { prefix: ALL_KEYS, after: revision, timing };",
         tests: [RESTORED],
     },
     {
