--- a/packages/host/src/runtime/call-memory.ts
+++ b/packages/host/src/runtime/call-memory.ts
@@ -1,46 +1,52 @@
 /**
- * What one call holds for its caller and its endpoint, and whom it waits for.
+ * The memory that one call holds for its caller and its endpoint, and which of them keeps it waiting.
  *
  * @module
  */
 import { type HeldBytes, HeldKind, type MemoryHolder } from "@drumpaddle/policy";
 import type { Clock } from "@drumpaddle/protocol";
 
-/** Who reads slowly. */
+/** The side of a call that reads too slowly. */
 export type SlowReader = "caller" | "endpoint";
 
-/** Why a call is given up for the memory that it holds. */
+/** Why a call is ended to free the memory that it holds. */
 export interface GivenUp {
-    /** Whose reading the call waited for; undefined where nobody's. */
+    /** The side whose reading the call waited for; undefined if it waited for neither. */
     readonly unreadBy: SlowReader | undefined;
     readonly detail: string;
 }
 
-/** What a call's account asks of its host's. */
+/** The host's memory account, as a call uses it. */
 export interface HostAccount {
+    /** Whether the host has a memory budget. */
     readonly isBounded: boolean;
+    /** Whether the budget has room for so much more of a body. */
     mayTakeIn(bytes: number): boolean;
+    /** Bytes that a call may hold by reading ahead of a slow reader. */
     readAhead(): number;
+    /** Adds to the bytes that are held of a kind; negative where they were released. */
     change(kind: HeldKind, bytes: number): void;
+    /** Notes whether the call's source is paused. */
     setHeldBack(isHeldBack: boolean): void;
     close(): void;
 }
 
 const NOTHING_HELD: HeldBytes = { body: 0, answer: 0, unread: 0, link: 0 };
 
-/** What one call holds. */
+/** Accounts for the bytes that one call holds, and pauses and resumes the source of its answer. */
 export class CallMemory {
     held: HeldBytes = NOTHING_HELD;
     private readonly openedAt: number;
-    /** Since when its caller has taken nothing of what waits for it. */
+    /** When the caller last read something, while bytes wait for it. */
     private unreadSince: number | undefined;
+    /** Resumes the paused source of the answer; undefined while it is not paused. */
     private resumeSource: (() => void) | undefined;
     private isClosed = false;
-    /** How long its endpoint has taken nothing of its body, in milliseconds; 0 where nothing waits for it. */
+    /** For how long the endpoint has read nothing of the body, in milliseconds; 0 if nothing waits for it. */
     bodyStuckMs: () => number = () => 0;
-    /** Told when the answer's source is read on. */
+    /** Called when the answer's source is resumed. */
     onRead: () => void = () => undefined;
-    /** Ends the call, with a true answer or a visible break. */
+    /** Ends the call, with an error answer or, if its answer has begun, by cutting the connection. */
     onGiveUp: (givenUp: GivenUp) => void = () => undefined;
 
     constructor(readonly req: string, private readonly clock: Clock, private readonly host: HostAccount) {
@@ -51,14 +57,14 @@
         return this.clock.now() - this.openedAt;
     }
 
-    /** Takes in so much more of the caller's body, unless there is no room for it. */
+    /** Counts so much more of the caller's body; returns false if the budget has no room for it. */
     takeIn(bytes: number): boolean {
         if (this.host.isBounded && !this.host.mayTakeIn(bytes)) return false;
         this.hold(HeldKind.Body, this.held.body + bytes);
         return true;
     }
 
-    /** Sets how much is held of a kind. */
+    /** Sets how many bytes the call holds of a kind. */
     hold(kind: HeldKind, bytes: number): void {
         if (this.isClosed) return;
         const before = this.held[kind];
@@ -67,7 +73,7 @@
         this.host.change(kind, bytes - before);
     }
 
-    /** Sets how much waits for the caller, and whether it has taken something just now. */
+    /** Sets how many bytes wait for the caller, and whether it has just read some. */
     setUnread(bytes: number, took: boolean): void {
         if (bytes === 0) this.unreadSince = undefined;
         else if (took) this.unreadSince = this.clock.now();
@@ -76,18 +82,18 @@
         if (took) this.readOn();
     }
 
-    /** How much of an answer may be held until it is whole: no bound of its own where nothing is decided by memory. */
+    /** Most bytes of an answer that may be held until it is complete; unlimited where the host has no budget. */
     get holdLimit(): number {
         return this.host.isBounded ? this.host.readAhead() : Infinity;
     }
 
-    /** Whether the answer's source may be read on while its caller is behind. */
+    /** Whether the answer's source may be read although the caller has not read everything yet. */
     private get mayReadAhead(): boolean {
         if (this.held.unread === 0) return true;
         return this.host.isBounded && this.held.unread + this.held.answer < this.host.readAhead();
     }
 
-    /** Calls back when the source may be read on, if it may not be now; returns whether it may be. */
+    /** Returns whether the answer's source may be read now; if not, pauses it and calls `resume` as soon as it may. */
     whenRoom(resume: () => void): boolean {
         if (this.mayReadAhead) return true;
         this.resumeSource = resume;
@@ -95,7 +101,7 @@
         return false;
     }
 
-    /** Reads the source on, if it was held back and may be read now. */
+    /** Resumes the answer's source, if it is paused and may be read now. */
     readOn(): void {
         const { resumeSource: onReadOn } = this;
         if (!onReadOn || !this.mayReadAhead) return;
@@ -105,24 +111,24 @@
         onReadOn();
     }
 
-    /** How long its caller has taken nothing of what waits for it, in milliseconds. */
+    /** For how long the caller has read nothing of what waits for it, in milliseconds; 0 if nothing waits. */
     get callerStuckMs(): number {
         return this.unreadSince === undefined ? 0 : this.clock.now() - this.unreadSince;
     }
 
-    /** Whose reading the call waits for. */
+    /** The side whose reading the call waits for. */
     get unreadBy(): SlowReader | undefined {
         if (this.unreadSince !== undefined) return "caller";
         return this.bodyStuckMs() > 0 ? "endpoint" : undefined;
     }
 
-    /** What it is weighed by. */
+    /** What the choice of the call to give up depends on. */
     get holder(): MemoryHolder {
         const { body, answer, unread } = this.held;
         return { bytes: body + answer + unread, stuckMs: Math.max(this.callerStuckMs, this.bodyStuckMs()) };
     }
 
-    /** Ends the call for what it holds. */
+    /** Ends the call to free the memory that it holds. */
     giveUp(): void {
         const { unreadBy, holder: { bytes, stuckMs } } = this;
         const forMs = `for ${Math.round(stuckMs)} ms`;
@@ -132,7 +138,7 @@
         onGiveUp({ unreadBy, detail: `${why}; ${bytes} bytes were held` });
     }
 
-    /** Ends the account: the call holds nothing any more. */
+    /** Closes the account: releases all bytes, and counts none afterwards. */
     close(): void {
         if (this.isClosed) return;
         for (const kind of Object.values(HeldKind)) this.hold(kind, 0);
--- a/packages/host/src/runtime/config.ts
+++ b/packages/host/src/runtime/config.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon's own settings: INI file, then environment, then flags, checked against a table of keys.
+ * The daemon's own settings, read from an INI file, the environment and flags, and checked against a table of keys.
  *
  * @module
  */
@@ -21,156 +21,164 @@
 }
 
 const KEYS = {
-    "host.name": { type: text(NAME, "a name"), doc: "This host's name, unique among hosts." },
-    "host.hall": { type: text(NAME, "a name"), doc: "The hall that this host stands in." },
+    "host.name": { type: text(NAME, "a name"), doc: "The name of this host, unique among all hosts." },
+    "host.hall": { type: text(NAME, "a name"), doc: "The hall that this host is in." },
     "host.cores": {
         type: ratio(0, 1_000),
         optional: true,
-        doc: "Cores of this machine, in units of the fleet's usual one. Hosts take shared work by what they can carry; one that "
-            + "does not say counts as one core.",
+        doc: "Cores of this machine, in units of the fleet's usual core. Hosts share work in proportion to their capacity; one "
+            + "without this setting counts as one core.",
     },
     "host.core-share": { type: ratio(0, 1), fallback: "1", doc: "Share of the cores that this process may use." },
     "host.link": { type: ratio(0, 1_000_000), optional: true, doc: "Bandwidth of this machine's link, in Mbit/s." },
     "host.descriptors": {
         type: count(0, 100_000_000),
         optional: true,
-        doc: "Descriptors that this process may have; before they run out, calls are refused as not run.",
+        doc: "Most file descriptors of this process; before they run out, calls are refused as not run.",
     },
     "host.memory": {
         type: ratio(0, 1_000_000),
         fallback: "0",
-        doc: "Memory in MB above which the platform ends this process; what is held for slow readers is kept within a part of "
-            + "it. 0 where it is not known: then nothing is decided by it.",
+        doc: "Memory in MB above which the platform ends this process; data buffered for slow readers is limited to a part of "
+            + "it. 0 if it is not known: then there is no such limit.",
     },
     "callers.interface": {
         type: choice(["completions", "forward"]),
         fallback: "completions",
-        doc: "What callers speak: the completions interface, or calls that are forwarded as they are.",
+        doc: "The interface for callers: completions, or calls that are forwarded unchanged.",
+    },
+    "callers.listen": { type: address, fallback: "127.0.0.1:8080", doc: "Address for callers." },
+    "callers.header-bytes": {
+        type: count(1_000, 1_000_000),
+        fallback: "16384",
+        doc: "Most bytes of a request's head.",
     },
-    "callers.listen": { type: address, fallback: "127.0.0.1:8080", doc: "Where callers are served." },
-    "callers.header-bytes": { type: count(1_000, 1_000_000), fallback: "16384", doc: "Largest head of a request." },
     "callers.body-timeout": {
         type: duration(10, 600_000),
         fallback: "10s",
-        doc: "Time for a caller to send its request.",
+        doc: "Time limit for a caller to send its request.",
     },
     "callers.still-served": {
         type: duration(0, 60_000),
         fallback: "3s",
-        doc: "How long a stopping host still answers at least: a balancer that asks for readiness each second and needs "
-            + "two misses sends callers until then.",
+        doc: "Minimum time that a stopping host still answers: a load balancer that checks readiness each second and needs "
+            + "two failures sends callers until then.",
     },
-    "operators.listen": { type: address, fallback: "127.0.0.1:9080", doc: "Where operators and metrics are served." },
+    "operators.listen": { type: address, fallback: "127.0.0.1:9080", doc: "Address for operators and metrics." },
     "operators.bootstrap-hash": {
         type: text(/^[a-f0-9]{64}$/, "a SHA-256 in 64 hexadecimal digits"),
         optional: true,
-        doc: "Hash of a token that may edit while the tree names no operator.",
+        doc: "Hash of a token that may edit the settings while they name no operator.",
     },
     "metrics.listen": {
         type: address,
         optional: true,
-        doc: "Where a gateway serves its metrics besides the operators' address, for collectors that want a fixed port.",
+        doc: "Further address for a gateway's metrics, for collectors that need a fixed port.",
     },
-    "peers.listen": { type: address, fallback: "127.0.0.1:7080", doc: "Where other hosts connect." },
+    "peers.listen": { type: address, fallback: "127.0.0.1:7080", doc: "Address for other hosts." },
     "peers.secrets": {
         type: list(/^\S{16,}$/, "secrets of at least 16 characters, the first one used, the others also accepted"),
         fallback: "",
         secret: true,
-        doc: "Shared by all hosts; two while one replaces the other.",
+        doc: "Secrets shared by all hosts; two while one replaces the other.",
+    },
+    "peers.seeds": {
+        type: list(ADDRESS, "IP:port"),
+        fallback: "",
+        doc: "Hosts to contact if the host list is unavailable.",
     },
-    "peers.seeds": { type: list(ADDRESS, "IP:port"), fallback: "", doc: "Hosts to ask where the host list is away." },
     "peers.scope": {
         type: text(NAME, "a name"),
         optional: true,
-        doc: "Hosts of the same scope share their endpoints; the hall where it is not given.",
+        doc: "Hosts of the same scope share their endpoints; defaults to the hall.",
     },
-    "platform.key-value": { type: url, doc: "The platform's key-value service." },
-    "platform.host-list": { type: url, optional: true, doc: "The platform's host list." },
+    "platform.key-value": { type: url, doc: "URL of the platform's key-value service." },
+    "platform.host-list": { type: url, optional: true, doc: "URL of the platform's host list." },
     "platform.prefix": {
         type: text(/^[a-z0-9/-]+$/, "lower-case letters, digits, / and -"),
         fallback: "drumpaddle",
-        doc: "Start of all keys.",
+        doc: "Prefix of all keys in the key-value service.",
     },
-    "platform.timeout": { type: duration(1, 60_000), fallback: "2s", doc: "Time for one call to the platform." },
+    "platform.timeout": { type: duration(1, 60_000), fallback: "2s", doc: "Time limit of one call to the platform." },
     "forward.retry-ratio": {
         type: ratio(0, 1),
         fallback: "0.2",
-        doc: "Repeated sends that endpoints of a service take from all hosts together, as a share of its requests.",
+        doc: "Retries that all hosts together may send to the endpoints of a service, as a share of its requests.",
     },
     "forward.retry-slack": {
         type: ratio(0, 1_000_000),
         fallback: "50",
-        doc: "Repeated sends that all hosts together may make beyond that share, in each window.",
+        doc: "Retries that all hosts together may send beyond that share, in each window.",
     },
     "forward.retry-window": {
         type: duration(1_000, 600_000),
         fallback: "10s",
-        doc: "The window in which repeated sends are counted.",
+        doc: "The window in which retries are counted.",
     },
     "forward.cold-over": {
         type: ratio(0, 1_000),
         fallback: "1",
-        doc: "Requests that a cold endpoint may be sent in a second by all hosts together, as a multiple of what its service "
-            + "declares that it bears.",
+        doc: "Requests that all hosts together may send to a cold endpoint each second, as a multiple of the rate that its "
+            + "service declares for cold endpoints.",
     },
     "forward.cold-slack": {
         type: ratio(0, 1_000_000),
         fallback: "0",
-        doc: "Requests that it may be sent in a second beyond that.",
+        doc: "Requests that all hosts together may send to a cold endpoint each second beyond that.",
     },
     "forward.regions": {
         type: list(/^[^\s:]+:[^\s:]+$/, "hall:region"),
         fallback: "",
-        doc: "Regions of halls, for routes and workspaces whose calls stay in some; a hall that is not named lies in none.",
+        doc: "Regions of halls, for routes and workspaces whose calls must stay in certain regions; other halls are in no region.",
     },
     "forward.stop-grace": {
         type: duration(500, 600_000),
         fallback: "8s",
-        doc: "Time from the signal to stop until the platform ends the process.",
+        doc: "Time from the signal to stop until the platform kills the process.",
     },
     "tls.certificate": {
         type: path,
         optional: true,
-        doc: "PEM file; with the key it turns TLS on for callers and operators.",
+        doc: "PEM file of the certificate; together with the key it enables TLS for callers and operators.",
     },
     "tls.key": { type: path, optional: true, doc: "PEM file of the private key." },
     "log.level": {
         type: choice(["debug", "info", "warn", "error"]),
         fallback: "info",
-        doc: "Least level that is written.",
+        doc: "Minimum level of log lines that are written.",
     },
     "log.requests": { type: flag, fallback: "true", doc: "Whether each request is logged." },
     "control.load-interval": {
         type: duration(10, 60_000),
         fallback: "500ms",
-        doc: "How often an endpoint's load is asked for.",
+        doc: "How often an endpoint is asked for its load.",
     },
     "control.heartbeat": {
         type: duration(10, 60_000),
         fallback: "250ms",
-        doc: "How often this host probes another; a dead one is passed over after about five times as long.",
+        doc: "How often this host probes another; a dead host is no longer used after about five times as long.",
     },
 } as const satisfies Record<string, KeyDef<unknown>>;
 
-/** Name of a key, as `section.key`. */
+/** The name of a key, as `section.key`. */
 export type ConfigKey = keyof typeof KEYS;
 type ValueOf<K extends ConfigKey> = typeof KEYS[K]["type"] extends ValueType<infer T> ? T : never;
 type OptionalKey = { [K in ConfigKey]: typeof KEYS[K] extends { optional: true } ? K : never }[ConfigKey];
 
-/** The daemon's settings, read and checked. */
+/** The checked settings of the daemon. */
 export type HostCfg =
     & { readonly [K in Exclude<ConfigKey, OptionalKey>]: ValueOf<K> }
     & { readonly [K in OptionalKey]?: ValueOf<K> | undefined };
 
 const BYTES_PER_MB = 1_000_000;
 
-/** What the host may hold for slow readers, in bytes; undefined where its memory is not known. */
+/** Bytes that the host may hold for slow readers; undefined if its memory is not known. */
 export function memoryBudgetBytes(cfg: Pick<HostCfg, "host.memory">): number | undefined {
     const memoryMb = cfg["host.memory"];
     return memoryMb > 0 ? budgetOf(memoryMb * BYTES_PER_MB) : undefined;
 }
 
-/** What is wrong with the daemon's settings. */
+/** An error in the daemon's settings. */
 export type ConfigError =
     | { readonly kind: "unknownKey"; readonly source: string; readonly key: string }
     | { readonly kind: "missingKey"; readonly key: string; readonly allowed: string }
@@ -182,19 +190,19 @@
         readonly allowed: string;
     };
 
-/** Where settings come from. `flags` are `section.key` to text; later sources go before earlier ones. */
+/** The sources of settings; `flags` override `env`, which overrides `file`. The keys of `flags` are written `section.key`. */
 export interface ConfigSources {
     readonly file?: { readonly name: string; readonly text: string } | undefined;
     readonly env?: Readonly<Record<string, string | undefined>>;
     readonly flags?: Readonly<Record<string, string>>;
 }
 
-/** Settings or all that is wrong with them. */
+/** The settings, or all errors in them. */
 export type ConfigResult =
     | { readonly ok: true; readonly cfg: HostCfg; readonly said: ReadonlyMap<ConfigKey, GivenValue> }
     | { readonly ok: false; readonly errors: readonly ConfigError[] };
 
-/** A value as it was written, and by which source. */
+/** A value as it was written, and its source. */
 export interface GivenValue {
     readonly text: string;
     readonly source: string;
@@ -202,13 +210,13 @@
 
 const ENV_PREFIX = "DRUMPADDLE_";
 
-/** Name of the environment variable of a key: `host.name` is `DRUMPADDLE_HOST_NAME`. */
+/** The environment variable of a key, such as `DRUMPADDLE_HOST_NAME` for `host.name`. */
 export function envName(key: ConfigKey): string {
     return ENV_PREFIX + key.replace(/[.-]/g, "_").toUpperCase();
 }
 
 /**
- * Reads the daemon's settings.
+ * Reads and checks the daemon's settings.
  *
  * @example
  * ```ts
@@ -274,13 +282,13 @@
     badValue: err => `${err.source}: ${err.key}: found ${JSON.stringify(err.found)}, allowed: ${err.allowed}`,
 };
 
-/** An error in one line, for people. */
+/** Describes an error in one line. */
 export function describeConfigError(err: ConfigError): string {
     return DESCRIPTIONS[err.kind](err as never);
 }
 
 /**
- * The settings in force as INI, secrets masked, each with its source.
+ * The settings in force in INI form, each with its source; secrets are masked.
  *
  * @example
  * ```ts
--- a/packages/host/src/runtime/descriptors.ts
+++ b/packages/host/src/runtime/descriptors.ts
@@ -1,29 +1,29 @@
 /**
- * Whether a host has descriptors left for one more call: it says so while it can still answer, since a process without any takes no
- * connection, not even to refuse it.
+ * The limit on a host's file descriptors. A host refuses calls while it still has some left, since a process without any cannot
+ * accept a connection, not even to refuse a call.
  *
  * @module
  */
 import type { Log } from "./log.js";
 
-/** Descriptors that sockets take now. */
+/** Open sockets, each of which takes a descriptor. */
 export interface OpenSockets {
     readonly callers: number;
     readonly endpoints: number;
     readonly peers: number;
 }
 
-/** Files, pipes and listening sockets of a process. */
+/** Descriptors kept for files, pipes and listening sockets of the process. */
 const RESERVED_FOR_FILES = 200;
-/** Calls to the store, and copies that are ordered of endpoints. */
+/** Descriptors kept for calls to the store and for requests that make endpoints copy generations. */
 const RESERVED_FOR_CONTROL = 48;
-/** What one more call takes: a connection to its endpoint, and one more where its stream goes on at a copy. */
+/** Descriptors that one more call takes: a connection to its endpoint, and another if its stream continues at a copy. */
 const DESCRIPTORS_PER_CALL = 2;
 
 /**
- * Whether one more call finds the descriptors that it needs.
+ * Whether there are enough descriptors for one more call.
  *
- * @param maxDescriptors Descriptors that the process may have; undefined where it is not known.
+ * @param maxDescriptors Descriptors that the process may have; undefined if the number is not known.
  *
  * @example
  * ```ts
@@ -38,31 +38,31 @@
         || callers + endpoints + peers + DESCRIPTORS_PER_CALL <= maxSockets(maxDescriptors);
 }
 
-/** Descriptors that are left for sockets of callers, endpoints and peers. */
+/** Descriptors for sockets of callers, endpoints and peers, out of all that the process may have. */
 function maxSockets(maxDescriptors: number): number {
     return maxDescriptors - RESERVED_FOR_FILES - RESERVED_FOR_CONTROL;
 }
 
-/** What looking after descriptors needs. */
+/** What a {@link DescriptorLimit} depends on. */
 export interface DescriptorLimitDeps {
-    /** Descriptors that the process may have; undefined where it is not known. */
+    /** Descriptors that the process may have; undefined if the number is not known. */
     readonly maxDescriptors: number | undefined;
     readonly log: Log;
     readonly countSockets: () => OpenSockets;
-    /** Closes what rests. */
+    /** Closes idle connections. */
     readonly closeIdle: () => void;
 }
 
-/** They are short until this share of those for sockets is free again, so that a host at its bound does not write lines without end. */
+/** The shortage lasts until this share of the descriptors for sockets is free again, so that a host near its limit does not log a line for each call. */
 const RECOVERY_SHARE = 0.05;
 
-/** Looks after a host's descriptors, with a line when they become short and when they are not any more. */
+/** Checks a host's descriptors, and logs when they become short and when the shortage is over. */
 export class DescriptorLimit {
     private isShort = false;
 
     constructor(private readonly deps: DescriptorLimitDeps) {}
 
-    /** Whether there is room for one more call, after what rests was closed where that is needed. */
+    /** Whether there are descriptors for one more call; closes idle connections first if there are not. */
     hasRoom(): boolean {
         const { maxDescriptors: most, countSockets: open, closeIdle: free } = this.deps;
         if (!hasDescriptors(most, open())) free();
--- a/packages/host/src/runtime/host-memory.ts
+++ b/packages/host/src/runtime/host-memory.ts
@@ -1,6 +1,6 @@
 /**
- * What this host holds for callers, endpoints and peers that read slowly, kept within a budget: the shell around the account
- * of the package `policy`. It carries out what the account decides, and tells of it.
+ * Keeps the memory that this host holds for slow callers, endpoints and peers within a budget. Carries out and logs what the
+ * account of the package `policy` decides.
  *
  * @module
  */
@@ -23,33 +23,34 @@
 import type { Log } from "./log.js";
 import type { Metrics } from "./metrics.js";
 
-/** What the account of a host needs. */
+/** What a {@link HostMemory} depends on. */
 export interface HostMemoryDeps {
-    /** Undefined where the host's memory is not given: then nothing is decided by it. */
+    /** Undefined if the host's memory is not known: then nothing is refused or ended for it. */
     readonly budgetBytes: number | undefined;
     readonly clock: Clock;
     readonly log: Log;
     readonly metrics: Metrics;
 }
 
-/** Sources that are held back are looked at this often while room comes free: a hundred such looks pass before an endpoint loses patience. */
+/** Delay from the release of memory until paused sources are resumed. Short enough for a hundred such delays before an endpoint times out. */
 const RESUME_DELAY_MS = 50;
-/** Calls that are held back are logged one in this time. */
+/** Of the calls whose sources are paused, at most one is logged in this time. */
 const LOG_INTERVAL_MS = 1_000;
 
-/** The memory that one host holds for others. */
+/** Accounts for the memory that one host holds for others. */
 export class HostMemory {
     private account: MemoryAccount;
     private readonly calls = new Set<CallMemory>();
+    /** Bytes that wait for each peer, by link. */
     private readonly links = new Map<number, number>();
-    /** Calls whose sources are held back. */
+    /** Calls whose sources are paused. */
     private readonly heldBack = new Set<CallMemory>();
     private wasFull = false;
     private isReliefScheduled = false;
     private resumeTimer: NodeJS.Timeout | undefined;
     private lastLoggedAt = -Infinity;
     private suppressedLogs = 0;
-    /** Ends the link to a peer, with all that waits for it. */
+    /** Closes the link to a peer and drops what waits for it. */
     onCutLink: (link: number) => void = () => undefined;
 
     constructor(private readonly deps: HostMemoryDeps) {
@@ -57,23 +58,23 @@
         deps.metrics.watchHeld(() => this.held, deps.budgetBytes);
     }
 
-    /** Whether the host's memory is given and decides. */
+    /** Whether the host has a memory budget. */
     get isBounded(): boolean {
         return this.deps.budgetBytes !== undefined;
     }
 
-    /** What is held now. */
+    /** Bytes that are held now, by kind. */
     get held(): HeldBytes {
         return this.account.held;
     }
 
-    /** What a refusal or the end of a call says of the whole. */
+    /** The bytes held in all and the budget, as log lines give them. */
     get state(): { readonly held: number; readonly budget: number | undefined } {
         return { held: Math.round(totalHeld(this.account)), budget: this.deps.budgetBytes };
     }
 
     /**
-     * Begins to count what a call holds.
+     * Opens the account of a call.
      *
      * @example
      * ```ts
@@ -97,12 +98,12 @@
         return call;
     }
 
-    /** How much may wait for one peer; undefined where nothing is decided by memory. */
+    /** Most bytes that may wait for one peer; undefined if the host has no budget. */
     linkBytes(): number | undefined {
         return this.isBounded ? linkBytes(this.account) : undefined;
     }
 
-    /** What waits on a link to a peer has changed. */
+    /** Sets how many bytes wait on a link to a peer. */
     setLink(link: number, bytes: number): void {
         const before = this.links.get(link) ?? 0;
         if (bytes === 0) this.links.delete(link);
@@ -136,7 +137,7 @@
         );
     }
 
-    /** Not at once: whoever holds more may be within a step of its own. */
+    /** Defers the relief, as the caller of {@link CallMemory.hold} may be in the middle of changing its own state. */
     private scheduleRelief(): void {
         if (this.isReliefScheduled) return;
         this.isReliefScheduled = true;
@@ -146,7 +147,7 @@
         });
     }
 
-    /** Gives up what waits for peers, which is sent again, and then calls, until the rest is within the budget. */
+    /** Drops what waits for peers, which is sent again later, and then ends calls, until the rest fits into the budget. */
     private relieve(): void {
         while (isOverBudget(this.account)) {
             const link = largestLink(this.links);
@@ -196,7 +197,7 @@
         this.deps.log.info({ req, bytes, age_ms: Math.round(ageMs), more, ...this.state }, "call_held_back");
     }
 
-    /** Room that others leave lets sources go on whose own readers take nothing. */
+    /** Schedules a check of the paused sources: memory that other calls release lets them be read further. */
     private scheduleResume(): void {
         if (this.resumeTimer || this.heldBack.size === 0) return;
         this.resumeTimer = setTimeout(() => {
--- a/packages/host/src/runtime/log.ts
+++ b/packages/host/src/runtime/log.ts
@@ -1,21 +1,21 @@
 /**
- * Structured logs by bunyan, written as one line of key=value pairs an event.
+ * Structured logs by bunyan, one line of key=value pairs for each event.
  *
  * @module
  */
 import bunyan from "bunyan";
 import type { Writable } from "node:stream";
 
-/** A logger; fields first, then a short event name. */
+/** A logger. Its methods take the fields first, then the name of the event. */
 export type Log = bunyan;
 
 const LEVEL_NAME: Readonly<Record<number, string>> = bunyan.nameFromLevel;
 const UNQUOTED_VALUE = /^[A-Za-z0-9_.:/@+-]+$/;
 const MAX_VALUE_LENGTH = 500;
-/** Fields that bunyan adds to every record: said elsewhere in the line, or the same in all lines of a process. */
+/** Fields that bunyan adds to each record, left out as they stand elsewhere in the line or are the same in all lines of a process. */
 const BUNYAN_FIELDS: ReadonlySet<string> = new Set(["time", "level", "msg", "name", "hostname", "pid", "v"]);
 
-/** A value as it stands in a line: quoted unless it is plain, so that no value can forge a pair or a line. */
+/** Formats a value: quoted unless it has plain characters only, so that no value can forge a pair or a line. */
 function formatValue(value: unknown): string {
     const text = typeof value === "string" ? value : JSON.stringify(value) ?? "undefined";
     const short = text.length > MAX_VALUE_LENGTH ? `${text.slice(0, MAX_VALUE_LENGTH)}...` : text;
@@ -27,7 +27,7 @@
 }
 
 /**
- * One record as a line.
+ * Formats a record as a line.
  *
  * @example
  * ```ts
@@ -45,7 +45,7 @@
 }
 
 /**
- * A logger that writes to a stream.
+ * Creates a logger that writes to a stream.
  *
  * @example
  * ```ts
--- a/packages/host/src/runtime/metrics.ts
+++ b/packages/host/src/runtime/metrics.ts
@@ -1,6 +1,5 @@
 /**
- * What the daemon measures: HDR histograms for the three measures and the first token, counters for the rest, told in
- * the Prometheus text form.
+ * The daemon's metrics in the Prometheus text format: quantiles of times from HDR histograms, counters and gauges.
  *
  * @module
  */
@@ -13,7 +12,7 @@
 const UNITS_PER_MS = 10;
 const MAX_TIME_MS = 3_600_000;
 
-/** A distribution of times in milliseconds. */
+/** A histogram of times in milliseconds. */
 export class Timing {
     private readonly histogram: Histogram = build({
         lowestDiscernibleValue: 1,
@@ -22,14 +21,14 @@
     });
     private total = 0;
 
-    /** Counts one time. */
+    /** Adds a time. */
     record(ms: number): void {
         const bounded = Math.min(Math.max(ms, 0), MAX_TIME_MS);
         this.histogram.recordValue(Math.round(bounded * UNITS_PER_MS));
         this.total += bounded;
     }
 
-    /** The time that a share of all counted ones does not pass, in milliseconds. */
+    /** The quantile of the recorded times for a share in [0, 1], in milliseconds. */
     quantile(share: number): number {
         return this.histogram.getValueAtPercentile(share * 100) / UNITS_PER_MS;
     }
@@ -38,57 +37,69 @@
         return this.histogram.totalCount;
     }
 
-    /** Sum of all counted times, in milliseconds. */
+    /** The sum of all recorded times, in milliseconds. */
     get sum(): number {
         return this.total;
     }
 }
 
-/** What a dispatch is to its request. */
+/** Why a request is sent to an endpoint. */
 export type DispatchKind = "first" | "retry" | "resume" | "continue";
 
-/** How a request ended, as counted. */
+/** How a request ended. */
 export type Outcome = "whole" | "endpoint_failed" | FailCode | "bad_request" | "unauthorized" | "refused";
 
-/** All measures of one daemon. */
+/** All metrics of one daemon. */
 export class Metrics {
     readonly firstToken = new Timing();
     readonly betweenTokens = new Timing();
     readonly stall = new Timing();
     private readonly registry = new Registry();
-    private readonly outcomes = this.counter("drumpaddle_requests_total", "Requests by how they ended.", [
+    private readonly outcomes = this.counter("drumpaddle_requests_total", "Requests, by outcome.", [
         "outcome",
         "ran",
     ]);
-    private readonly discards = this.counter("drumpaddle_discarded_tokens_total", "Tokens that did not fit.", [
-        "reason",
-    ]);
-    private readonly dispatches = this.counter("drumpaddle_dispatches_total", "Attempts, first and repeated.", [
-        "kind",
-    ]);
-    private readonly preemptions = this.counter("drumpaddle_preemptions_total", "Preemptions that engines reported.", [
+    private readonly discards = this.counter(
+        "drumpaddle_discarded_tokens_total",
+        "Tokens from endpoints that were discarded.",
+        [
+            "reason",
+        ],
+    );
+    private readonly dispatches = this.counter(
+        "drumpaddle_dispatches_total",
+        "Requests sent to endpoints, first and repeated.",
+        [
+            "kind",
+        ],
+    );
+    private readonly preemptions = this.counter("drumpaddle_preemptions_total", "Preemptions reported by engines.", [
         "endpoint",
     ]);
     private readonly settingsOffers = this.counter(
         "drumpaddle_settings_offers_total",
-        "Versions of settings offered, by what became of them.",
+        "Offered versions of the settings or the deployment, by result.",
         ["result"],
     );
     private readonly unreadableRegistrations = this.counter(
         "drumpaddle_unreadable_registrations_total",
-        "Registrations of endpoints that could not be read, by where they came from.",
+        "Registrations of endpoints that could not be decoded, by source.",
         ["source"],
     );
     private readonly storeCalls = this.counter("drumpaddle_store_calls_total", "Calls to the platform's store.", [
         "call",
         "reason",
     ]);
-    private readonly copies = this.counter("drumpaddle_copies_total", "Copies of running generations ordered.", [
-        "result",
-    ]);
+    private readonly copies = this.counter(
+        "drumpaddle_copies_total",
+        "Copies of running generations requested, by result.",
+        [
+            "result",
+        ],
+    );
     private readonly stayAnswers = this.counter(
         "drumpaddle_stay_answers_total",
-        "What engines said of leaving when asked.",
+        "Answers of engines asked whether they leave.",
         [
             "answer",
         ],
@@ -96,71 +107,84 @@
     private readonly connections = this.counter("drumpaddle_connections_total", "Connections opened to endpoints.", []);
     private readonly givenUpCalls = this.counter(
         "drumpaddle_memory_given_up_total",
-        "Calls given up for the memory that they held, by whose reading they waited for.",
+        "Calls ended to free the memory that they held, by the side that did not read.",
         ["unread_by"],
     );
     private readonly memoryRefusals = this.counter(
         "drumpaddle_memory_refused_total",
-        "Calls refused as there was no memory left for their bodies.",
+        "Calls refused as the memory budget had no room for their bodies.",
         [],
     );
     private readonly droppedPeerMessages = this.counter(
         "drumpaddle_peer_messages_dropped_total",
-        "Messages to peers that read too slowly.",
+        "Messages dropped as their peer read too slowly.",
         [],
     );
-    private readonly peerBytes = this.counter("drumpaddle_peer_bytes_total", "Bytes to and from peers.", ["direction"]);
+    private readonly peerBytes = this.counter("drumpaddle_peer_bytes_total", "Bytes sent to and received from peers.", [
+        "direction",
+    ]);
     private readonly endings = this.counter(
         "drumpaddle_endings_total",
-        "Endpoints that ended under calls of this host, by how that was found out.",
+        "Endpoints that ended while calls of this host ran there, by how the end was detected.",
         ["sign"],
     );
     private readonly withheldCalls = this.counter(
         "drumpaddle_withheld_total",
-        "Calls that were not begun, as they were running where endpoints ended.",
+        "Calls that were withheld, as endpoints had ended while running the same request.",
         ["code"],
     );
-    readonly quarantined = this.gauge("drumpaddle_quarantined_requests", "Requests that are begun nowhere.");
+    readonly quarantined = this.gauge(
+        "drumpaddle_quarantined_requests",
+        "Requests in quarantine, which are sent to no endpoint.",
+    );
     readonly open = this.gauge("drumpaddle_open_requests", "Requests being served.");
-    readonly waiting = this.gauge("drumpaddle_waiting_requests", "Requests that wait for room.");
+    readonly waiting = this.gauge("drumpaddle_waiting_requests", "Requests waiting for an endpoint with capacity.");
     readonly liveHosts = this.gauge(
         "drumpaddle_live_hosts",
-        "Hosts of the scope that this one relies on, itself included.",
+        "Hosts of the scope that this host counts as live, itself included.",
     );
     readonly capacity = this.gauge(
         "drumpaddle_capacity_cores",
-        "What this host tells others that it can carry; 0 where it does not say.",
+        "Capacity that this host reports to others; 0 if none is set.",
     );
     readonly ownedEndpoints = this.gauge(
         "drumpaddle_owned_endpoints",
-        "Endpoints of which this host advises others where requests go.",
+        "Endpoints that this host owns: others ask it where to send requests.",
     );
     readonly storeEpoch = this.gauge(
         "drumpaddle_store_epoch",
-        "How often the platform's store has come back from an older copy, by its own count.",
+        "How often the platform's store has been restored from an older copy, as the store counts it.",
     );
     readonly evacuated = this.gauge(
         "drumpaddle_evacuated_halls",
-        "Halls that take nothing new by the operator's order.",
+        "Halls that an operator has evacuated; they take no new requests.",
     );
     readonly doubtedHalls = this.gauge(
         "drumpaddle_halls_in_doubt",
-        "Other halls that this host can probably not reach.",
+        "Other halls that this host probably cannot reach.",
     );
     readonly limited = this.gauge(
         "drumpaddle_limited_endpoints",
-        "Endpoints that name a limit of requests a second.",
+        "Endpoints that report a limit of requests per second.",
     );
     readonly speedSpread = this.gauge(
         "drumpaddle_endpoint_speed_spread",
-        "How far endpoints of one kind differ in speed: standard deviation of the logarithm of their times, 0 where they may be alike.",
+        "How far endpoints of one kind differ in speed: standard deviation of the logarithm of their times, 0 if they may be equal.",
     );
-    readonly version = this.gauge("drumpaddle_settings_version", "Version of settings in force.");
+    readonly version = this.gauge("drumpaddle_settings_version", "Version of the settings or the deployment in force.");
 
     constructor() {
-        this.summary("drumpaddle_first_token_ms", "Time from acceptance to the first token.", this.firstToken);
+        this.summary(
+            "drumpaddle_first_token_ms",
+            "Time from the acceptance of a request to its first token.",
+            this.firstToken,
+        );
         this.summary("drumpaddle_between_tokens_ms", "Time between tokens.", this.betweenTokens);
-        this.summary("drumpaddle_stall_ms", "Stall time of a request: what its gaps lie above the target.", this.stall);
+        this.summary(
+            "drumpaddle_stall_ms",
+            "Stall time of a request: the sum by which gaps between its tokens exceed the target.",
+            this.stall,
+        );
     }
 
     countOutcome(outcome: Outcome, ran: Ran): void {
@@ -183,7 +207,7 @@
         this.settingsOffers.inc({ result });
     }
 
-    /** A registration names no endpoint to use; `source`: the store, or a peer's list. */
+    /** Counts a registration that cannot be decoded, from the store or from a peer's list. */
     countUnreadable(source: "store" | "peer"): void {
         this.unreadableRegistrations.inc({ source });
     }
@@ -192,7 +216,7 @@
         this.peerBytes.inc({ direction }, bytes);
     }
 
-    /** `reason`: why this host calls, as `first`, `second` or `alone` of its hall's watchers, or at its `start`. */
+    /** `reason`: why this host calls: as its hall's `first` or `second` watcher, `alone`, or at its `start`. */
     countStoreCall(call: string, reason: string): void {
         this.storeCalls.inc({ call, reason });
     }
@@ -213,7 +237,7 @@
         this.withheldCalls.inc({ code });
     }
 
-    /** `unreadBy`: whose reading the call waited for, or `nobody`. */
+    /** `unreadBy`: the side whose reading the call waited for, or `nobody`. */
     countGivenUp(unreadBy: string): void {
         this.givenUpCalls.inc({ unread_by: unreadBy });
     }
@@ -226,11 +250,11 @@
         this.droppedPeerMessages.inc();
     }
 
-    /** Tells what is held for others by kind, and the budget for it in bytes; undefined where there is none. */
+    /** Exports the bytes held for others by kind, and the budget for them; undefined if there is none. */
     watchHeld(held: () => Readonly<Record<string, number>>, budgetBytes: number | undefined): void {
         new Gauge({
             name: "drumpaddle_held_bytes",
-            help: "Bytes held for callers, endpoints and peers, by what they are.",
+            help: "Bytes held for callers, endpoints and peers, by kind.",
             labelNames: ["kind"],
             registers: [this.registry],
             collect() {
@@ -238,7 +262,7 @@
             },
         });
         if (budgetBytes !== undefined) {
-            this.gauge("drumpaddle_held_budget_bytes", "Most that is held.").set(budgetBytes);
+            this.gauge("drumpaddle_held_budget_bytes", "Most bytes that may be held.").set(budgetBytes);
         }
     }
 
@@ -246,7 +270,7 @@
         this.connections.inc();
     }
 
-    /** Everything in the Prometheus text form. */
+    /** All metrics in the Prometheus text format. */
     text(): Promise<string> {
         return this.registry.metrics();
     }
--- a/packages/host/src/runtime/random-sample.ts
+++ b/packages/host/src/runtime/random-sample.ts
@@ -1,11 +1,11 @@
 /**
- * A few of many, drawn at random: whom a host tells its news.
+ * Random samples, by which a host chooses the peers that it sends its news to.
  *
  * @module
  */
 
 /**
- * Some of these names, each as likely as the others.
+ * Draws up to `count` of the names without replacement, each with the same probability.
  *
  * @param random Uniform in [0, 1).
  *
--- a/packages/host/src/runtime/repeat.ts
+++ b/packages/host/src/runtime/repeat.ts
@@ -1,15 +1,15 @@
 /**
- * Work that is done again and again, with a pause that may change.
+ * Periodic work with a delay that may change.
  *
  * @module
  */
 
 /**
- * Does something at once and then after each pause, until the signal. A pause begins when the work is done.
+ * Runs a task at once and then after each delay, until the signal. A delay begins when the task has finished.
  *
  * @example
  * ```ts
- * repeat(() => beat(), () => 500 * stretch(live.length), signal);
+ * repeat(() => sendHeartbeats(), () => 500 * live.length, signal);
  * ```
  */
 export function repeat(run: () => void | Promise<void>, delayMs: () => number, signal: AbortSignal): void {
--- a/packages/host/src/runtime/signals.ts
+++ b/packages/host/src/runtime/signals.ts
@@ -1,14 +1,14 @@
 /**
- * Signals to the daemon, caught from the first moment on: one that comes while the daemon starts would else end it.
+ * Handles signals to the process from the moment this module is loaded; otherwise a signal while the daemon starts would end it.
  *
  * @module
  */
 
-/** What is done on a signal. */
+/** The daemon's reactions to signals. */
 export interface SignalHandlers {
-    /** Read the settings again. */
+    /** Reads the settings again. */
     readonly onReload: () => void;
-    /** Stop without cutting a request; a second one ends at once. */
+    /** Stops without cutting requests; a second signal ends the process at once. */
     readonly onStop: (signal: string) => void;
 }
 
@@ -24,7 +24,7 @@
 for (const signal of ["SIGTERM", "SIGINT"]) process.on(signal, () => deliver(({ onStop }) => onStop(signal)));
 
 /**
- * Hands signals to the daemon, those first that came while it started.
+ * Sets the handlers of signals, and delivers the signals that came before.
  *
  * @example
  * ```ts
--- a/packages/host/src/store/settings-store.ts
+++ b/packages/host/src/store/settings-store.ts
@@ -41,7 +41,7 @@
     | { readonly kind: "conflict"; readonly version: number; readonly conflicts: readonly EditConflict[] }
     | { readonly kind: "invalid"; readonly errors: readonly SettingsError[] }
     | { readonly kind: "noChange"; readonly version: number }
-    /** Not accepted: nothing was written, usually as the store does not answer. */
+    /** Nothing was written: the store did not answer, refused the write or holds corrupt settings, or other edits kept competing. */
     | { readonly kind: "away"; readonly detail: string }
     /** It may have been written or not: {@link SettingsStore.outcome} tells later. */
     | { readonly kind: "unknown"; readonly detail: string };
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Writes an edit. If a reply is lost, the same conditional write is sent again; its condition that the edit's id is not yet
-     * written makes it take effect at most once.
+     * Writes an edit. If a reply is lost, the edit is planned and written again; every write is conditional on the edit's id not
+     * being written yet, so that the edit takes effect at most once.
      */
     async edit(edit: EditRequest, inForce: InForce | undefined, signal: AbortSignal): Promise<EditResult> {
         let maybeWritten = false;
@@ -165,10 +165,10 @@
         return { kind: "again", maybeWritten: written.err.kind !== "away" || written.err.tookEffect === "unknown" };
     }
 
-    private keysToPut({ next, changedParts: changed, entry }: PlannedWrite): { key: string; value: string }[] {
+    private keysToPut({ next, changedParts, entry }: PlannedWrite): { key: string; value: string }[] {
         return [
             { key: this.headKey, value: JSON.stringify(next.head) },
-            ...changed.map(name => ({ key: this.partKey(name), value: next.parts[name]! })),
+            ...changedParts.map(name => ({ key: this.partKey(name), value: next.parts[name]! })),
             { key: this.auditKey(entry.version), value: JSON.stringify(entry) },
             { key: this.editKey(entry.editId), value: String(entry.version) },
         ];
