--- a/packages/host/src/daemon.ts
+++ b/packages/host/src/daemon.ts
@@ -1,5 +1,6 @@
 /**
- * The daemon of one entry host: builds its parts, starts them, and stops them without cutting a request.
+ * The daemon of an entry host with the completions interface: creates its parts, starts them, and stops them without cutting
+ * requests.
  *
  * @module
  */
@@ -32,25 +33,25 @@
 /** A running daemon. */
 export interface Daemon {
     readonly host: Host;
-    /** Where callers are served, as `http://ip:port`. */
+    /** The base URL for callers, such as `http://127.0.0.1:8080`. */
     readonly callersUrl: string;
     readonly operatorsUrl: string;
-    /** Where peers connect, as `ip:port`. */
+    /** The address for peers, as `ip:port`. */
     readonly peerAddress: string;
-    /** Refuses new requests, finishes those that run, then ends. */
+    /** Refuses new requests, finishes those that run, then stops. */
     stop(): Promise<void>;
-    /** Ends at once; requests are cut. */
+    /** Stops at once, cutting requests. */
     kill(): Promise<void>;
 }
 
 const CONNECTIONS_PER_ENDPOINT = 512;
 const KEEP_ALIVE_MS = 30_000;
 const CONNECT_TIMEOUT_MS = 1_000;
-/** Plain services have no memory to plan with: the endpoint with the fewest open calls is taken. */
+/** Plain services report no memory to plan with, so the endpoint with the fewest open calls is chosen. */
 const PLAIN_VARIANT = { ...DEFAULT_VARIANT, admission: "none", choice: "leastOutstanding" } as const;
 
 /**
- * Starts a daemon; resolves when its ports listen. It is ready when it has settings.
+ * Starts a daemon. Resolves when its servers listen; the daemon is ready once it has settings.
  *
  * @example
  * ```ts
@@ -60,7 +61,7 @@
  */
 export async function startDaemon(cfg: HostCfg, log: Log, clock: Clock = createClock()): Promise<Daemon> {
     const controller = new AbortController();
-    // Every call on its way listens to it.
+    // Each running call adds a listener, so there is no maximum to warn about.
     setMaxListeners(0, controller.signal);
     const { signal } = controller;
     const kv = createEtcd({ url: cfg["platform.key-value"], timeoutMs: cfg["platform.timeout"] });
--- a/packages/host/src/gateway.ts
+++ b/packages/host/src/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * The daemon of an entry host that forwards calls as they are: builds its parts, starts them, and stops them without
- * cutting a call.
+ * The daemon of an entry host that forwards calls unchanged: creates its parts, starts them, and stops them without cutting
+ * calls before the platform's deadline.
  *
  * @module
  */
@@ -47,23 +47,23 @@
 
 /** A running gateway. */
 export interface Gateway {
-    /** Ports that it listens at; those of the settings, or where they say 0, of the system's choice. */
+    /** The ports that it listens on: those of the settings, or chosen by the system where the settings have 0. */
     readonly ports: {
         readonly callers: number;
         readonly operators: number;
         readonly peers: number;
-        /** Undefined where no address for metrics alone is given. */
+        /** Undefined if the settings have no separate address for metrics. */
         readonly metrics: number | undefined;
     };
-    /** Refuses new streams, serves what it can until its time is over, then ends. */
+    /** Refuses new streams, serves the rest until it is done or the time to stop is over, then stops. */
     stop(): Promise<void>;
-    /** Ends at once; calls are cut. */
+    /** Stops at once, cutting calls. */
     kill(): Promise<void>;
 }
 
-/** Plain services have no memory to plan with: the endpoint with the fewest open calls is taken. */
+/** Plain services report no memory to plan with, so the endpoint with the fewest open calls is chosen. */
 const PLAIN_VARIANT = { ...DEFAULT_VARIANT, admission: "none", choice: "leastOutstanding" } as const;
-/** Shared parts of prompts are small beside the prompts, so that where they are kept decides nothing. */
+/** Prefixes that prompts share are small beside the prompts, so which endpoint has one cached does not affect the choice. */
 const ENGINE_VARIANT = {
     ...DEFAULT_VARIANT,
     prefix: false,
@@ -71,20 +71,20 @@
     backups: true,
     askAlways: true,
 } as const;
-/** How long one call of a watch waits, and the time for its answer beyond that: a lost one is noticed within their sum. */
+/** How long one call of a watch waits for changes, and the further time for its response. A lost response is noticed within their sum. */
 const WATCH_WAIT_MS = 2_000;
 const WATCH_MARGIN_MS = 400;
-/** A stop ends this long before the platform ends the process. */
+/** Time from the end of a stop until the platform kills the process. */
 const STOP_MARGIN_MS = 400;
-/** A stopping host looks this often whether anything still runs, and gives its last refusals this long to leave. */
+/** How often a stopping host checks whether calls still run, and the time that it allows for sending its last refusals. */
 const STOP_POLL_MS = 50;
 const STOP_FLUSH_MS = 100;
-/** A host that does nothing notices a wake within this time. */
+/** How often the clock is read, by which an idle host notices that it was suspended. */
 const CLOCK_POLL_MS = 50;
 const SEED_RANGE = 1_000_000;
 
 /**
- * Starts a gateway; resolves when its ports listen. It is ready when it has a deployment and knows the endpoints.
+ * Starts a gateway. Resolves when its servers listen; the gateway is ready once it has a deployment and the endpoints.
  *
  * @example
  * ```ts
@@ -95,7 +95,7 @@
 export async function startGateway(cfg: HostCfg, log: Log, clock: Clock = createClock()): Promise<Gateway> {
     const controller = new AbortController();
     const { signal } = controller;
-    // Every call on its way listens to it.
+    // Each running call adds a listener, so there is no maximum to warn about.
     setMaxListeners(0, signal);
     const metrics = new Metrics();
     const kv = createPlatformStore({
@@ -156,7 +156,7 @@
         log,
         probe: endpoint => probeWithinLimit(endpoint, [engines, plain], signal),
         isLeaving: incarnation => isLeaving(incarnation, engines, plain),
-        // One that had said that it leaves has ended as planned.
+        // An endpoint that had reported that it leaves has ended as planned.
         isOver: incarnation => hasRestarted(incarnation, latestRegistry) && !words.hasSaidLeaving(incarnation),
         isDeaf: () => feed.isStoreAway,
         onEnded: ending => guard.ended(ending),
@@ -210,7 +210,7 @@
         hallsIn: homes => hallsIn(cfg["forward.regions"], homes),
         softwareOf: service => softwareOf(service, latestRegistry),
         onOtherIncarnation: incarnation => {
-            // A source of its own: an owner that has not met the other one says that this one stays.
+            // A separate source, so that an owner that does not know of the new incarnation cannot reset it to staying.
             if (engines.setLeaving(incarnation, "address", true) || plain.setLeaving(incarnation, "address", true)) {
                 log.warn({ endpoint: incarnation }, "endpoint_is_another_one");
             }
@@ -247,7 +247,7 @@
         runs.woke();
         peers.woke();
     });
-    // Without a call a wake is noticed by the next of these.
+    // Reading the clock detects a suspension; without calls nothing else does.
     repeat(() => void clock.now(), () => CLOCK_POLL_MS, signal);
     watchSpeeds({ clock, log, metrics, view: () => engines.view, signal });
     const operatorsServer = createOperatorsServer(() => feed.isReady && peers.isInformed && !runs.stopping, metrics);
@@ -320,7 +320,7 @@
         endsAt = deadline;
         await pause(cfg["callers.still-served"]);
         while (runs.size > 0 && clock.now() < deadline) await pause(STOP_POLL_MS);
-        // From here on every call is refused as not run; the answers get a moment to leave.
+        // From here on every call is refused as not run; the pause lets these answers be sent.
         endsAt = clock.now();
         await pause(STOP_FLUSH_MS);
         log.info({ open: runs.size }, "stopped");
@@ -332,8 +332,8 @@
 }
 
 /**
- * Engines that this host asks for all: those that it owns and that hold streams or their copies. A host that is cut off owns all that it
- * knows, but nobody else's streams are told to it.
+ * Engines that this host polls on behalf of all hosts: those that it owns and that hold streams or copies of streams. A host that is
+ * cut off from its peers owns all engines that it knows, but gets no reports of other hosts' streams.
  */
 function ownedEnginesInUse(engines: Placement, feed: DeploymentFeed, peers: Peers): readonly EndpointEntry[] {
     return engines.view.endpoints.values()
@@ -342,8 +342,8 @@
 }
 
 /**
- * Ends what rests on lives that are found to be over: first their copies, so that no stream goes on there, then their streams,
- * which go on elsewhere or are told as unknown.
+ * Ends what depends on endpoint lives that turn out to be over: first their copies, so that no stream continues there, then their
+ * streams, which continue elsewhere or end with an unknown outcome.
  */
 function endFinishedLives(
     registry: Registry,
@@ -362,13 +362,13 @@
     }
 }
 
-/** Halls of some regions, by a list of `hall:region`. */
+/** The halls in any of some regions, by a list of `hall:region` pairs. */
 function hallsIn(regions: readonly string[], homes: readonly string[]): readonly string[] {
     const pairs = regions.map(pair => pair.split(":") as [string, string]);
     return pairs.filter(([, region]) => homes.includes(region)).map(([hall]) => hall);
 }
 
-/** Versions of the software of a service's endpoints that take new work. */
+/** The software versions of a service's endpoints that take new requests. */
 function softwareOf(service: string, registry: Registry | undefined): readonly string[] {
     const entries = [...registry?.endpoints.values() ?? []].map(({ entry }) => entry);
     return entries.filter(entry => entry.service === service && entry.state === EndpointState.Ready)
@@ -381,20 +381,20 @@
     return entries.filter(entry => entry.address === address);
 }
 
-/** Whether an endpoint that was not leaving has begun a later life. */
+/** Whether an endpoint's life is over, though it was not leaving. */
 function hasRestarted(incarnation: string, registry: Registry | undefined): boolean {
     const departed = registry?.departed.get(incarnation);
     return departed?.isOver === true && departed.entry.state === EndpointState.Ready;
 }
 
-/** Asks an endpoint whether its life is still there, unless the limit that it names keeps the question away. */
+/** Asks an endpoint whether its life still runs, unless that request would exceed the endpoint's limit. */
 async function probeWithinLimit(
     { incarnation, address, id, born }: WatchedEndpoint,
     placements: readonly Placement[],
     signal: AbortSignal,
 ): Promise<LifeSign> {
     const isAllowed = placements.every(placement => placement.mayAsk(incarnation));
-    if (!isAllowed) return { kind: "unknown", detail: "its limit keeps the question away" };
+    if (!isAllowed) return { kind: "unknown", detail: "not asked, as the endpoint's limit allows no request" };
     return probeByReport(platformWire, address, { id, born }, signal);
 }
 
@@ -406,7 +406,7 @@
     return new Promise(resolve => setTimeout(resolve, ms));
 }
 
-/** The port at which the platform asks for readiness, and which tells the metrics. */
+/** Creates the operators' server, with the platform's readiness check and the metrics. */
 function createOperatorsServer(isReady: () => boolean, metrics: Metrics): FastifyInstance {
     const app = Fastify({ forceCloseConnections: true });
     app.get(platformWire.readyPath, (_req, reply) => {
@@ -417,7 +417,7 @@
     return app;
 }
 
-/** A port for metrics alone. */
+/** Creates a server with the metrics only. */
 function createMetricsServer(metrics: Metrics): FastifyInstance {
     const app = Fastify({ forceCloseConnections: true });
     serveMetrics(app, metrics);
@@ -428,7 +428,7 @@
     app.get("/metrics", async (_req, reply) => reply.type("text/plain; version=0.0.4").send(await metrics.text()));
 }
 
-/** Listens at `ip:port`; gives the port. */
+/** Listens on `ip:port`; returns the port. */
 async function listen(app: FastifyInstance, address: string): Promise<number> {
     const at = address.lastIndexOf(":");
     await app.listen({ host: address.slice(0, at), port: Number(address.slice(at + 1)) });
--- a/packages/host/src/main.ts
+++ b/packages/host/src/main.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-// First of all: signals may come while the rest is loaded.
+// Imported first, as signals may come while the other modules are loaded.
 import { handleSignals } from "./runtime/signals.js";
 
 import { readFileSync } from "node:fs";
@@ -14,7 +14,7 @@
 
 const EXIT = { done: 0, failed: 1, usage: 2 } as const;
 
-/** Each interface's daemon; loaded only where it is served, as loading is most of a start. */
+/** Starts the daemon of each interface. Only the chosen one is loaded, as loading takes most of the time of a start. */
 const STARTERS = {
     completions: async (cfg: HostCfg, log: Log) => (await import("./daemon.js")).startDaemon(cfg, log),
     forward: async (cfg: HostCfg, log: Log) => (await import("./gateway.js")).startGateway(cfg, log),
@@ -43,7 +43,7 @@
     return readConfig({ file, env: process.env, flags: flagsOf(set) });
 }
 
-/** Reads the settings again and says what differs; addresses and times take effect with the next start. */
+/** Reads the settings again and logs which have changed; changes take effect at the next start. */
 function reload(options: Options, inForce: HostCfg, log: Log): void {
     const read = load(options);
     if (!read.ok) {
@@ -100,7 +100,7 @@
     .action((options: Options) => {
         run(options).catch((err: unknown) => {
             process.stderr.write(`${(err as Error).message}\n`);
-            // What has been started by then would keep a daemon alive that serves nobody.
+            // Parts that have already started would keep the process alive although it serves nobody.
             process.exit(EXIT.failed);
         });
     })
--- a/packages/host/src/operators/endpoints-api.ts
+++ b/packages/host/src/operators/endpoints-api.ts
@@ -1,6 +1,6 @@
 /**
- * What operators may ask of the endpoints that a gateway knows: which of them take new work, which halls are evacuated, and
- * which endpoints are cold and for how long, which name a limit, which can probably not be reached, and how slow each is.
+ * The operators' list of the endpoints that a gateway knows: whether each takes new requests, is cold, has a limit or is probably
+ * unreachable, whether its hall is evacuated, and how slow it is.
  *
  * @module
  */
@@ -17,32 +17,32 @@
 import type { Placement } from "../endpoints/placement.js";
 import type { Allow } from "./quarantine-api.js";
 
-/** An endpoint, as operators are told of it. */
+/** An entry of the operators' list of endpoints. */
 export interface ListedEndpoint {
     readonly endpoint: string;
     readonly hall: string;
     readonly takesNew: boolean;
     readonly hallEvacuated: boolean;
-    /** How much longer it is taken for cold, in milliseconds; 0 where it is warm or nothing bounds a cold one. */
+    /** For how much longer the endpoint counts as cold, in milliseconds; 0 if it is warm or cold endpoints have no limit. */
     readonly coldForMs: number;
-    /** Requests a second that it takes from all hosts together; absent where it names no limit. */
+    /** Requests per second that the endpoint takes from all hosts together; absent if it reports no limit. */
     readonly limitPerS?: number | undefined;
-    /** How much longer it wants nothing from this host, in milliseconds; 0 where it does not rest. */
+    /** For how much longer the endpoint wants no requests from this host, in milliseconds; 0 if it takes them. */
     readonly restsForMs: number;
-    /** Whether this host can probably not reach it: it is tried where nothing else is left. */
+    /** Whether this host probably cannot reach the endpoint, which is then tried only if no other is left. */
     readonly inDoubt: boolean;
-    /** Calls of this host that run there. */
+    /** Calls of this host that run at the endpoint. */
     readonly running: number;
-    /** Its time for the same work against the mean of its kind, as a factor; 1 where it is not known to differ. */
+    /** The endpoint's time for the same work, relative to the mean of its kind; 1 if it is not known to differ. */
     readonly slowness: number;
-    /** Relative standard error of that; 0 where all of its kind may be alike. */
+    /** The relative standard error of `slowness`; 0 if all endpoints of the kind may be equally fast. */
     readonly slownessError: number;
-    /** Time since streams last showed something of its speed, in milliseconds; absent where none did. */
+    /** Time since a stream last gave a measure of the endpoint's speed, in milliseconds; absent if none has. */
     readonly slownessAgeMs?: number | undefined;
 }
 
 /**
- * An endpoint as operators are told of it.
+ * The entry of an endpoint in the operators' list.
  *
  * @example
  * ```ts
@@ -68,7 +68,7 @@
     };
 }
 
-/** Adds the call to a server. */
+/** Adds the route `/endpoints` to a server. */
 export function serveEndpoints(
     app: FastifyInstance,
     placements: readonly Placement[],
--- a/packages/host/src/operators/operators.ts
+++ b/packages/host/src/operators/operators.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' port: health, metrics, and the settings with their audit trail.
+ * The operators' HTTP server: health, metrics, quarantine, and the settings with their audit trail.
  *
  * @module
  */
@@ -53,10 +53,10 @@
     unknown: 504,
 };
 
-/** Bytes of a whole tree with room to spare. */
+/** Most bytes of an edit: more than a whole tree of settings needs. */
 const MAX_EDIT_BYTES = 16_000_000;
 
-/** Builds the operators' server; it does not listen yet. */
+/** Creates the operators' server, which does not listen yet. */
 export function createOperators(host: Host, tls: { cert: string; key: string } | undefined): FastifyInstance {
     const app = Fastify({
         bodyLimit: MAX_EDIT_BYTES,
@@ -87,7 +87,7 @@
     readonly role: Role;
 }
 
-/** Who asks: an operator of the tree, or the bootstrap token while the tree names none. */
+/** The operator whose token a request carries; the bootstrap token counts while the settings name no operator. */
 function operatorOf(host: Host, req: FastifyRequest): Operator | undefined {
     const token = /^Bearer (\S+)$/.exec(req.headers.authorization ?? "")?.[1];
     if (token === undefined) return undefined;
@@ -99,6 +99,7 @@
     return open && hashSecret(token) === bootstrap ? { name: "bootstrap", role: "edit" } : undefined;
 }
 
+/** The operator of a request, if it may act in a role; otherwise sends the refusal and returns undefined. */
 function allow(host: Host, req: FastifyRequest, reply: FastifyReply, role: Role): Operator | undefined {
     const operator = operatorOf(host, req);
     if (!operator) void reply.code(401).send({ kind: "unauthorized" });
@@ -172,7 +173,7 @@
     });
 }
 
-/** What this host knows of itself. */
+/** The answer of `/status`: this host's state as it knows it. */
 export function statusOf(host: Host): object {
     const inForce = host.feed.inForce;
     return {
@@ -195,7 +196,7 @@
     };
 }
 
-/** The trail up to a version, or an answer that says why there is none. */
+/** The audit trail; undefined if the request was refused or the trail could not be read, which has then been answered. */
 async function readAuditTrail(
     host: Host,
     req: FastifyRequest,
--- a/packages/host/src/operators/quarantine-api.ts
+++ b/packages/host/src/operators/quarantine-api.ts
@@ -1,5 +1,5 @@
 /**
- * What operators may ask of requests that end endpoints, and do about them: the list of them, and to lift a quarantine.
+ * Operators' routes for requests that are suspected of ending endpoints: list them, and lift a quarantine.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 import type { RequestGuard } from "../endpoints/request-guard.js";
 import { hashSecret, type Role } from "../store/directory.js";
 
-/** Whether a caller may do what a role may; where not, the reply was sent. */
+/** Whether a request may act in a role; if not, its refusal has been sent. */
 export type Allow = (req: FastifyRequest, reply: FastifyReply, role: Role) => boolean;
 
 const BEARER = /^Bearer (\S+)$/;
 
 /**
- * Allows whoever has one of the fleet's secrets, on hosts that know no operators.
+ * Allows every request that carries one of the fleet's secrets, on hosts that have no operators.
  *
  * @example
  * ```ts
@@ -35,7 +35,7 @@
     };
 }
 
-/** Adds the calls to a server. */
+/** Adds the routes under `/quarantine` to a server. */
 export function serveQuarantine(
     app: FastifyInstance,
     guard: Pick<RequestGuard, "list" | "clear" | "isSuspect">,
--- a/packages/host/src/watch-endpoints.ts
+++ b/packages/host/src/watch-endpoints.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the decisions' picture of the endpoints: what the settings declare, what the endpoints report of themselves, and
- * what the platform's host list says.
+ * Keeps the schedulers' view of the endpoints up to date: from the settings, the load that endpoints report, and the
+ * platform's host list.
  *
  * @module
  */
@@ -11,20 +11,20 @@
 import { repeat } from "./runtime/repeat.js";
 import type { DeclaredEndpoint, Directory } from "./store/directory.js";
 
-/** How long an answer about load may take, as a share of the time between two questions. */
+/** Time limit of a request for an endpoint's load, in polling intervals. */
 const TIMEOUT_INTERVALS = 2;
-/** Bytes of one answer about load with its head, and what a host may spend on such answers in a second. */
+/** Bytes of one response with its head, and bytes per second that a host may spend on such responses. */
 const LOAD_RESPONSE_BYTES = 300;
 const LOAD_BUDGET_BYTES_PER_S = 3_000;
-/** An owner of endpoints in a large hall asks each of them at least this often. */
+/** Longest interval at which the owner of an endpoint polls it, however large the hall. */
 const MAX_LOAD_INTERVAL_MS = 1_000;
-/** In halls of more hosts than this, whose owners are asked where requests go, endpoints are asked more rarely. */
+/** In halls with more hosts than this, endpoints are polled less often, as hosts ask the owners where to send requests. */
 const SMALL_HALL_HOSTS = 12;
-/** The host list is asked for as often as this many bytes a second allow, and not more often than each second. */
+/** The host list is fetched as often as this many bytes per second allow, but at most once a second. */
 const LIST_BUDGET_BYTES_PER_S = 700;
 const MIN_LIST_INTERVAL_MS = 1_000;
 
-/** Starts to watch; ends with the host's signal. */
+/** Starts to follow the settings and to poll endpoints and the host list; ends with the host's signal. */
 export function watchEndpoints(host: Host): void {
     const preemptions = new Map<string, number>();
     host.feed.onChange(directory => declareEndpoints(host, directory));
@@ -50,12 +50,12 @@
     );
 }
 
-/** Engines of this hall whose load this host asks for: all while that costs little, else those that it owns. */
+/** Engines of this hall whose load this host polls: all while that costs little, otherwise those that it owns. */
 function endpointsToPoll(host: Host): readonly DeclaredEndpoint[] {
     const engines = [...host.feed.directory?.endpoints.values() ?? []]
         .filter(endpoint => inHall(host, endpoint) && isEngine(host, endpoint));
     const intervalMs = host.cfg["control.load-interval"];
-    // While it costs little every host asks for itself, so that no owner's death delays a sign of leaving.
+    // While it costs little, every host polls all engines, so that an owner's failure does not delay the news that one leaves.
     const canAskAll = engines.length * LOAD_RESPONSE_BYTES * 1000 / intervalMs <= LOAD_BUDGET_BYTES_PER_S;
     return canAskAll ? engines : engines.filter(endpoint => host.peers?.owns(endpoint.id) === true);
 }
@@ -91,7 +91,7 @@
     host.metrics.countPreemptions(endpoint.id, load.preemptions - before);
 }
 
-/** Takes in the host list; returns the size of the answer. */
+/** Fetches and applies the host list; returns the size of the response in bytes. */
 async function pollHostList(host: Host): Promise<number | undefined> {
     const url = host.cfg["platform.host-list"];
     if (url === undefined) return undefined;
