--- a/packages/host/src/gateway.ts
+++ b/packages/host/src/gateway.ts
@@ -71,7 +71,7 @@
     backups: true,
     askAlways: true,
 } as const;
-/** How long one call of a watch waits for changes, and the further time for its response. A lost response is noticed within their sum. */
+/** How long one call of a watch waits for changes, and the further time for its response: a lost one is noticed within their sum. */
 const WATCH_WAIT_MS = 2_000;
 const WATCH_MARGIN_MS = 400;
 /** Time from the end of a stop until the platform kills the process. */
--- a/packages/host/src/main.ts
+++ b/packages/host/src/main.ts
@@ -77,15 +77,15 @@
     if (read.cfg["tls.certificate"] === undefined) log.warn({}, "tls_is_off");
     const daemon = await STARTERS[read.cfg["callers.interface"]](read.cfg, log);
     let isStopping = false;
-    const onStop = (name: string): void => {
+    const onStop = (signal: string): void => {
         if (isStopping) {
-            log.warn({ signal: name }, "ending_at_once");
+            log.warn({ signal }, "ending_at_once");
             process.exit(EXIT.failed);
         }
         isStopping = true;
         void daemon.stop().then(() => process.exit(EXIT.done));
     };
-    handleSignals({ onReload: () => reload(options, read.cfg, log), onStop: onStop });
+    handleSignals({ onReload: () => reload(options, read.cfg, log), onStop });
 }
 
 sade("drumpaddled", true)
--- a/packages/host/src/runtime/call-memory.ts
+++ b/packages/host/src/runtime/call-memory.ts
@@ -103,12 +103,12 @@
 
     /** Resumes the answer's source, if it is paused and may be read now. */
     readOn(): void {
-        const { resumeSource: onReadOn } = this;
-        if (!onReadOn || !this.mayReadAhead) return;
+        const { resumeSource } = this;
+        if (!resumeSource || !this.mayReadAhead) return;
         this.resumeSource = undefined;
         this.host.setHeldBack(false);
         this.onRead();
-        onReadOn();
+        resumeSource();
     }
 
     /** For how long the caller has read nothing of what waits for it, in milliseconds; 0 if nothing waits. */
--- a/packages/host/src/runtime/descriptors.ts
+++ b/packages/host/src/runtime/descriptors.ts
@@ -53,7 +53,10 @@
     readonly closeIdle: () => void;
 }
 
-/** The shortage lasts until this share of the descriptors for sockets is free again, so that a host near its limit does not log a line for each call. */
+/**
+ * A shortage lasts until this share of the descriptors for sockets is free again, so that a host near its limit does not log a
+ * line for each call.
+ */
 const RECOVERY_SHARE = 0.05;
 
 /** Checks a host's descriptors, and logs when they become short and when the shortage is over. */
@@ -64,11 +67,12 @@
 
     /** Whether there are descriptors for one more call; closes idle connections first if there are not. */
     hasRoom(): boolean {
-        const { maxDescriptors: most, countSockets: open, closeIdle: free } = this.deps;
-        if (!hasDescriptors(most, open())) free();
-        const sockets = open();
-        const hasRoom = hasDescriptors(most, sockets);
-        const hasRecovered = most === undefined || hasDescriptors(most - RECOVERY_SHARE * maxSockets(most), sockets);
+        const { maxDescriptors, countSockets, closeIdle } = this.deps;
+        if (!hasDescriptors(maxDescriptors, countSockets())) closeIdle();
+        const sockets = countSockets();
+        const hasRoom = hasDescriptors(maxDescriptors, sockets);
+        const hasRecovered = maxDescriptors === undefined
+            || hasDescriptors(maxDescriptors - RECOVERY_SHARE * maxSockets(maxDescriptors), sockets);
         if (this.isShort ? hasRecovered : !hasRoom) this.setShort(!hasRoom, sockets);
         return hasRoom;
     }
--- a/packages/host/src/runtime/host-memory.ts
+++ b/packages/host/src/runtime/host-memory.ts
@@ -32,7 +32,10 @@
     readonly metrics: Metrics;
 }
 
-/** Delay from the release of memory until paused sources are resumed. Short enough for a hundred such delays before an endpoint times out. */
+/**
+ * Delay from the release of memory until paused sources are checked. A hundred such delays pass before an endpoint gives up on a
+ * paused answer.
+ */
 const RESUME_DELAY_MS = 50;
 /** Of the calls whose sources are paused, at most one is logged in this time. */
 const LOG_INTERVAL_MS = 1_000;
--- a/packages/host/src/store/deployment-feed.ts
+++ b/packages/host/src/store/deployment-feed.ts
@@ -243,7 +243,7 @@
         return true;
     }
 
-    /** Handles the end of a suspension, or of a possible one: the known state may be old, so a watching host calls the store at once. */
+    /** Handles the end of a suspension, or of a possible one: the state may be outdated, so a watching host calls the store at once. */
     onWake(suspendedMs: number): void {
         if (suspendedMs > 0) this.wokeAt = this.deps.clock.now();
         if (this.watchController) this.restartWatch();
--- a/packages/host/test/deployment-feed.test.ts
+++ b/packages/host/test/deployment-feed.test.ts
@@ -21,8 +21,8 @@
     readonly log: readonly string[];
 }
 
-/** An endpoint as hosts tell each other of it. */
-function decodeGood(id: string): EndpointEntry {
+/** A readable endpoint, as hosts send it to each other. */
+function validEndpoint(id: string): EndpointEntry {
     const decoded = platformWire.decodeEndpoint(id, JSON.stringify(registrationOf("app", "10.0.0.1:80")));
     if (!decoded.ok) throw new Error(decoded.err.detail);
     return decoded.value;
@@ -31,33 +31,33 @@
 const NEVER = new Promise<never>(() => undefined);
 
 /** A feed whose store never answers. */
-function deafFeed(): RunningFeed {
+function feedWithoutStore(): RunningFeed {
     return feedOf(new Proxy({}, { get: () => () => NEVER }) as KeyValue);
 }
 
-/** Ids of registered endpoints, with what their registrations say of them. */
+/** States of registered endpoints, by id. */
 type States = Readonly<Record<string, "ready" | "draining" | "unreadable">>;
 
-/** What the store holds at a revision. */
-function listOf(revision: number, states: States): KvList {
+/** The answer to a read of the store at a revision. */
+function storeContent(revision: number, states: States): KvList {
     const entryOf = ([id, state]: [string, string]): KvEntry => {
         const value = JSON.stringify(registrationOf("app", "10.0.0.1:80", { State: state }));
         const key = `${platformWire.storeKeys.endpoints}${id}`;
-        return { key, value: state === "unreadable" ? "" : value, modRevision: revision, ...unreadableOf(state) };
+        return { key, value: state === "unreadable" ? "" : value, modRevision: revision, ...unreadableMark(state) };
     };
     return { epoch: 0, revision, entries: Object.entries(states).map(entryOf) };
 }
 
-function unreadableOf(state: string): Pick<KvEntry, "unreadable"> {
+function unreadableMark(state: string): Pick<KvEntry, "unreadable"> {
     return state === "unreadable" ? { unreadable: "no text" } : {};
 }
 
-/** A feed whose watch is told again and again that changes were forgotten, so that it reads all: so many reads are answered. */
-function readingFeed(reads: readonly KvList[]): RunningFeed {
-    const left = [...reads];
+/** A feed whose watches all end as the history was compacted, so that it reads the whole store each time; only these reads are answered. */
+function rereadingFeed(reads: readonly KvList[]): RunningFeed {
+    const unanswered = [...reads];
     const compacted: KvError = { kind: "compacted", detail: "" };
     const list = (): Promise<KvResult<KvList>> => {
-        const next = left.shift();
+        const next = unanswered.shift();
         return next ? Promise.resolve(kvOk(next)) : NEVER;
     };
     return feedOf({ list, watch: () => Promise.resolve(compacted) } as unknown as KeyValue);
@@ -84,7 +84,7 @@
 
 for (const endpoints of ["{", "{}"]) {
     test(`a peer's list of endpoints ${endpoints} is ignored with a log line`, t => {
-        const { feed, log } = deafFeed();
+        const { feed, log } = feedWithoutStore();
         t.notThrows(() =>
             feed.follower.take({ epoch: 0, revision: 7, ageMs: 0, deployment: "{}", endpoints, evacuated: [] })
         );
@@ -93,10 +93,10 @@
     });
 }
 
-test("an endpoint of a peer's list that cannot be read is ignored with a log line; the others hold", t => {
-    const { feed, log } = deafFeed();
+test("an unreadable endpoint in a peer's list is ignored with a log line; the others are used", t => {
+    const { feed, log } = feedWithoutStore();
     const deployment = JSON.stringify(configOf(1));
-    const good = decodeGood("i-2");
+    const good = validEndpoint("i-2");
     feed.follower.take({
         epoch: 0,
         revision: 7,
@@ -111,7 +111,7 @@
     t.true(log.some(line => line.includes("event=endpoint_ignored") && line.includes("at=/0/id")));
 });
 
-/** What the log tells of endpoints' registrations. */
+/** The changes of endpoints in the log, with their revisions. */
 function changesIn(log: readonly string[]): readonly string[] {
     return log.flatMap(line => {
         const found = /event=endpoint_changed (endpoint=\S+ state=\S+).* revision=(\d+)/.exec(line);
@@ -119,12 +119,12 @@
     });
 }
 
-test("endpoints' changes are logged where a read of the whole store tells them, and the first ones are not", async t => {
-    const { feed, log } = readingFeed([
-        listOf(7, { a: "ready", b: "ready", c: "ready" }),
-        listOf(8, { a: "draining", b: "ready", d: "ready", c: "unreadable" }),
-        listOf(9, { a: "draining", d: "ready", c: "unreadable" }),
-        listOf(9, { a: "draining", d: "ready", c: "unreadable" }),
+test("a read of the whole store logs the endpoints that changed, except for the first read", async t => {
+    const { feed, log } = rereadingFeed([
+        storeContent(7, { a: "ready", b: "ready", c: "ready" }),
+        storeContent(8, { a: "draining", b: "ready", d: "ready", c: "unreadable" }),
+        storeContent(9, { a: "draining", d: "ready", c: "unreadable" }),
+        storeContent(9, { a: "draining", d: "ready", c: "unreadable" }),
     ]);
     feed.follower.setWatching("first");
     await new Promise(resolve => setImmediate(resolve));
@@ -136,9 +136,9 @@
     ]);
 });
 
-test("endpoints' changes are logged where a peer tells all that it knows", t => {
-    const { feed, log } = deafFeed();
-    const tell = (revision: number, ...entries: readonly EndpointEntry[]): void =>
+test("a peer's whole state logs the endpoints that changed", t => {
+    const { feed, log } = feedWithoutStore();
+    const receiveState = (revision: number, ...entries: readonly EndpointEntry[]): void =>
         feed.follower.take({
             epoch: 0,
             revision,
@@ -147,8 +147,8 @@
             endpoints: JSON.stringify(entries),
             evacuated: [],
         });
-    tell(7, decodeGood("a"), decodeGood("b"));
-    tell(8, { ...decodeGood("a"), state: "leaving" }, decodeGood("b"));
-    tell(9, { ...decodeGood("a"), state: "leaving" });
+    receiveState(7, validEndpoint("a"), validEndpoint("b"));
+    receiveState(8, { ...validEndpoint("a"), state: "leaving" }, validEndpoint("b"));
+    receiveState(9, { ...validEndpoint("a"), state: "leaving" });
     t.deepEqual(changesIn(log), ["endpoint=a state=leaving 8", "endpoint=b state=gone 9"]);
 });
--- a/packages/host/test/descriptors.test.ts
+++ b/packages/host/test/descriptors.test.ts
@@ -4,20 +4,20 @@
 const MOST = 4_100;
 const NONE: OpenSockets = { callers: 0, endpoints: 0, peers: 0 };
 
-test("a host refuses while it still has descriptors to answer, and not before they are nearly used up", t => {
+test("calls are refused while descriptors are left to answer, but not before they are nearly used up", t => {
     let callers = 0;
     while (hasDescriptors(MOST, { ...NONE, callers, endpoints: callers, peers: 90 })) callers += 1;
     const used = 2 * callers + 90;
-    t.true(used + 200 < MOST, "files keep 200");
+    t.true(used + 200 < MOST, "200 are kept for files");
     t.true(used > 0.9 * MOST);
 });
 
-test("a host that does not know how many it may have refuses nothing, and one that may have too few refuses all", t => {
+test("without a known limit no call is refused; with too low a limit every call is", t => {
     t.true(hasDescriptors(undefined, { callers: 1e6, endpoints: 1e6, peers: 1e6 }));
     t.false(hasDescriptors(0, NONE));
 });
 
-test("connections at rest are closed before anything is refused; a line tells when it begins and when it is over", t => {
+test("idle connections are closed before a call is refused; a shortage is logged when it begins and ends", t => {
     let open: OpenSockets = { callers: 2_000, endpoints: 1_800, peers: 60 };
     let freed = 0;
     const log: string[] = [];
@@ -39,7 +39,7 @@
         open = { ...open, callers };
         descriptors.hasRoom();
     }
-    t.deepEqual(log, ["descriptors_short"], "at the bound there is no line for each call");
+    t.deepEqual(log, ["descriptors_short"], "near the limit not every call is logged");
     open = NONE;
     t.true(descriptors.hasRoom());
     t.deepEqual(log, ["descriptors_short", "descriptors_again"]);
--- a/packages/host/test/host-memory.test.ts
+++ b/packages/host/test/host-memory.test.ts
@@ -8,15 +8,17 @@
 
 const BUDGET = 1_000_000;
 
-interface Memory {
+interface MemoryUnderTest {
     readonly memory: HostMemory;
     readonly metrics: Metrics;
     readonly log: string[];
-    /** Lets time pass. */
-    readonly pass: (ms: number) => void;
+    /** Advances the clock. */
+    readonly advance: (ms: number) => void;
 }
 
-function memoryOf({ budgetBytes }: { readonly budgetBytes: number | undefined } = { budgetBytes: BUDGET }): Memory {
+function createMemory(
+    { budgetBytes }: { readonly budgetBytes: number | undefined } = { budgetBytes: BUDGET },
+): MemoryUnderTest {
     let now = 0;
     const clock = { ...createClock(), now: () => now };
     const log: string[] = [];
@@ -28,10 +30,10 @@
     });
     const metrics = new Metrics();
     const memory = new HostMemory({ budgetBytes, clock, log: createLog("info", out), metrics });
-    return { memory, metrics, log, pass: ms => void (now += ms) };
+    return { memory, metrics, log, advance: ms => void (now += ms) };
 }
 
-/** A call whose caller has not taken so much; `ends` gets it when it is given up. */
+/** A call with so many unread bytes for its caller; `ends` receives why it was given up. */
 function slowCall(memory: HostMemory, req: string, unread: number, ends: Map<string, GivenUp>): CallMemory {
     const call = memory.open(req);
     call.onGiveUp = givenUp => ends.set(req, givenUp);
@@ -39,16 +41,17 @@
     return call;
 }
 
+/** Resolves after the scheduled relief has run. */
 function settled(): Promise<void> {
     return new Promise(resolve => setImmediate(resolve));
 }
 
-test("the call that holds most for longest is given up, once, and the rest goes on", async t => {
-    const { memory, log, pass } = memoryOf();
+test("the call that holds most for longest is given up, once; the others continue", async t => {
+    const { memory, log, advance } = createMemory();
     const ends = new Map<string, GivenUp>();
     slowCall(memory, "small", 100_000, ends);
     slowCall(memory, "large", 500_000, ends);
-    pass(3_000);
+    advance(3_000);
     slowCall(memory, "young", 450_000, ends);
     await settled();
     t.deepEqual([...ends.keys()], ["large"]);
@@ -63,8 +66,8 @@
     );
 });
 
-test("what waits for peers is given up before any call", async t => {
-    const { memory } = memoryOf();
+test("messages waiting for a peer are dropped before any call is given up", async t => {
+    const { memory } = createMemory();
     const ends = new Map<string, GivenUp>();
     const cut: number[] = [];
     memory.onCutLink = link => void cut.push(link);
@@ -76,8 +79,8 @@
     t.is(ends.size, 0);
 });
 
-test("a source that is held back goes on when others leave room, though its own caller reads nothing", async t => {
-    const { memory, log } = memoryOf();
+test("a paused source is resumed when another call releases memory, though its own caller reads nothing", async t => {
+    const { memory, log } = createMemory();
     const other = slowCall(memory, "other", 400_000, new Map());
     const held = slowCall(memory, "held", 90_000, new Map());
     let resumed = 0;
@@ -90,20 +93,20 @@
     t.is(resumed, 1);
 });
 
-test("calls that are held back are logged one in a second", t => {
-    const { memory, log, pass } = memoryOf();
+test("of the calls with paused sources, one a second is logged", t => {
+    const { memory, log, advance } = createMemory();
     slowCall(memory, "hog", 490_000, new Map());
     const holdBack = (req: string): void => void slowCall(memory, req, 40_000, new Map()).whenRoom(() => undefined);
     for (const req of ["a", "b", "c"]) holdBack(req);
-    pass(1_001);
+    advance(1_001);
     holdBack("d");
     const lines = log.filter(line => line.includes("event=call_held_back"));
     t.is(lines.length, 2);
     t.regex(lines[1]!, / more=2 /);
 });
 
-test("a call that has ended holds nothing, whatever it says later", t => {
-    const { memory } = memoryOf();
+test("a closed call account counts no bytes", t => {
+    const { memory } = createMemory();
     const call = slowCall(memory, "ended", 1_000, new Map());
     t.true(call.takeIn(500));
     call.close();
@@ -112,16 +115,16 @@
     t.deepEqual(memory.held, { body: 0, answer: 0, unread: 0, link: 0 });
 });
 
-test("a filling of the budget is logged once", t => {
-    const { memory, log } = memoryOf();
+test("a full budget is logged once, and again only after it had room", t => {
+    const { memory, log } = createMemory();
     const call = memory.open("c");
     for (const unread of [760_000, 700_000, 770_000, 400_000, 760_000]) call.setUnread(unread, false);
     const events = log.filter(line => line.includes("event=memory_")).map(line => / event=(\w+)/.exec(line)![1]);
     t.deepEqual(events, ["memory_full", "memory_has_room", "memory_full"]);
 });
 
-test("where the host's memory is not known, nothing is refused or given up, and callers are not read ahead of", async t => {
-    const { memory } = memoryOf({ budgetBytes: undefined });
+test("without a memory budget nothing is refused or given up, and sources are paused at once", async t => {
+    const { memory } = createMemory({ budgetBytes: undefined });
     const ends = new Map<string, GivenUp>();
     const call = slowCall(memory, "large", 5 * BUDGET, ends);
     t.true(call.takeIn(BUDGET));
@@ -131,8 +134,8 @@
     t.is(ends.size, 0);
 });
 
-test("metrics tell what is held by kind, the budget, and what was given up or refused", async t => {
-    const { memory, metrics } = memoryOf();
+test("metrics export the bytes held by kind, the budget, and calls given up or refused", async t => {
+    const { memory, metrics } = createMemory();
     const call = slowCall(memory, "slow", 700_000, new Map());
     t.false(call.takeIn(100_000));
     t.regex(await metrics.text(), /^drumpaddle_held_bytes\{kind="unread"\} 700000$/m);
--- a/packages/host/test/late-deployment.test.ts
+++ b/packages/host/test/late-deployment.test.ts
@@ -9,21 +9,21 @@
 import { Metrics } from "../src/runtime/metrics.js";
 import { DeploymentFeed } from "../src/store/deployment-feed.js";
 
-/** Limit of a call to the store in these tests. */
+/** Time limit of a call to the store in these tests. */
 const CALL_MS = 150;
-/** Two limits and the longest pause between two reads, with room for a busy machine; a call without a limit takes for ever. */
+/** Longer than two time limits and the longest delay between two reads, also on a busy machine; a call without a limit never ends. */
 const SOON_MS = 3_000;
 
 interface CutOffHost {
     readonly store: StandInStore;
     readonly feed: DeploymentFeed;
-    /** Connections that were begun while it was cut off. */
+    /** How many connections were attempted during the cut and never came up. */
     readonly hanging: () => number;
-    /** Open connections fall silent and new ones do not come up, or both are well again. */
+    /** Cuts the host off from the store: open connections fall silent and new ones do not come up. Or restores both. */
     readonly setCut: (cut: boolean) => void;
 }
 
-/** A host that follows a store of its own, and can be cut off from it. */
+/** A host that follows a store of its own and can be cut off from it. */
 async function cutOffHost(t: ExecutionContext): Promise<CutOffHost> {
     const store = await StandInStore.start();
     t.teardown(() => store.stop());
@@ -61,13 +61,12 @@
 }
 
 /*
- * Callers got 404 for a route that had been in force elsewhere for 3.2 s: their host had been cut off with its hall for seven
- * seconds and, reachable again, went on with an old deployment. Its read of the store had begun while no connection came up;
- * it was to end after 1 s and ended only when the system tried the connection again, 7 s later. What settled it, with the
- * limit of 1 s that did not hold: `7.275 store_read_failed ... "no answer within 1000 ms"`, then nothing until `14.381
- * store_read_failed ... "no answer within 1000 ms"` and `14.594 deployment_in_force version=13 before=2 source=store`.
+ * Guards against a time limit that does not cover the setup of a connection. A host had been cut off with its hall for 7 s. Its
+ * read of the store began while no connection came up, and ended not at its limit of 1 s but only when the system retried the
+ * connection 7 s later. Until then the host, reachable again, served an old deployment: callers got 404 for a route that had
+ * been in force elsewhere for 3.2 s.
  */
-test("a host whose connections to the store did not come up has the newest deployment soon after they do", async t => {
+test("a host gets the newest deployment soon after connections to the store come up again", async t => {
     const { store, feed, hanging, setCut } = await cutOffHost(t);
     feed.follower.setWatching("alone");
     await until(() => feed.table?.version === 1);
--- a/packages/host/test/main.test.ts
+++ b/packages/host/test/main.test.ts
@@ -7,9 +7,9 @@
 import { handleSignals } from "../src/runtime/signals.js";
 
 const PROGRAM = ["--import=tsx", "--conditions=drumpaddle-source", "packages/host/src/main.ts"];
-const MOST_MS = 30_000;
+const TIMEOUT_MS = 30_000;
 
-test.serial("signals that come while the daemon starts are handled when it has started", t => {
+test.serial("signals received while the daemon starts are handled once it has started", t => {
     const seen: string[] = [];
     process.emit("SIGHUP");
     handleSignals({ onReload: () => seen.push("reload"), onStop: signal => seen.push(signal) });
@@ -18,7 +18,7 @@
     t.deepEqual(seen, ["reload", "SIGTERM"]);
 });
 
-test.serial("a daemon that cannot listen ends, with the reason", async t => {
+test.serial("a daemon that cannot listen exits and prints why", async t => {
     const taken = createServer();
     await new Promise<void>(resolve => taken.listen(0, "127.0.0.1", resolve));
     const { port } = taken.address() as AddressInfo;
@@ -44,7 +44,7 @@
         taken.close();
         rmSync(folder, { recursive: true, force: true });
     });
-    const { status, stderr } = spawnSync(process.execPath, [...PROGRAM, "--config", settings], { timeout: MOST_MS });
+    const { status, stderr } = spawnSync(process.execPath, [...PROGRAM, "--config", settings], { timeout: TIMEOUT_MS });
     t.is(status, 1);
     t.regex(String(stderr), /EADDRINUSE/);
 });
--- a/packages/host/test/start.test.ts
+++ b/packages/host/test/start.test.ts
@@ -19,7 +19,7 @@
         copyFileSync(START, program);
         writeFileSync(join(folder, "daemon.cjs"), "#!/usr/bin/env node\nconsole.log(__filename, process.argv[2]);\n");
         if (cache) writeFileSync(join(folder, "daemon.cache"), cache);
-        const said = execFileSync(process.execPath, [program, "an-argument"], { encoding: "utf8" });
-        t.is(said, `${join(folder, "daemon.cjs")} an-argument\n`);
+        const output = execFileSync(process.execPath, [program, "an-argument"], { encoding: "utf8" });
+        t.is(output, `${join(folder, "daemon.cjs")} an-argument\n`);
     });
 }
