--- a/packages/host/src/gateway.ts
+++ b/packages/host/src/gateway.ts
@@ -34,7 +34,7 @@
 import { RequestGuard } from "./endpoints/request-guard.js";
 import { watchSpeeds } from "./endpoints/speed-watch.js";
 import { watchStays } from "./endpoints/stay-watch.js";
-import { serveEndpoints } from "./operators/endpoints-api.js";
+import { addEndpointRoutes } from "./operators/endpoints-api.js";
 import { allowSecrets, serveQuarantine } from "./operators/quarantine-api.js";
 import { Peers } from "./peers/peers.js";
 import { type HostCfg, memoryBudgetBytes } from "./runtime/config.js";
@@ -233,7 +233,7 @@
         metrics,
         engines,
         plain,
-        spread: feed.spread,
+        spread: feed.versionExchange,
         follower: feed.follower,
         guard,
         words,
@@ -253,7 +253,7 @@
     const operatorsServer = createOperatorsServer(() => feed.isReady && peers.isInformed && !runs.stopping, metrics);
     const allow = allowSecrets(cfg["peers.secrets"]);
     serveQuarantine(operatorsServer, guard, allow);
-    serveEndpoints(operatorsServer, [engines, plain], () => clock.now(), allow);
+    addEndpointRoutes(operatorsServer, [engines, plain], () => clock.now(), allow);
     const coldBounds = { over: cfg["forward.cold-over"], slack: cfg["forward.cold-slack"] };
     const declare = (): void => {
         if (latestRegistry && feed.table) declareEndpoints(feed.table, latestRegistry, coldBounds, engines, plain);
--- a/packages/host/src/operators/endpoints-api.ts
+++ b/packages/host/src/operators/endpoints-api.ts
@@ -69,7 +69,7 @@
 }
 
 /** Adds the route `/endpoints` to a server. */
-export function serveEndpoints(
+export function addEndpointRoutes(
     app: FastifyInstance,
     placements: readonly Placement[],
     now: () => number,
--- a/packages/host/src/operators/operators.ts
+++ b/packages/host/src/operators/operators.ts
@@ -63,14 +63,14 @@
         forceCloseConnections: true,
         ...(tls ? { https: tls } as object : {}),
     });
-    healthRoutes(host, app);
+    addHealthRoutes(host, app);
     serveQuarantine(app, host.guard, (req, reply, role) => allow(host, req, reply, role) !== undefined);
-    settingsRoutes(host, app);
-    auditRoutes(host, app);
+    addSettingsRoutes(host, app);
+    addAuditRoutes(host, app);
     return app;
 }
 
-function healthRoutes(host: Host, app: FastifyInstance): void {
+function addHealthRoutes(host: Host, app: FastifyInstance): void {
     app.get("/healthz", () => ({ ok: true }));
     app.get("/readyz", (_req, reply) => {
         const why = host.runs.stopping ? "stopping" : host.feed.directory ? undefined : "no settings yet";
@@ -114,7 +114,7 @@
     return host.feed.inForce?.tree ?? EMPTY;
 }
 
-function settingsRoutes(host: Host, app: FastifyInstance): void {
+function addSettingsRoutes(host: Host, app: FastifyInstance): void {
     app.get("/settings", (req, reply) => {
         if (!allow(host, req, reply, "read")) return reply;
         const head = host.feed.inForce?.snapshot.head;
@@ -209,7 +209,7 @@
     return undefined;
 }
 
-function auditRoutes(host: Host, app: FastifyInstance): void {
+function addAuditRoutes(host: Host, app: FastifyInstance): void {
     app.get("/settings/log", async (req, reply) => {
         const trail = await readAuditTrail(host, req, reply);
         return trail ? { entries: trail } : reply;
--- a/packages/host/src/runtime/call-memory.ts
+++ b/packages/host/src/runtime/call-memory.ts
@@ -23,11 +23,11 @@
     /** Whether the budget has room for so much more of a body. */
     mayTakeIn(bytes: number): boolean;
     /** Bytes that a call may hold by reading ahead of a slow reader. */
-    readAhead(): number;
+    readAheadBytes(): number;
     /** Adds to the bytes that are held of a kind; negative where they were released. */
-    change(kind: HeldKind, bytes: number): void;
+    changeHeld(kind: HeldKind, bytes: number): void;
     /** Notes whether the call's source is paused. */
-    setHeldBack(isHeldBack: boolean): void;
+    setPaused(isPaused: boolean): void;
     close(): void;
 }
 
@@ -38,7 +38,7 @@
     held: HeldBytes = NOTHING_HELD;
     private readonly openedAt: number;
     /** When the caller last read something, while bytes wait for it. */
-    private unreadSince: number | undefined;
+    private unreadBytesSince: number | undefined;
     /** Resumes the paused source of the answer; undefined while it is not paused. */
     private resumeSource: (() => void) | undefined;
     private isClosed = false;
@@ -70,34 +70,34 @@
         const before = this.held[kind];
         if (before === bytes) return;
         this.held = { ...this.held, [kind]: bytes };
-        this.host.change(kind, bytes - before);
+        this.host.changeHeld(kind, bytes - before);
     }
 
     /** Sets how many bytes wait for the caller, and whether it has just read some. */
     setUnread(bytes: number, took: boolean): void {
-        if (bytes === 0) this.unreadSince = undefined;
-        else if (took) this.unreadSince = this.clock.now();
-        else this.unreadSince ??= this.clock.now();
+        if (bytes === 0) this.unreadBytesSince = undefined;
+        else if (took) this.unreadBytesSince = this.clock.now();
+        else this.unreadBytesSince ??= this.clock.now();
         this.hold(HeldKind.Unread, bytes);
         if (took) this.readOn();
     }
 
     /** Most bytes of an answer that may be held until it is complete; unlimited where the host has no budget. */
     get holdLimit(): number {
-        return this.host.isBounded ? this.host.readAhead() : Infinity;
+        return this.host.isBounded ? this.host.readAheadBytes() : Infinity;
     }
 
     /** Whether the answer's source may be read although the caller has not read everything yet. */
     private get mayReadAhead(): boolean {
         if (this.held.unread === 0) return true;
-        return this.host.isBounded && this.held.unread + this.held.answer < this.host.readAhead();
+        return this.host.isBounded && this.held.unread + this.held.answer < this.host.readAheadBytes();
     }
 
     /** Returns whether the answer's source may be read now; if not, pauses it and calls `resume` as soon as it may. */
     whenRoom(resume: () => void): boolean {
         if (this.mayReadAhead) return true;
         this.resumeSource = resume;
-        this.host.setHeldBack(true);
+        this.host.setPaused(true);
         return false;
     }
 
@@ -106,19 +106,19 @@
         const { resumeSource } = this;
         if (!resumeSource || !this.mayReadAhead) return;
         this.resumeSource = undefined;
-        this.host.setHeldBack(false);
+        this.host.setPaused(false);
         this.onRead();
         resumeSource();
     }
 
     /** For how long the caller has read nothing of what waits for it, in milliseconds; 0 if nothing waits. */
     get callerStuckMs(): number {
-        return this.unreadSince === undefined ? 0 : this.clock.now() - this.unreadSince;
+        return this.unreadBytesSince === undefined ? 0 : this.clock.now() - this.unreadBytesSince;
     }
 
     /** The side whose reading the call waits for. */
     get unreadBy(): SlowReader | undefined {
-        if (this.unreadSince !== undefined) return "caller";
+        if (this.unreadBytesSince !== undefined) return "caller";
         return this.bodyStuckMs() > 0 ? "endpoint" : undefined;
     }
 
@@ -143,7 +143,7 @@
         if (this.isClosed) return;
         for (const kind of Object.values(HeldKind)) this.hold(kind, 0);
         this.isClosed = true;
-        this.unreadSince = undefined;
+        this.unreadBytesSince = undefined;
         this.resumeSource = undefined;
         this.bodyStuckMs = () => 0;
         this.host.close();
--- a/packages/host/src/runtime/host-memory.ts
+++ b/packages/host/src/runtime/host-memory.ts
@@ -47,7 +47,7 @@
     /** Bytes that wait for each peer, by link. */
     private readonly links = new Map<number, number>();
     /** Calls whose sources are paused. */
-    private readonly heldBack = new Set<CallMemory>();
+    private readonly pausedCalls = new Set<CallMemory>();
     private wasFull = false;
     private isReliefScheduled = false;
     private resumeTimer: NodeJS.Timeout | undefined;
@@ -89,12 +89,12 @@
         const call: CallMemory = new CallMemory(req, this.deps.clock, {
             isBounded: this.isBounded,
             mayTakeIn: bytes => this.mayTakeIn(bytes),
-            readAhead: () => readAheadBytes(this.account),
-            change: (kind, bytes) => this.change(kind, bytes),
-            setHeldBack: isHeldBack => this.setHeldBack(call, isHeldBack),
+            readAheadBytes: () => readAheadBytes(this.account),
+            changeHeld: (kind, bytes) => this.changeHeld(kind, bytes),
+            setPaused: isPaused => this.setPaused(call, isPaused),
             close: () => {
                 this.calls.delete(call);
-                this.heldBack.delete(call);
+                this.pausedCalls.delete(call);
             },
         });
         this.calls.add(call);
@@ -111,7 +111,7 @@
         const before = this.links.get(link) ?? 0;
         if (bytes === 0) this.links.delete(link);
         else this.links.set(link, bytes);
-        this.change(HeldKind.Link, bytes - before);
+        this.changeHeld(HeldKind.Link, bytes - before);
     }
 
     private mayTakeIn(bytes: number): boolean {
@@ -120,7 +120,7 @@
         return false;
     }
 
-    private change(kind: HeldKind, bytes: number): void {
+    private changeHeld(kind: HeldKind, bytes: number): void {
         if (bytes === 0) return;
         this.account = holdMore(this.account, kind, bytes);
         if (!this.isBounded) return;
@@ -183,10 +183,10 @@
         call.giveUp();
     }
 
-    private setHeldBack(call: CallMemory, isHeldBack: boolean): void {
-        if (!isHeldBack) return void this.heldBack.delete(call);
-        if (this.heldBack.has(call)) return;
-        this.heldBack.add(call);
+    private setPaused(call: CallMemory, isPaused: boolean): void {
+        if (!isPaused) return void this.pausedCalls.delete(call);
+        if (this.pausedCalls.has(call)) return;
+        this.pausedCalls.add(call);
         if (!this.isBounded) return;
         const now = this.deps.clock.now();
         if (now - this.lastLoggedAt < LOG_INTERVAL_MS) {
@@ -202,10 +202,10 @@
 
     /** Schedules a check of the paused sources: memory that other calls release lets them be read further. */
     private scheduleResume(): void {
-        if (this.resumeTimer || this.heldBack.size === 0) return;
+        if (this.resumeTimer || this.pausedCalls.size === 0) return;
         this.resumeTimer = setTimeout(() => {
             this.resumeTimer = undefined;
-            for (const call of [...this.heldBack]) call.readOn();
+            for (const call of [...this.pausedCalls]) call.readOn();
         }, RESUME_DELAY_MS);
         this.resumeTimer.unref();
     }
--- a/packages/host/src/store/deployment-feed.ts
+++ b/packages/host/src/store/deployment-feed.ts
@@ -123,7 +123,7 @@
     }
 
     /** Exchanges deployments with peers, so that a host that the store does not answer gets them too. */
-    get spread(): Spread {
+    get versionExchange(): Spread {
         return {
             news: () => ({ version: this.table?.version ?? NO_VERSION, hash: "" }),
             ask: ({ version }) => version > (this.table?.version ?? NO_VERSION) ? { have: {} } : undefined,
--- a/packages/host/src/store/endpoint-log.ts
+++ b/packages/host/src/store/endpoint-log.ts
@@ -16,7 +16,7 @@
 export function logChange(log: Log, { change, revision }: RevisedChange, { latest }: Registry): void {
     // The feed logs evacuations itself when they come into force.
     if (change.kind === "evacuated" || change.kind === "reopened") return;
-    if (change.kind !== "registered") return logGone(log, change.id, change.kind, revision);
+    if (change.kind !== "registered") return logRemoved(log, change.id, change.kind, revision);
     const { entry } = change;
     const known = latest.get(entry.id);
     const isEarlier = known !== undefined && compareLives(entry, known) === LifeOrder.Earlier;
@@ -48,13 +48,13 @@
         if (isBack || known?.entry.state !== entry.state) logRegistered(log, entry, entry.state, revision);
     }
     for (const [name, { entry, lapsedAt }] of before.endpoints) {
-        if (lapsedAt !== undefined || !isGone(after, name, entry.id)) continue;
-        logGone(log, entry.id, unreadable.includes(entry.id) ? "unreadable" : "gone", revision);
+        if (lapsedAt !== undefined || !isRemoved(after, name, entry.id)) continue;
+        logRemoved(log, entry.id, unreadable.includes(entry.id) ? "unreadable" : "gone", revision);
     }
 }
 
 /** Whether a registration is gone, even if the registry keeps the lapsed endpoint for a while in case it returns. */
-function isGone({ endpoints, latest }: Registry, name: string, id: string): boolean {
+function isRemoved({ endpoints, latest }: Registry, name: string, id: string): boolean {
     const known = endpoints.get(name);
     if (known) return known.lapsedAt !== undefined;
     // A later life that replaced this one is logged itself.
@@ -71,6 +71,6 @@
     log.info({ endpoint: incarnation, state, hall, revision }, "endpoint_changed");
 }
 
-function logGone(log: Log, id: string, state: "gone" | "unreadable", revision: number | undefined): void {
+function logRemoved(log: Log, id: string, state: "gone" | "unreadable", revision: number | undefined): void {
     log.info({ endpoint: id, state, revision }, "endpoint_changed");
 }
--- a/packages/standins/src/memory-mutations.ts
+++ b/packages/standins/src/memory-mutations.ts
@@ -86,7 +86,7 @@
     {
         promise: "memory: an answer waits here while its caller does not read",
         file: CALL_SOURCE,
-        find: "return this.host.isBounded && this.held.unread + this.held.answer < this.host.readAhead();",
+        find: "return this.host.isBounded && this.held.unread + this.held.answer < this.host.readAheadBytes();",
         replace: "return false;",
         tests: [READERS],
     },
