--- a/packages/host/src/runtime/call-memory.ts
+++ b/packages/host/src/runtime/call-memory.ts
@@ -37,8 +37,8 @@
 export class CallMemory {
     held: HeldBytes = NOTHING_HELD;
     private readonly openedAt: number;
-    /** When the caller last read something, while bytes wait for it. */
-    private unreadBytesSince: number | undefined;
+    /** When the caller last read something, or when bytes began to wait for it; undefined while none wait. */
+    private callerStalledSince: number | undefined;
     /** Resumes the paused source of the answer; undefined while it is not paused. */
     private resumeSource: (() => void) | undefined;
     private isClosed = false;
@@ -75,9 +75,9 @@
 
     /** Sets how many bytes wait for the caller, and whether it has just read some. */
     setUnread(bytes: number, took: boolean): void {
-        if (bytes === 0) this.unreadBytesSince = undefined;
-        else if (took) this.unreadBytesSince = this.clock.now();
-        else this.unreadBytesSince ??= this.clock.now();
+        if (bytes === 0) this.callerStalledSince = undefined;
+        else if (took) this.callerStalledSince = this.clock.now();
+        else this.callerStalledSince ??= this.clock.now();
         this.hold(HeldKind.Unread, bytes);
         if (took) this.readOn();
     }
@@ -113,12 +113,12 @@
 
     /** For how long the caller has read nothing of what waits for it, in milliseconds; 0 if nothing waits. */
     get callerStuckMs(): number {
-        return this.unreadBytesSince === undefined ? 0 : this.clock.now() - this.unreadBytesSince;
+        return this.callerStalledSince === undefined ? 0 : this.clock.now() - this.callerStalledSince;
     }
 
     /** The side whose reading the call waits for. */
     get unreadBy(): SlowReader | undefined {
-        if (this.unreadBytesSince !== undefined) return "caller";
+        if (this.callerStalledSince !== undefined) return "caller";
         return this.bodyStuckMs() > 0 ? "endpoint" : undefined;
     }
 
@@ -143,7 +143,7 @@
         if (this.isClosed) return;
         for (const kind of Object.values(HeldKind)) this.hold(kind, 0);
         this.isClosed = true;
-        this.unreadBytesSince = undefined;
+        this.callerStalledSince = undefined;
         this.resumeSource = undefined;
         this.bodyStuckMs = () => 0;
         this.host.close();
--- a/packages/host/src/runtime/metrics.ts
+++ b/packages/host/src/runtime/metrics.ts
@@ -62,16 +62,12 @@
     private readonly discards = this.counter(
         "drumpaddle_discarded_tokens_total",
         "Tokens from endpoints that were discarded.",
-        [
-            "reason",
-        ],
+        ["reason"],
     );
     private readonly dispatches = this.counter(
         "drumpaddle_dispatches_total",
         "Requests sent to endpoints, first and repeated.",
-        [
-            "kind",
-        ],
+        ["kind"],
     );
     private readonly preemptions = this.counter("drumpaddle_preemptions_total", "Preemptions reported by engines.", [
         "endpoint",
@@ -93,16 +89,12 @@
     private readonly copies = this.counter(
         "drumpaddle_copies_total",
         "Copies of running generations requested, by result.",
-        [
-            "result",
-        ],
+        ["result"],
     );
     private readonly stayAnswers = this.counter(
         "drumpaddle_stay_answers_total",
         "Answers of engines asked whether they leave.",
-        [
-            "answer",
-        ],
+        ["answer"],
     );
     private readonly connections = this.counter("drumpaddle_connections_total", "Connections opened to endpoints.", []);
     private readonly givenUpCalls = this.counter(
--- a/packages/host/src/store/deployment-feed.ts
+++ b/packages/host/src/store/deployment-feed.ts
@@ -63,9 +63,9 @@
 /** Together with the time limit of a read (1 s) well below the 3 s after the store's return in which its changes must be in force. */
 const MAX_RETRY_DELAY_MS = 500;
 /**
- * Timing of the calls of a watch, by why this host watches. Other hosts rely on a watcher for changes and expect them within
- * 2 s at the least, so it has to notice within 1 s that it is cut off. Each call costs money, so changes that follow each
- * other closely share one; the second watcher is a standby and collects them for longer.
+ * Timing of the calls of a watch, by why this host watches. Other hosts rely on a watcher, and the shortest time in which a
+ * change must reach them is 2 s, so a call waits for 1 s at most: a watcher notices that soon that it is cut off. Each call
+ * costs money, so changes that follow each other closely share one; the second watcher is a standby and gathers more of them.
  */
 const WATCH_TIMINGS: Readonly<Record<WatchReason, WatchTiming>> = {
     first: { waitMs: 1_000, gatherMs: 100 },
