--- a/packages/host/src/operators/endpoints-api.ts
+++ b/packages/host/src/operators/endpoints-api.ts
@@ -46,7 +46,7 @@
  *
  * @example
  * ```ts
- * listed(view, placement.view, clock.now()).coldForMs;
+ * toListedEndpoint(view, placement.view, clock.now()).coldForMs;
  * ```
  */
 export function listed(view: EndpointView, state: SchedulerState, now: number): ListedEndpoint {
--- a/packages/host/src/operators/quarantine-api.ts
+++ b/packages/host/src/operators/quarantine-api.ts
@@ -18,7 +18,7 @@
  *
  * @example
  * ```ts
- * serveQuarantine(app, guard, allowSecrets(cfg["peers.secrets"]));
+ * addQuarantineRoutes(app, guard, allowSecrets(cfg["peers.secrets"]));
  * ```
  */
 export function allowSecrets(secrets: readonly string[]): Allow {
--- a/packages/host/src/runtime/call-memory.ts
+++ b/packages/host/src/runtime/call-memory.ts
@@ -21,7 +21,7 @@
     /** Whether the host has a memory budget. */
     readonly isBounded: boolean;
     /** Whether the budget has room for so much more of a body. */
-    mayTakeIn(bytes: number): boolean;
+    mayReserveBody(bytes: number): boolean;
     /** Bytes that a call may hold by reading ahead of a slow reader. */
     readAheadBytes(): number;
     /** Adds to the bytes that are held of a kind; negative where they were released. */
@@ -59,7 +59,7 @@
 
     /** Counts so much more of the caller's body; returns false if the budget has no room for it. */
     takeIn(bytes: number): boolean {
-        if (this.host.isBounded && !this.host.mayTakeIn(bytes)) return false;
+        if (this.host.isBounded && !this.host.mayReserveBody(bytes)) return false;
         this.hold(HeldKind.Body, this.held.body + bytes);
         return true;
     }
@@ -74,12 +74,12 @@
     }
 
     /** Sets how many bytes wait for the caller, and whether it has just read some. */
-    setUnread(bytes: number, took: boolean): void {
+    setUnread(bytes: number, hasRead: boolean): void {
         if (bytes === 0) this.callerStalledSince = undefined;
-        else if (took) this.callerStalledSince = this.clock.now();
+        else if (hasRead) this.callerStalledSince = this.clock.now();
         else this.callerStalledSince ??= this.clock.now();
         this.hold(HeldKind.Unread, bytes);
-        if (took) this.readOn();
+        if (hasRead) this.readOn();
     }
 
     /** Most bytes of an answer that may be held until it is complete; unlimited where the host has no budget. */
--- a/packages/host/src/runtime/descriptors.ts
+++ b/packages/host/src/runtime/descriptors.ts
@@ -27,7 +27,7 @@
  *
  * @example
  * ```ts
- * hasDescriptors(4_100, { callers: 900, endpoints: 300, peers: 90 }); // true
+ * hasEnoughDescriptors(4_100, { callers: 900, endpoints: 300, peers: 90 }); // true
  * ```
  */
 export function hasDescriptors(
--- a/packages/host/src/runtime/host-memory.ts
+++ b/packages/host/src/runtime/host-memory.ts
@@ -82,13 +82,13 @@
      * @example
      * ```ts
      * const memory = host.memory.open("call-1");
-     * if (!memory.takeIn(length)) refuse();
+     * if (!memory.reserveBody(length)) refuse();
      * ```
      */
     open(req: string): CallMemory {
         const call: CallMemory = new CallMemory(req, this.deps.clock, {
             isBounded: this.isBounded,
-            mayTakeIn: bytes => this.mayTakeIn(bytes),
+            mayReserveBody: bytes => this.mayReserveBody(bytes),
             readAheadBytes: () => readAheadBytes(this.account),
             changeHeld: (kind, bytes) => this.changeHeld(kind, bytes),
             setPaused: isPaused => this.setPaused(call, isPaused),
@@ -114,7 +114,7 @@
         this.changeHeld(HeldKind.Link, bytes - before);
     }
 
-    private mayTakeIn(bytes: number): boolean {
+    private mayReserveBody(bytes: number): boolean {
         if (mayTakeIn(this.account, bytes)) return true;
         this.deps.metrics.countMemoryRefusal();
         return false;
--- a/packages/host/src/runtime/random-sample.ts
+++ b/packages/host/src/runtime/random-sample.ts
@@ -11,7 +11,7 @@
  *
  * @example
  * ```ts
- * someOf(["a", "b", "c"], 2).length; // 2
+ * randomSample(["a", "b", "c"], 2).length; // 2
  * ```
  */
 export function someOf(names: readonly string[], count: number, random: () => number = Math.random): readonly string[] {
--- a/packages/host/src/store/deployment-feed.ts
+++ b/packages/host/src/store/deployment-feed.ts
@@ -37,7 +37,7 @@
 } from "@drumpaddle/routes";
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
-import { logChange, logDifferences, type RevisedChange } from "./endpoint-log.js";
+import { type ChangeAtRevision, logChange, logDifferences } from "./endpoint-log.js";
 import { RegistrationReader } from "./registrations.js";
 import type { StoreState, StoreUpdate } from "./store-messages.js";
 import type { StoreFollower } from "./store-sharing.js";
@@ -447,7 +447,7 @@
         const now = this.deps.clock.now();
         if (source === "store") this.setLastCallAnswered(true);
         const answered = storeAnswered(this.registry, now);
-        const registryChanges: RevisedChange[] = [];
+        const registryChanges: ChangeAtRevision[] = [];
         const known = this.position ?? NO_POSITION;
         const newChanges = changes.filter(({ modRevision }) => isAfter({ epoch, revision: modRevision }, known));
         for (const entry of newChanges) {
@@ -463,7 +463,7 @@
         const next = registryChanges.length > 0
             ? applyChanges(answered, registryChanges.map(({ change }) => change), now)
             : answered;
-        for (const revisedChange of registryChanges) logChange(this.deps.log, revisedChange, next);
+        for (const change of registryChanges) logChange(this.deps.log, change, next);
         this.setRegistry(next);
         if (source === "peer" || newChanges.length === 0) return;
         const update = this.updateWith(newChanges, known.revision);
--- a/packages/host/src/store/endpoint-log.ts
+++ b/packages/host/src/store/endpoint-log.ts
@@ -7,13 +7,13 @@
 import type { Log } from "../runtime/log.js";
 
 /** A change of the registry, with the store's revision that made it. */
-export interface RevisedChange {
+export interface ChangeAtRevision {
     readonly change: RegistryChange;
     readonly revision: number;
 }
 
 /** Logs a single change that the store or a watching peer reported. */
-export function logChange(log: Log, { change, revision }: RevisedChange, { latest }: Registry): void {
+export function logChange(log: Log, { change, revision }: ChangeAtRevision, { latest }: Registry): void {
     // The feed logs evacuations itself when they come into force.
     if (change.kind === "evacuated" || change.kind === "reopened") return;
     if (change.kind !== "registered") return logRemoved(log, change.id, change.kind, revision);
--- a/packages/host/src/store/store-messages.ts
+++ b/packages/host/src/store/store-messages.ts
@@ -32,7 +32,7 @@
     readonly changes: readonly KvChange[];
 }
 
-/** A host's whole state by the store, at a position in its history. */
+/** All that a host knows from the store, at a position in the store's history. */
 export interface StoreState extends StorePosition {
     /** How many milliseconds ago the store is known to have answered the sender or a host that it follows. */
     readonly ageMs: number;
--- a/packages/host/src/store/store-sharing.ts
+++ b/packages/host/src/store/store-sharing.ts
@@ -22,7 +22,7 @@
 import { repeat } from "../runtime/repeat.js";
 import type { StorePeerMessage, StoreStamp, StoreState, StoreUpdate } from "./store-messages.js";
 
-/** A host's state by the store, and its own watch of the store, as {@link StoreSharing} uses them. */
+/** What a host knows from the store, and its own watch of the store, as {@link StoreSharing} uses them. */
 export interface StoreFollower {
     /** Whether the store answers this host's watch, and when it last answered this host or one that it follows. */
     heard(): Omit<StoreHeard, "seeking">;
--- a/packages/host/src/store/version-exchange.ts
+++ b/packages/host/src/store/version-exchange.ts
@@ -14,7 +14,7 @@
 } from "@drumpaddle/hall";
 import type { SettingsFeed } from "./settings-feed.js";
 
-/** A feed as seen by the exchange of its versions with peers. */
+/** Exchanges a feed's versions with peers: announces, requests, sends and accepts them. */
 export interface Spread {
     /** The version in force, as messages to peers announce it. */
     news(): VersionNews;
@@ -28,7 +28,7 @@
     setWatching(watching: boolean): void;
 }
 
-/** Exchanges versions of the settings tree. */
+/** The exchange of versions of the settings. */
 export function settingsExchange(feed: SettingsFeed): Spread {
     return {
         news: () => newsOf(feed.inForce),
--- a/packages/host/test/deployment-feed.test.ts
+++ b/packages/host/test/deployment-feed.test.ts
@@ -54,10 +54,10 @@
 
 /** A feed whose watches all end as the history was compacted, so that it reads the whole store each time; only these reads are answered. */
 function rereadingFeed(reads: readonly KvList[]): RunningFeed {
-    const unanswered = [...reads];
+    const pendingReads = [...reads];
     const compacted: KvError = { kind: "compacted", detail: "" };
     const list = (): Promise<KvResult<KvList>> => {
-        const next = unanswered.shift();
+        const next = pendingReads.shift();
         return next ? Promise.resolve(kvOk(next)) : NEVER;
     };
     return feedOf({ list, watch: () => Promise.resolve(compacted) } as unknown as KeyValue);
--- a/packages/standins/src/memory-mutations.ts
+++ b/packages/standins/src/memory-mutations.ts
@@ -79,7 +79,7 @@
     {
         promise: "memory: a caller's progress counts",
         file: CALL_SOURCE,
-        find: "if (took) this.readOn();",
+        find: "if (hasRead) this.readOn();",
         replace: "",
         tests: [READERS],
     },
