--- a/packages/host/src/operators/operators.ts
+++ b/packages/host/src/operators/operators.ts
@@ -53,7 +53,7 @@
     unknown: 504,
 };
 
-/** Most bytes of an edit: more than a whole tree of settings needs. */
+/** Maximum size of an edit, in bytes: more than a whole tree of settings needs. */
 const MAX_EDIT_BYTES = 16_000_000;
 
 /** Creates the operators' server, which does not listen yet. */
--- a/packages/host/src/runtime/config.ts
+++ b/packages/host/src/runtime/config.ts
@@ -34,7 +34,7 @@
     "host.descriptors": {
         type: count(0, 100_000_000),
         optional: true,
-        doc: "Most file descriptors of this process; before they run out, calls are refused as not run.",
+        doc: "Maximum number of file descriptors of this process; before they run out, calls are refused as not run.",
     },
     "host.memory": {
         type: ratio(0, 1_000_000),
@@ -51,7 +51,7 @@
     "callers.header-bytes": {
         type: count(1_000, 1_000_000),
         fallback: "16384",
-        doc: "Most bytes of a request's head.",
+        doc: "Maximum size of a request's head, in bytes.",
     },
     "callers.body-timeout": {
         type: duration(10, 600_000),
--- a/packages/host/src/store/deployment-feed.ts
+++ b/packages/host/src/store/deployment-feed.ts
@@ -405,8 +405,8 @@
         if (deployment) this.offerStored(deployment, "store");
         const summary = { endpoints: endpoints.length, deployment: deployment !== undefined };
         log.info({ epoch, revision, ...summary, behind: isOutdated }, "store_read");
-        const whole = isOutdated ? answered : replaceAll(answered, endpoints, unreadable, evacuated, now);
-        this.replaceRegistry(whole, unreadable);
+        const registry = isOutdated ? answered : replaceAll(answered, endpoints, unreadable, evacuated, now);
+        this.replaceRegistry(registry, unreadable);
         this.setLastCallAnswered(true);
         return { epoch, revision };
     }
--- a/packages/host/src/store/registrations.ts
+++ b/packages/host/src/store/registrations.ts
@@ -16,7 +16,7 @@
     readonly metrics: Metrics;
 }
 
-/** Most unreadable registrations that are remembered, so that each is logged once. */
+/** Maximum number of unreadable registrations that are remembered, so that each is logged once. */
 const MAX_REPORTED = 1_000;
 
 /** Decodes registrations for one host, and logs each unreadable one once. */
