--- a/packages/host/src/runtime/call-memory.ts
+++ b/packages/host/src/runtime/call-memory.ts
@@ -82,7 +82,7 @@
         if (hasRead) this.readOn();
     }
 
-    /** Maximum of bytes of an answer that may be held until it is complete; unlimited if the host has no budget. */
+    /** Maximum number of bytes of an answer that may be held until it is complete; unlimited if the host has no budget. */
     get holdLimit(): number {
         return this.host.isBounded ? this.host.readAheadBytes() : Infinity;
     }
--- a/packages/host/src/runtime/host-memory.ts
+++ b/packages/host/src/runtime/host-memory.ts
@@ -101,7 +101,7 @@
         return call;
     }
 
-    /** Maximum of bytes that may wait for one peer; undefined if the host has no budget. */
+    /** Maximum number of bytes that may wait for one peer; undefined if the host has no budget. */
     linkBytes(): number | undefined {
         return this.isBounded ? linkBytes(this.account) : undefined;
     }
--- a/packages/host/src/runtime/metrics.ts
+++ b/packages/host/src/runtime/metrics.ts
@@ -254,7 +254,7 @@
             },
         });
         if (budgetBytes !== undefined) {
-            this.gauge("drumpaddle_held_budget_bytes", "Maximum of bytes that may be held.").set(budgetBytes);
+            this.gauge("drumpaddle_held_budget_bytes", "Maximum number of bytes that may be held.").set(budgetBytes);
         }
     }
 
