--- a/packages/host/src/daemon.ts
+++ b/packages/host/src/daemon.ts
@@ -1,5 +1,6 @@
 /**
- * The daemon of one entry host: builds its parts, starts them, and stops them without cutting a request.
+ * The daemon of an entry host with the completions interface: creates its parts, starts them, and stops them without cutting
+ * requests.
  *
  * @module
  */
@@ -20,37 +21,37 @@
 import { RequestGuard } from "./endpoints/request-guard.js";
 import { createOperators } from "./operators/operators.js";
 import { Peers } from "./peers/peers.js";
-import { budgetBytes, type HostCfg } from "./runtime/config.js";
+import { type HostCfg, memoryBudgetBytes } from "./runtime/config.js";
 import { HostMemory } from "./runtime/host-memory.js";
 import type { Log } from "./runtime/log.js";
 import { Metrics } from "./runtime/metrics.js";
 import { SettingsFeed } from "./store/settings-feed.js";
 import { SettingsStore } from "./store/settings-store.js";
-import { treeSpread } from "./store/spread.js";
+import { settingsExchange } from "./store/version-exchange.js";
 import { watchEndpoints } from "./watch-endpoints.js";
 
 /** A running daemon. */
 export interface Daemon {
     readonly host: Host;
-    /** Where callers are served, as `http://ip:port`. */
+    /** The base URL for callers, such as `http://127.0.0.1:8080`. */
     readonly callersUrl: string;
     readonly operatorsUrl: string;
-    /** Where peers connect, as `ip:port`. */
+    /** The address for peers, as `ip:port`. */
     readonly peerAddress: string;
-    /** Refuses new requests, finishes those that run, then ends. */
+    /** Refuses new requests, finishes those that run, then stops. */
     stop(): Promise<void>;
-    /** Ends at once; requests are cut. */
+    /** Stops at once, cutting requests. */
     kill(): Promise<void>;
 }
 
 const CONNECTIONS_PER_ENDPOINT = 512;
 const KEEP_ALIVE_MS = 30_000;
 const CONNECT_TIMEOUT_MS = 1_000;
-/** Plain services have no memory to plan with: the endpoint with the fewest open calls is taken. */
+/** Plain services report no memory to plan with, so the endpoint with the fewest open calls is chosen. */
 const PLAIN_VARIANT = { ...DEFAULT_VARIANT, admission: "none", choice: "leastOutstanding" } as const;
 
 /**
- * Starts a daemon; resolves when its ports listen. It is ready when it has settings.
+ * Starts a daemon. Resolves when its servers listen; the daemon is ready once it has settings.
  *
  * @example
  * ```ts
@@ -59,10 +60,10 @@
  * ```
  */
 export async function startDaemon(cfg: HostCfg, log: Log, clock: Clock = createClock()): Promise<Daemon> {
-    const own = new AbortController();
-    // Every call on its way listens to it.
-    setMaxListeners(0, own.signal);
-    const { signal } = own;
+    const controller = new AbortController();
+    // Each running call adds a listener, so there is no maximum to warn about.
+    setMaxListeners(0, controller.signal);
+    const { signal } = controller;
     const kv = createEtcd({ url: cfg["platform.key-value"], timeoutMs: cfg["platform.timeout"] });
     const store = new SettingsStore(kv, cfg["platform.prefix"]);
     const metrics = new Metrics();
@@ -105,13 +106,13 @@
         plain: new Placement(signal, clock, PLAIN_VARIANT),
         runs: new OpenRuns(),
         limits: new LimitBook(),
-        memory: new HostMemory({ budgetBytes: budgetBytes(cfg), clock, log, metrics }),
+        memory: new HostMemory({ budgetBytes: memoryBudgetBytes(cfg), clock, log, metrics }),
         guard,
         claims: new Claims(kv, cfg["platform.prefix"], signal),
         peers: undefined,
     };
     if (cfg["peers.secrets"].length === 0) log.warn({}, "peers_secret_missing");
-    host.peers = await Peers.start({ ...host, spread: treeSpread(feed) });
+    host.peers = await Peers.start({ ...host, spread: settingsExchange(feed) });
     clock.onWake(({ suspendedMs, jumpMs }) => {
         log.warn({ suspended_ms: Math.round(suspendedMs), jump_ms: Math.round(jumpMs) }, "host_woke");
         host.runs.woke();
@@ -134,7 +135,7 @@
         tls: tls !== undefined,
     }, "listening");
     const end = async (): Promise<void> => {
-        own.abort();
+        controller.abort();
         await Promise.all([servers.callers.close(), servers.operators.close()]);
         await dispatcher.destroy();
     };
--- a/packages/host/src/gateway.ts
+++ b/packages/host/src/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * The daemon of an entry host that forwards calls as they are: builds its parts, starts them, and stops them without
- * cutting a call.
+ * The daemon of an entry host that forwards calls unchanged: creates its parts, starts them, and stops them without cutting
+ * calls before the platform's deadline.
  *
  * @module
  */
@@ -34,11 +34,11 @@
 import { RequestGuard } from "./endpoints/request-guard.js";
 import { watchSpeeds } from "./endpoints/speed-watch.js";
 import { watchStays } from "./endpoints/stay-watch.js";
-import { serveEndpoints } from "./operators/endpoints-api.js";
+import { addEndpointRoutes } from "./operators/endpoints-api.js";
 import { allowSecrets, serveQuarantine } from "./operators/quarantine-api.js";
 import { Peers } from "./peers/peers.js";
-import { budgetBytes, type HostCfg } from "./runtime/config.js";
-import { Descriptors } from "./runtime/descriptors.js";
+import { type HostCfg, memoryBudgetBytes } from "./runtime/config.js";
+import { DescriptorLimit } from "./runtime/descriptors.js";
 import { HostMemory } from "./runtime/host-memory.js";
 import type { Log } from "./runtime/log.js";
 import { Metrics } from "./runtime/metrics.js";
@@ -47,23 +47,23 @@
 
 /** A running gateway. */
 export interface Gateway {
-    /** Ports that it listens at; those of the settings, or where they say 0, of the system's choice. */
+    /** The ports that it listens on: those of the settings, or chosen by the system where the settings have 0. */
     readonly ports: {
         readonly callers: number;
         readonly operators: number;
         readonly peers: number;
-        /** Undefined where no address for metrics alone is given. */
+        /** Undefined if the settings have no separate address for metrics. */
         readonly metrics: number | undefined;
     };
-    /** Refuses new streams, serves what it can until its time is over, then ends. */
+    /** Refuses new streams, serves the rest until it is done or the time to stop is over, then stops. */
     stop(): Promise<void>;
-    /** Ends at once; calls are cut. */
+    /** Stops at once, cutting calls. */
     kill(): Promise<void>;
 }
 
-/** Plain services have no memory to plan with: the endpoint with the fewest open calls is taken. */
+/** Plain services report no memory to plan with, so the endpoint with the fewest open calls is chosen. */
 const PLAIN_VARIANT = { ...DEFAULT_VARIANT, admission: "none", choice: "leastOutstanding" } as const;
-/** Shared parts of prompts are small beside the prompts, so that where they are kept decides nothing. */
+/** Prefixes that prompts share are small beside the prompts, so which endpoint has one cached does not affect the choice. */
 const ENGINE_VARIANT = {
     ...DEFAULT_VARIANT,
     prefix: false,
@@ -71,20 +71,20 @@
     backups: true,
     askAlways: true,
 } as const;
-/** How long one call of a watch waits, and the time for its answer beyond that: a lost one is noticed within their sum. */
-const WATCH_MS = 2_000;
+/** How long one call of a watch waits for changes, and the further time for its response: a lost one is noticed within their sum. */
+const WATCH_WAIT_MS = 2_000;
 const WATCH_MARGIN_MS = 400;
-/** A stop ends this long before the platform ends the process. */
+/** Time from the end of a stop until the platform kills the process. */
 const STOP_MARGIN_MS = 400;
-/** A stopping host looks this often whether anything still runs, and gives its last refusals this long to leave. */
-const STOP_LOOK_MS = 50;
+/** How often a stopping host checks whether calls still run, and the time that it allows for sending its last refusals. */
+const STOP_POLL_MS = 50;
 const STOP_FLUSH_MS = 100;
-/** A host that does nothing notices a wake within this time. */
-const LOOK_AT_CLOCK_MS = 50;
+/** How often the clock is read, by which an idle host notices that it was suspended. */
+const CLOCK_POLL_MS = 50;
 const SEED_RANGE = 1_000_000;
 
 /**
- * Starts a gateway; resolves when its ports listen. It is ready when it has a deployment and knows the endpoints.
+ * Starts a gateway. Resolves when its servers listen; the gateway is ready once it has a deployment and the endpoints.
  *
  * @example
  * ```ts
@@ -93,15 +93,15 @@
  * ```
  */
 export async function startGateway(cfg: HostCfg, log: Log, clock: Clock = createClock()): Promise<Gateway> {
-    const own = new AbortController();
-    const { signal } = own;
-    // Every call on its way listens to it.
+    const controller = new AbortController();
+    const { signal } = controller;
+    // Each running call adds a listener, so there is no maximum to warn about.
     setMaxListeners(0, signal);
     const metrics = new Metrics();
     const kv = createPlatformStore({
         url: cfg["platform.key-value"],
         timeoutMs: cfg["platform.timeout"],
-        watchMs: WATCH_MS,
+        watchMs: WATCH_WAIT_MS,
         watchMarginMs: WATCH_MARGIN_MS,
         onCall: call => metrics.countStoreCall(call, feed.callReason),
     });
@@ -116,7 +116,7 @@
     const options = { hall: cfg["host.hall"], retries };
     const engines = new Placement(signal, clock, ENGINE_VARIANT, seed, options);
     const plain = new Placement(signal, clock, PLAIN_VARIANT, seed, options);
-    const memory = new HostMemory({ budgetBytes: budgetBytes(cfg), clock, log, metrics });
+    const memory = new HostMemory({ budgetBytes: memoryBudgetBytes(cfg), clock, log, metrics });
     const copies = new Copies({
         clock,
         engines,
@@ -135,7 +135,7 @@
             onAnswered: address => peers.reach.answered(address),
             onUnreachable: address => peers.reach.failed(address),
             onEndedAtRest: address => {
-                for (const endpoint of endpointsAt(address, known)) doubts.raise(endpoint);
+                for (const endpoint of endpointsAt(address, latestRegistry)) doubts.raise(endpoint);
             },
         },
     );
@@ -150,15 +150,15 @@
             endings.broke(endpoint, run);
         },
     });
-    let known: Registry | undefined;
+    let latestRegistry: Registry | undefined;
     const endings = new EndingWatch({
         clock,
         log,
-        probe: endpoint => probeWhereAllowed(endpoint, [engines, plain], signal),
+        probe: endpoint => probeWithinLimit(endpoint, [engines, plain], signal),
         isLeaving: incarnation => isLeaving(incarnation, engines, plain),
-        // One that had said that it leaves has ended as planned.
-        isOver: incarnation => hasBegunAgain(incarnation, known) && !words.hasSaidLeaving(incarnation),
-        isDeaf: () => feed.isDeaf,
+        // An endpoint that had reported that it leaves has ended as planned.
+        isOver: incarnation => hasRestarted(incarnation, latestRegistry) && !words.hasSaidLeaving(incarnation),
+        isDeaf: () => feed.isStoreAway,
         onEnded: ending => guard.ended(ending),
         onNotEnded: runs => guard.notEnded(runs),
         meetLife: life => peers.meetLife(life),
@@ -166,7 +166,7 @@
     const doubts = new LifeDoubts({
         log,
         placements: [engines, plain],
-        probe: endpoint => probeWhereAllowed(endpoint, [engines, plain], signal),
+        probe: endpoint => probeWithinLimit(endpoint, [engines, plain], signal),
         meetLife: life => peers.meetLife(life),
     });
     const words = new EndpointWords({
@@ -177,12 +177,12 @@
         tell: news => peers.tellWords(news),
     });
     let endsAt: number | undefined;
-    let callersOpen = 0;
-    const descriptors = new Descriptors({
-        most: cfg["host.descriptors"],
+    let openCallerSockets = 0;
+    const descriptorLimit = new DescriptorLimit({
+        maxDescriptors: cfg["host.descriptors"],
         log,
-        open: () => ({ callers: callersOpen, endpoints: connections.size, peers: peers.connections }),
-        free: () => connections.forgetAll(),
+        countSockets: () => ({ callers: openCallerSockets, endpoints: connections.size, peers: peers.connections }),
+        closeIdle: () => connections.forgetAll(),
     });
     const deps: Forwarding = {
         wire: platformWire,
@@ -202,15 +202,15 @@
         bodyMs: cfg["callers.body-timeout"],
         logCalls: cfg["log.requests"],
         endsAt: () => endsAt,
-        hasDescriptors: () => descriptors.hasRoom(),
+        hasDescriptors: () => descriptorLimit.hasRoom(),
         isStale: () => feed.isStale,
         table: () => feed.table,
         endpoint: incarnation => feed.endpoint(incarnation),
-        isEvacuated: hall => known?.halls.evacuated.has(hall) === true,
+        isEvacuated: hall => latestRegistry?.halls.evacuated.has(hall) === true,
         hallsIn: homes => hallsIn(cfg["forward.regions"], homes),
-        softwareOf: service => softwareOf(service, known),
+        softwareOf: service => softwareOf(service, latestRegistry),
         onOtherIncarnation: incarnation => {
-            // A source of its own: an owner that has not met the other one says that this one stays.
+            // A separate source, so that an owner that does not know of the new incarnation cannot reset it to staying.
             if (engines.setLeaving(incarnation, "address", true) || plain.setLeaving(incarnation, "address", true)) {
                 log.warn({ endpoint: incarnation }, "endpoint_is_another_one");
             }
@@ -223,8 +223,8 @@
         onCall: (req, target, out) => forward(deps, req, target, out),
     });
     callers.server.on("connection", (socket: Socket) => {
-        callersOpen += 1;
-        socket.once("close", () => callersOpen -= 1);
+        openCallerSockets += 1;
+        socket.once("close", () => openCallerSockets -= 1);
     });
     const peers: Peers = await Peers.start({
         cfg,
@@ -233,7 +233,7 @@
         metrics,
         engines,
         plain,
-        spread: feed.spread,
+        spread: feed.versionExchange,
         follower: feed.follower,
         guard,
         words,
@@ -243,31 +243,31 @@
     clock.onWake(({ suspendedMs, jumpMs }) => {
         log.warn({ suspended_ms: Math.round(suspendedMs), jump_ms: Math.round(jumpMs) }, "host_woke");
         connections.forgetAll();
-        feed.woke(suspendedMs);
+        feed.onWake(suspendedMs);
         runs.woke();
         peers.woke();
     });
-    // Without a call a wake is noticed by the next of these.
-    repeat(() => void clock.now(), () => LOOK_AT_CLOCK_MS, signal);
+    // Reading the clock detects a suspension; without calls nothing else does.
+    repeat(() => void clock.now(), () => CLOCK_POLL_MS, signal);
     watchSpeeds({ clock, log, metrics, view: () => engines.view, signal });
-    const operators = createProbes(() => feed.isReady && peers.isInformed && !runs.stopping, metrics);
+    const operatorsServer = createOperatorsServer(() => feed.isReady && peers.isInformed && !runs.stopping, metrics);
     const allow = allowSecrets(cfg["peers.secrets"]);
-    serveQuarantine(operators, guard, allow);
-    serveEndpoints(operators, [engines, plain], () => clock.now(), allow);
-    const bounds = { over: cfg["forward.cold-over"], slack: cfg["forward.cold-slack"] };
+    serveQuarantine(operatorsServer, guard, allow);
+    addEndpointRoutes(operatorsServer, [engines, plain], () => clock.now(), allow);
+    const coldBounds = { over: cfg["forward.cold-over"], slack: cfg["forward.cold-slack"] };
     const declare = (): void => {
-        if (known && feed.table) declareEndpoints(feed.table, known, bounds, engines, plain);
+        if (latestRegistry && feed.table) declareEndpoints(feed.table, latestRegistry, coldBounds, engines, plain);
     };
     feed.onDeployment(table => {
         applyLimits(callers, table.deployment.limits);
         declare();
     });
     feed.onEndpoints(registry => {
-        known = registry;
+        latestRegistry = registry;
         peers.reach.setEndpoints([...registry.endpoints.values()].map(({ entry }) => entry));
         declare();
         endings.take(registry);
-        endLives(registry, { lives, connections, engines, plain, log });
+        endFinishedLives(registry, { lives, connections, engines, plain, log });
         words.count();
         copies.evacuate();
     });
@@ -277,8 +277,8 @@
         log,
         metrics,
         signal,
-        isDeaf: () => feed.isDeaf,
-        owned: () => ownedEngines(engines, feed, peers),
+        isDeaf: () => feed.isStoreAway,
+        owned: () => ownedEnginesInUse(engines, feed, peers),
         mayAsk: incarnation => engines.mayAsk(incarnation),
         onStay: (endpoint, { leaving, born }) => {
             const life = { id: endpoint.id, born };
@@ -291,11 +291,11 @@
             peers.tellNow();
         },
     });
-    const collectors = createMetricsServer(metrics);
+    const metricsServer = createMetricsServer(metrics);
     const [operatorsPort, callersPort, metricsPort] = await Promise.all([
-        listen(operators, cfg["operators.listen"]),
+        listen(operatorsServer, cfg["operators.listen"]),
         listen(callers, cfg["callers.listen"]),
-        cfg["metrics.listen"] === undefined ? undefined : listen(collectors, cfg["metrics.listen"]),
+        cfg["metrics.listen"] === undefined ? undefined : listen(metricsServer, cfg["metrics.listen"]),
     ]);
     feed.start();
     const { capacity } = peers;
@@ -308,19 +308,19 @@
         held_budget: memory.state.budget,
     }, "listening");
     const kill = async (): Promise<void> => {
-        own.abort();
+        controller.abort();
         callers.server.closeAllConnections();
-        await Promise.all([callers.close(), operators.close(), collectors.close()]);
+        await Promise.all([callers.close(), operatorsServer.close(), metricsServer.close()]);
     };
     const stop = async (): Promise<void> => {
         log.info({ open: runs.size }, "stopping");
         peers.leave();
         void runs.drain();
-        const end = clock.now() + cfg["forward.stop-grace"] - STOP_MARGIN_MS;
-        endsAt = end;
+        const deadline = clock.now() + cfg["forward.stop-grace"] - STOP_MARGIN_MS;
+        endsAt = deadline;
         await pause(cfg["callers.still-served"]);
-        while (runs.size > 0 && clock.now() < end) await pause(STOP_LOOK_MS);
-        // From here on every call is refused as not run; the answers get a moment to leave.
+        while (runs.size > 0 && clock.now() < deadline) await pause(STOP_POLL_MS);
+        // From here on every call is refused as not run; the pause lets these answers be sent.
         endsAt = clock.now();
         await pause(STOP_FLUSH_MS);
         log.info({ open: runs.size }, "stopped");
@@ -332,20 +332,20 @@
 }
 
 /**
- * Engines that this host asks for all: those that it owns and that hold streams or their copies. A host that is cut off owns all that it
- * knows, but nobody else's streams are told to it.
+ * Engines that this host polls on behalf of all hosts: those that it owns and that hold streams or copies of streams. A host that is
+ * cut off from its peers owns all engines that it knows, but gets no reports of other hosts' streams.
  */
-function ownedEngines(engines: Placement, feed: DeploymentFeed, peers: Peers): readonly EndpointEntry[] {
+function ownedEnginesInUse(engines: Placement, feed: DeploymentFeed, peers: Peers): readonly EndpointEntry[] {
     return engines.view.endpoints.values()
-        .filter(view => holdsAny(view) && peers.owns(view.cfg.id))
+        .filter(view => holdsStreams(view) && peers.owns(view.cfg.id))
         .flatMap(view => feed.endpoint(view.cfg.id) ?? []);
 }
 
 /**
- * Ends what rests on lives that are found to be over: first their copies, so that no stream goes on there, then their streams,
- * which go on elsewhere or are told as unknown.
+ * Ends what depends on endpoint lives that turn out to be over: first their copies, so that no stream continues there, then their
+ * streams, which continue elsewhere or end with an unknown outcome.
  */
-function endLives(
+function endFinishedLives(
     registry: Registry,
     { lives, connections, engines, plain, log }: Pick<
         Forwarding,
@@ -362,13 +362,13 @@
     }
 }
 
-/** Halls of some regions, by a list of `hall:region`. */
+/** The halls in any of some regions, by a list of `hall:region` pairs. */
 function hallsIn(regions: readonly string[], homes: readonly string[]): readonly string[] {
     const pairs = regions.map(pair => pair.split(":") as [string, string]);
     return pairs.filter(([, region]) => homes.includes(region)).map(([hall]) => hall);
 }
 
-/** Versions of the software of a service's endpoints that take new work. */
+/** The software versions of a service's endpoints that take new requests. */
 function softwareOf(service: string, registry: Registry | undefined): readonly string[] {
     const entries = [...registry?.endpoints.values() ?? []].map(({ entry }) => entry);
     return entries.filter(entry => entry.service === service && entry.state === EndpointState.Ready)
@@ -381,24 +381,24 @@
     return entries.filter(entry => entry.address === address);
 }
 
-/** Whether an endpoint that was not leaving has begun a later life. */
-function hasBegunAgain(incarnation: string, registry: Registry | undefined): boolean {
+/** Whether an endpoint's life is over, though it was not leaving. */
+function hasRestarted(incarnation: string, registry: Registry | undefined): boolean {
     const departed = registry?.departed.get(incarnation);
     return departed?.isOver === true && departed.entry.state === EndpointState.Ready;
 }
 
-/** Asks an endpoint whether its life is still there, unless the limit that it names keeps the question away. */
-async function probeWhereAllowed(
+/** Asks an endpoint whether its life still runs, unless that request would exceed the endpoint's limit. */
+async function probeWithinLimit(
     { incarnation, address, id, born }: WatchedEndpoint,
     placements: readonly Placement[],
     signal: AbortSignal,
 ): Promise<LifeSign> {
     const isAllowed = placements.every(placement => placement.mayAsk(incarnation));
-    if (!isAllowed) return { kind: "unknown", detail: "its limit keeps the question away" };
+    if (!isAllowed) return { kind: "unknown", detail: "not asked, as the endpoint's limit allows no request" };
     return probeByReport(platformWire, address, { id, born }, signal);
 }
 
-function holdsAny({ streams, backups, others }: EndpointView): boolean {
+function holdsStreams({ streams, backups, others }: EndpointView): boolean {
     return streams.size + backups.size > 0 || others.curve.mean[0]! > 0;
 }
 
@@ -406,8 +406,8 @@
     return new Promise(resolve => setTimeout(resolve, ms));
 }
 
-/** The port at which the platform asks for readiness, and which tells the metrics. */
-function createProbes(isReady: () => boolean, metrics: Metrics): FastifyInstance {
+/** Creates the operators' server, with the platform's readiness check and the metrics. */
+function createOperatorsServer(isReady: () => boolean, metrics: Metrics): FastifyInstance {
     const app = Fastify({ forceCloseConnections: true });
     app.get(platformWire.readyPath, (_req, reply) => {
         const ready = isReady();
@@ -417,7 +417,7 @@
     return app;
 }
 
-/** A port for metrics alone. */
+/** Creates a server with the metrics only. */
 function createMetricsServer(metrics: Metrics): FastifyInstance {
     const app = Fastify({ forceCloseConnections: true });
     serveMetrics(app, metrics);
@@ -428,7 +428,7 @@
     app.get("/metrics", async (_req, reply) => reply.type("text/plain; version=0.0.4").send(await metrics.text()));
 }
 
-/** Listens at `ip:port`; gives the port. */
+/** Listens on `ip:port`; returns the port. */
 async function listen(app: FastifyInstance, address: string): Promise<number> {
     const at = address.lastIndexOf(":");
     await app.listen({ host: address.slice(0, at), port: Number(address.slice(at + 1)) });
--- a/packages/host/src/operators/operators.ts
+++ b/packages/host/src/operators/operators.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' port: health, metrics, and the settings with their audit trail.
+ * The operators' HTTP server: health, metrics, quarantine, and the settings with their audit trail.
  *
  * @module
  */
@@ -44,7 +44,7 @@
     hall: Type.Optional(Type.String()),
 });
 
-const EDIT_STATUS: { readonly [K in EditResult["kind"]]: number } = {
+const STATUS_BY_RESULT: { readonly [K in EditResult["kind"]]: number } = {
     accepted: 200,
     noChange: 200,
     conflict: 409,
@@ -53,24 +53,24 @@
     unknown: 504,
 };
 
-/** Bytes of a whole tree with room to spare. */
-const LARGEST_EDIT = 16_000_000;
+/** Maximum size of an edit, in bytes: more than a whole tree of settings needs. */
+const MAX_EDIT_BYTES = 16_000_000;
 
-/** Builds the operators' server; it does not listen yet. */
+/** Creates the operators' server, which does not listen yet. */
 export function createOperators(host: Host, tls: { cert: string; key: string } | undefined): FastifyInstance {
     const app = Fastify({
-        bodyLimit: LARGEST_EDIT,
+        bodyLimit: MAX_EDIT_BYTES,
         forceCloseConnections: true,
         ...(tls ? { https: tls } as object : {}),
     });
-    health(host, app);
+    addHealthRoutes(host, app);
     serveQuarantine(app, host.guard, (req, reply, role) => allow(host, req, reply, role) !== undefined);
-    settingsRoutes(host, app);
-    trailRoutes(host, app);
+    addSettingsRoutes(host, app);
+    addAuditRoutes(host, app);
     return app;
 }
 
-function health(host: Host, app: FastifyInstance): void {
+function addHealthRoutes(host: Host, app: FastifyInstance): void {
     app.get("/healthz", () => ({ ok: true }));
     app.get("/readyz", (_req, reply) => {
         const why = host.runs.stopping ? "stopping" : host.feed.directory ? undefined : "no settings yet";
@@ -87,7 +87,7 @@
     readonly role: Role;
 }
 
-/** Who asks: an operator of the tree, or the bootstrap token while the tree names none. */
+/** The operator whose token a request carries; the bootstrap token counts while the settings name no operator. */
 function operatorOf(host: Host, req: FastifyRequest): Operator | undefined {
     const token = /^Bearer (\S+)$/.exec(req.headers.authorization ?? "")?.[1];
     if (token === undefined) return undefined;
@@ -99,6 +99,7 @@
     return open && hashSecret(token) === bootstrap ? { name: "bootstrap", role: "edit" } : undefined;
 }
 
+/** The operator of a request, if it may act in a role; otherwise sends the refusal and returns undefined. */
 function allow(host: Host, req: FastifyRequest, reply: FastifyReply, role: Role): Operator | undefined {
     const operator = operatorOf(host, req);
     if (!operator) void reply.code(401).send({ kind: "unauthorized" });
@@ -113,7 +114,7 @@
     return host.feed.inForce?.tree ?? EMPTY;
 }
 
-function settingsRoutes(host: Host, app: FastifyInstance): void {
+function addSettingsRoutes(host: Host, app: FastifyInstance): void {
     app.get("/settings", (req, reply) => {
         if (!allow(host, req, reply, "read")) return reply;
         const head = host.feed.inForce?.snapshot.head;
@@ -161,7 +162,7 @@
                 result: result.kind,
                 version: "version" in result ? result.version : undefined,
             }, "settings_edit");
-            return reply.code(EDIT_STATUS[result.kind]).send({ ...result, snapshot: undefined });
+            return reply.code(STATUS_BY_RESULT[result.kind]).send({ ...result, snapshot: undefined });
         },
     );
     app.get<{ Params: { id: string } }>("/settings/outcome/:id", async (req, reply) => {
@@ -172,7 +173,7 @@
     });
 }
 
-/** What this host knows of itself. */
+/** The answer of `/status`: this host's state as it knows it. */
 export function statusOf(host: Host): object {
     const inForce = host.feed.inForce;
     return {
@@ -195,8 +196,8 @@
     };
 }
 
-/** The trail up to a version, or an answer that says why there is none. */
-async function readTrail(
+/** The audit trail; undefined if the request was refused or the trail could not be read, which has then been answered. */
+async function readAuditTrail(
     host: Host,
     req: FastifyRequest,
     reply: FastifyReply,
@@ -208,13 +209,13 @@
     return undefined;
 }
 
-function trailRoutes(host: Host, app: FastifyInstance): void {
+function addAuditRoutes(host: Host, app: FastifyInstance): void {
     app.get("/settings/log", async (req, reply) => {
-        const trail = await readTrail(host, req, reply);
+        const trail = await readAuditTrail(host, req, reply);
         return trail ? { entries: trail } : reply;
     });
     app.get<{ Params: { version: string } }>("/settings/version/:version", async (req, reply) => {
-        const trail = await readTrail(host, req, reply);
+        const trail = await readAuditTrail(host, req, reply);
         if (!trail) return reply;
         const version = Number(req.params.version);
         const replayed = replay(trail.slice(0, version));
@@ -224,7 +225,7 @@
         return { version, tree: replayed.tree, ini: writeTree(replayed.tree) };
     });
     app.get("/settings/verify", async (req, reply) => {
-        const trail = await readTrail(host, req, reply);
+        const trail = await readAuditTrail(host, req, reply);
         if (!trail) return reply;
         const replayed = replay(trail);
         const differences = replayed.ok ? diff(replayed.tree, treeOf(host)) : [];
--- a/packages/host/src/runtime/descriptors.ts
+++ b/packages/host/src/runtime/descriptors.ts
@@ -1,76 +1,87 @@
 /**
- * Whether a host has descriptors left for one more call: it says so while it can still answer, since a process without any takes no
- * connection, not even to refuse it.
+ * The limit on a host's file descriptors. A host refuses calls while it still has some left, since a process without any cannot
+ * accept a connection, not even to refuse a call.
  *
  * @module
  */
 import type { Log } from "./log.js";
 
-/** Descriptors that sockets take now. */
+/** Open sockets, each of which takes a descriptor. */
 export interface OpenSockets {
     readonly callers: number;
     readonly endpoints: number;
     readonly peers: number;
 }
 
-/** Files, pipes and listening sockets of a process. */
-const FILES = 200;
-/** Calls to the store, and copies that are ordered of endpoints. */
-const CONTROL = 48;
-/** What one more call takes: a connection to its endpoint, and one more where its stream goes on at a copy. */
-const A_CALL = 2;
+/** Descriptors kept for files, pipes and listening sockets of the process. */
+const RESERVED_FOR_FILES = 200;
+/** Descriptors kept for calls to the store and for requests that make endpoints copy generations. */
+const RESERVED_FOR_CONTROL = 48;
+/** Descriptors that one more call takes: a connection to its endpoint, and another if its stream continues at a copy. */
+const DESCRIPTORS_PER_CALL = 2;
 
 /**
- * Whether one more call finds the descriptors that it needs.
+ * Whether there are enough descriptors for one more call.
  *
- * @param most Descriptors that the process may have; undefined where it is not known.
+ * @param maxDescriptors Descriptors that the process may have; undefined if the number is not known.
  *
  * @example
  * ```ts
- * hasDescriptors(4_100, { callers: 900, endpoints: 300, peers: 90 }); // true
+ * hasEnoughDescriptors(4_100, { callers: 900, endpoints: 300, peers: 90 }); // true
  * ```
  */
-export function hasDescriptors(most: number | undefined, { callers, endpoints, peers }: OpenSockets): boolean {
-    return most === undefined || callers + endpoints + peers + A_CALL <= socketsOf(most);
+export function hasDescriptors(
+    maxDescriptors: number | undefined,
+    { callers, endpoints, peers }: OpenSockets,
+): boolean {
+    return maxDescriptors === undefined
+        || callers + endpoints + peers + DESCRIPTORS_PER_CALL <= maxSockets(maxDescriptors);
 }
 
-/** Descriptors that are left for sockets of callers, endpoints and peers. */
-function socketsOf(most: number): number {
-    return most - FILES - CONTROL;
+/** Descriptors for sockets of callers, endpoints and peers, out of all that the process may have. */
+function maxSockets(maxDescriptors: number): number {
+    return maxDescriptors - RESERVED_FOR_FILES - RESERVED_FOR_CONTROL;
 }
 
-/** What looking after descriptors needs. */
-export interface DescriptorDeps {
-    /** Descriptors that the process may have; undefined where it is not known. */
-    readonly most: number | undefined;
+/** What a {@link DescriptorLimit} depends on. */
+export interface DescriptorLimitDeps {
+    /** Descriptors that the process may have; undefined if the number is not known. */
+    readonly maxDescriptors: number | undefined;
     readonly log: Log;
-    readonly open: () => OpenSockets;
-    /** Closes what rests. */
-    readonly free: () => void;
+    readonly countSockets: () => OpenSockets;
+    /** Closes idle connections. */
+    readonly closeIdle: () => void;
 }
 
-/** They are short until this share of those for sockets is free again, so that a host at its bound does not write lines without end. */
-const FREE_SHARE = 0.05;
+/**
+ * A shortage lasts until this share of the descriptors for sockets is free again, so that a host near its limit does not log a
+ * line for each call.
+ */
+const RECOVERY_SHARE = 0.05;
 
-/** Looks after a host's descriptors, with a line when they become short and when they are not any more. */
-export class Descriptors {
+/** Checks a host's descriptors, and logs when they become short and when the shortage is over. */
+export class DescriptorLimit {
     private isShort = false;
 
-    constructor(private readonly deps: DescriptorDeps) {}
+    constructor(private readonly deps: DescriptorLimitDeps) {}
 
-    /** Whether there is room for one more call, after what rests was closed where that is needed. */
+    /** Whether there are descriptors for one more call; closes idle connections first if there are not. */
     hasRoom(): boolean {
-        const { most, open, free } = this.deps;
-        if (!hasDescriptors(most, open())) free();
-        const sockets = open();
-        const hasRoom = hasDescriptors(most, sockets);
-        const isOver = most === undefined || hasDescriptors(most - FREE_SHARE * socketsOf(most), sockets);
-        if (this.isShort ? isOver : !hasRoom) this.change(!hasRoom, sockets);
+        const { maxDescriptors, countSockets, closeIdle } = this.deps;
+        if (!hasDescriptors(maxDescriptors, countSockets())) closeIdle();
+        const sockets = countSockets();
+        const hasRoom = hasDescriptors(maxDescriptors, sockets);
+        const hasRecovered = maxDescriptors === undefined
+            || hasDescriptors(maxDescriptors - RECOVERY_SHARE * maxSockets(maxDescriptors), sockets);
+        if (this.isShort ? hasRecovered : !hasRoom) this.setShort(!hasRoom, sockets);
         return hasRoom;
     }
 
-    private change(isShort: boolean, sockets: OpenSockets): void {
+    private setShort(isShort: boolean, sockets: OpenSockets): void {
         this.isShort = isShort;
-        this.deps.log.warn({ most: this.deps.most, ...sockets }, isShort ? "descriptors_short" : "descriptors_again");
+        this.deps.log.warn(
+            { most: this.deps.maxDescriptors, ...sockets },
+            isShort ? "descriptors_short" : "descriptors_again",
+        );
     }
 }
--- a/packages/host/src/runtime/host-memory.ts
+++ b/packages/host/src/runtime/host-memory.ts
@@ -1,6 +1,6 @@
 /**
- * What this host holds for callers, endpoints and peers that read slowly, kept within a budget: the shell around the account
- * of the package `policy`. It carries out what the account decides, and tells of it.
+ * Keeps the memory that this host holds for slow callers, endpoints and peers within a budget. Carries out and logs what the
+ * account of the package `policy` decides.
  *
  * @module
  */
@@ -23,33 +23,37 @@
 import type { Log } from "./log.js";
 import type { Metrics } from "./metrics.js";
 
-/** What the account of a host needs. */
+/** What a {@link HostMemory} depends on. */
 export interface HostMemoryDeps {
-    /** Undefined where the host's memory is not given: then nothing is decided by it. */
+    /** Undefined if the host's memory is not known: then nothing is refused or ended for it. */
     readonly budgetBytes: number | undefined;
     readonly clock: Clock;
     readonly log: Log;
     readonly metrics: Metrics;
 }
 
-/** Sources that are held back are looked at this often while room comes free: a hundred such looks pass before an endpoint loses patience. */
-const LOOK_MS = 50;
-/** Calls that are held back are logged one in this time. */
-const LOG_EVERY_MS = 1_000;
+/**
+ * Delay from the release of memory until paused sources are checked. A hundred such delays pass before an endpoint gives up on a
+ * paused answer.
+ */
+const RESUME_DELAY_MS = 50;
+/** Of the calls whose sources are paused, at most one is logged in this time. */
+const LOG_INTERVAL_MS = 1_000;
 
-/** The memory that one host holds for others. */
+/** Accounts for the memory that one host holds for others. */
 export class HostMemory {
     private account: MemoryAccount;
     private readonly calls = new Set<CallMemory>();
+    /** Bytes that wait for each peer, by link. */
     private readonly links = new Map<number, number>();
-    /** Calls whose sources are held back. */
-    private readonly heldBack = new Set<CallMemory>();
+    /** Calls whose sources are paused. */
+    private readonly pausedCalls = new Set<CallMemory>();
     private wasFull = false;
-    private isRelieving = false;
-    private look: NodeJS.Timeout | undefined;
-    private lastLogged = -Infinity;
-    private unlogged = 0;
-    /** Ends the link to a peer, with all that waits for it. */
+    private isReliefScheduled = false;
+    private resumeTimer: NodeJS.Timeout | undefined;
+    private lastLoggedAt = -Infinity;
+    private suppressedLogs = 0;
+    /** Closes the link to a peer and drops what waits for it. */
     onCutLink: (link: number) => void = () => undefined;
 
     constructor(private readonly deps: HostMemoryDeps) {
@@ -57,75 +61,75 @@
         deps.metrics.watchHeld(() => this.held, deps.budgetBytes);
     }
 
-    /** Whether the host's memory is given and decides. */
+    /** Whether the host has a memory budget. */
     get isBounded(): boolean {
         return this.deps.budgetBytes !== undefined;
     }
 
-    /** What is held now. */
+    /** Bytes that are held now, by kind. */
     get held(): HeldBytes {
         return this.account.held;
     }
 
-    /** What a refusal or the end of a call says of the whole. */
+    /** The bytes held in all and the budget, as log lines give them. */
     get state(): { readonly held: number; readonly budget: number | undefined } {
         return { held: Math.round(totalHeld(this.account)), budget: this.deps.budgetBytes };
     }
 
     /**
-     * Begins to count what a call holds.
+     * Opens the account of a call.
      *
      * @example
      * ```ts
      * const memory = host.memory.open("call-1");
-     * if (!memory.takeIn(length)) refuse();
+     * if (!memory.reserveBody(length)) refuse();
      * ```
      */
     open(req: string): CallMemory {
         const call: CallMemory = new CallMemory(req, this.deps.clock, {
             isBounded: this.isBounded,
-            mayTakeIn: bytes => this.mayTakeIn(bytes),
-            readAhead: () => readAheadBytes(this.account),
-            change: (kind, bytes) => this.change(kind, bytes),
-            setHeldBack: isHeldBack => this.setHeldBack(call, isHeldBack),
+            mayReserveBody: bytes => this.mayReserveBody(bytes),
+            readAheadBytes: () => readAheadBytes(this.account),
+            changeHeld: (kind, bytes) => this.changeHeld(kind, bytes),
+            setPaused: isPaused => this.setPaused(call, isPaused),
             close: () => {
                 this.calls.delete(call);
-                this.heldBack.delete(call);
+                this.pausedCalls.delete(call);
             },
         });
         this.calls.add(call);
         return call;
     }
 
-    /** How much may wait for one peer; undefined where nothing is decided by memory. */
+    /** Maximum number of bytes that may wait for one peer; undefined if the host has no budget. */
     linkBytes(): number | undefined {
         return this.isBounded ? linkBytes(this.account) : undefined;
     }
 
-    /** What waits on a link to a peer has changed. */
+    /** Sets how many bytes wait on a link to a peer. */
     setLink(link: number, bytes: number): void {
         const before = this.links.get(link) ?? 0;
         if (bytes === 0) this.links.delete(link);
         else this.links.set(link, bytes);
-        this.change(HeldKind.Link, bytes - before);
+        this.changeHeld(HeldKind.Link, bytes - before);
     }
 
-    private mayTakeIn(bytes: number): boolean {
+    private mayReserveBody(bytes: number): boolean {
         if (mayTakeIn(this.account, bytes)) return true;
         this.deps.metrics.countMemoryRefusal();
         return false;
     }
 
-    private change(kind: HeldKind, bytes: number): void {
+    private changeHeld(kind: HeldKind, bytes: number): void {
         if (bytes === 0) return;
         this.account = holdMore(this.account, kind, bytes);
         if (!this.isBounded) return;
-        this.noteFilling();
-        if (bytes < 0) this.lookSoon();
-        else if (isOverBudget(this.account)) this.relieveSoon();
+        this.updateFull();
+        if (bytes < 0) this.scheduleResume();
+        else if (isOverBudget(this.account)) this.scheduleRelief();
     }
 
-    private noteFilling(): void {
+    private updateFull(): void {
         const full = isFull(this.account, this.wasFull);
         if (full === this.wasFull) return;
         this.wasFull = full;
@@ -136,20 +140,20 @@
         );
     }
 
-    /** Not at once: whoever holds more may be within a step of its own. */
-    private relieveSoon(): void {
-        if (this.isRelieving) return;
-        this.isRelieving = true;
+    /** Defers the relief, as the caller of {@link CallMemory.hold} may be in the middle of changing its own state. */
+    private scheduleRelief(): void {
+        if (this.isReliefScheduled) return;
+        this.isReliefScheduled = true;
         queueMicrotask(() => {
-            this.isRelieving = false;
+            this.isReliefScheduled = false;
             this.relieve();
         });
     }
 
-    /** Gives up what waits for peers, which is sent again, and then calls, until the rest is within the budget. */
+    /** Drops what waits for peers, which is sent again later, and then ends calls, until the rest fits into the budget. */
     private relieve(): void {
         while (isOverBudget(this.account)) {
-            const link = largest(this.links);
+            const link = largestLink(this.links);
             if (link !== undefined) {
                 this.setLink(link, 0);
                 this.onCutLink(link);
@@ -179,34 +183,34 @@
         call.giveUp();
     }
 
-    private setHeldBack(call: CallMemory, isHeldBack: boolean): void {
-        if (!isHeldBack) return void this.heldBack.delete(call);
-        if (this.heldBack.has(call)) return;
-        this.heldBack.add(call);
+    private setPaused(call: CallMemory, isPaused: boolean): void {
+        if (!isPaused) return void this.pausedCalls.delete(call);
+        if (this.pausedCalls.has(call)) return;
+        this.pausedCalls.add(call);
         if (!this.isBounded) return;
         const now = this.deps.clock.now();
-        if (now - this.lastLogged < LOG_EVERY_MS) {
-            this.unlogged += 1;
+        if (now - this.lastLoggedAt < LOG_INTERVAL_MS) {
+            this.suppressedLogs += 1;
             return;
         }
-        this.lastLogged = now;
+        this.lastLoggedAt = now;
         const { req, ageMs, holder: { bytes } } = call;
-        const more = this.unlogged;
-        this.unlogged = 0;
+        const more = this.suppressedLogs;
+        this.suppressedLogs = 0;
         this.deps.log.info({ req, bytes, age_ms: Math.round(ageMs), more, ...this.state }, "call_held_back");
     }
 
-    /** Room that others leave lets sources go on whose own readers take nothing. */
-    private lookSoon(): void {
-        if (this.look || this.heldBack.size === 0) return;
-        this.look = setTimeout(() => {
-            this.look = undefined;
-            for (const call of [...this.heldBack]) call.readOn();
-        }, LOOK_MS);
-        this.look.unref();
+    /** Schedules a check of the paused sources: memory that other calls release lets them be read further. */
+    private scheduleResume(): void {
+        if (this.resumeTimer || this.pausedCalls.size === 0) return;
+        this.resumeTimer = setTimeout(() => {
+            this.resumeTimer = undefined;
+            for (const call of [...this.pausedCalls]) call.readOn();
+        }, RESUME_DELAY_MS);
+        this.resumeTimer.unref();
     }
 }
 
-function largest(links: ReadonlyMap<number, number>): number | undefined {
+function largestLink(links: ReadonlyMap<number, number>): number | undefined {
     return [...links].toSorted(([, a], [, b]) => b - a)[0]?.[0];
 }
--- a/packages/host/src/runtime/signals.ts
+++ b/packages/host/src/runtime/signals.ts
@@ -1,30 +1,30 @@
 /**
- * Signals to the daemon, caught from the first moment on: one that comes while the daemon starts would else end it.
+ * Handles signals to the process from the moment this module is loaded; otherwise a signal while the daemon starts would end it.
  *
  * @module
  */
 
-/** What is done on a signal. */
+/** The daemon's reactions to signals. */
 export interface SignalHandlers {
-    /** Read the settings again. */
+    /** Reads the settings again. */
     readonly onReload: () => void;
-    /** Stop without cutting a request; a second one ends at once. */
+    /** Stops without cutting requests; a second signal ends the process at once. */
     readonly onStop: (signal: string) => void;
 }
 
 let handlers: SignalHandlers | undefined;
-const early: ((handlers: SignalHandlers) => void)[] = [];
+const pending: ((handlers: SignalHandlers) => void)[] = [];
 
 function deliver(call: (handlers: SignalHandlers) => void): void {
     if (handlers) call(handlers);
-    else early.push(call);
+    else pending.push(call);
 }
 
 process.on("SIGHUP", () => deliver(({ onReload }) => onReload()));
 for (const signal of ["SIGTERM", "SIGINT"]) process.on(signal, () => deliver(({ onStop }) => onStop(signal)));
 
 /**
- * Hands signals to the daemon, those first that came while it started.
+ * Sets the handlers of signals, and delivers the signals that came before.
  *
  * @example
  * ```ts
@@ -33,5 +33,5 @@
  */
 export function handleSignals(given: SignalHandlers): void {
     handlers = given;
-    for (const call of early.splice(0)) call(given);
+    for (const call of pending.splice(0)) call(given);
 }
