--- a/packages/host/src/calls/guard-attempt.ts
+++ b/packages/host/src/calls/guard-attempt.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { LossCause, RequestEvent } from "@drumpaddle/request";
-import type { WatchedEndpoint } from "../endpoints/ending-watch.js";
+import type { WatchedEndpoint } from "../endpoints/crash-detector.js";
 import type { RequestGuard } from "../endpoints/request-guard.js";
 import type { AttemptRunner, AttemptSink } from "./run.js";
 
--- a/packages/host/src/endpoints/call-endpoint.ts
+++ b/packages/host/src/endpoints/call-endpoint.ts
@@ -7,7 +7,7 @@
 import { request } from "undici";
 
 /** What an endpoint answered. */
-export interface EndpointAnswer {
+export interface EndpointResponse {
     readonly status: number;
     readonly body: string;
 }
@@ -27,7 +27,7 @@
     { method, path, body }: EndpointCall,
     timeoutMs: number,
     signal: AbortSignal,
-): Promise<EndpointAnswer> {
+): Promise<EndpointResponse> {
     const headers = body === undefined ? {} : { "content-type": "application/json" };
     return withinTime(timeoutMs, signal, async limited => {
         const res = await request(`http://${address}${path}`, { method, headers, signal: limited, body: body ?? null });
--- a/packages/host/src/endpoints/connector.ts
+++ b/packages/host/src/endpoints/connector.ts
@@ -7,9 +7,9 @@
 import type { buildConnector } from "undici";
 
 /** The code by which undici knows a reset; the end of an answer without a length is one to it. */
-const RESET = "ECONNRESET";
+const RESET_CODE = "ECONNRESET";
 /** A code that is a failure to undici, whatever the answer. */
-const RESET_AS_FAILURE = "CONNECTION_RESET";
+const FAILURE_CODE = "CONNECTION_RESET";
 
 /**
  * Told before undici's own listeners how a socket ended: `failed` where its other side reset it, an error came, or this side
@@ -26,12 +26,12 @@
  * new Client(origin, { connect: noteEnds(buildConnector({}), failed => log(failed)) });
  * ```
  */
-export function noteEnds(connector: buildConnector.connector, onEnd: OnSocketEnd): buildConnector.connector {
+export function reportSocketEnds(connector: buildConnector.connector, onEnd: OnSocketEnd): buildConnector.connector {
     return (options, callback) =>
         connector(options, (...result) => {
             const [, socket] = result;
             socket?.prependListener("error", (err: NodeJS.ErrnoException) => {
-                if (err.code === RESET) err.code = RESET_AS_FAILURE;
+                if (err.code === RESET_CODE) err.code = FAILURE_CODE;
                 onEnd(true);
             });
             socket?.prependListener("end", () => onEnd(wasReset(socket)));
@@ -48,7 +48,7 @@
  * ```
  */
 export function failOnReset(connector: buildConnector.connector): buildConnector.connector {
-    return noteEnds(connector, () => undefined);
+    return reportSocketEnds(connector, () => undefined);
 }
 
 /**
--- a/packages/host/src/endpoints/ending-watch.ts
+++ b/packages/host/src/endpoints/crash-detector.ts
@@ -11,7 +11,7 @@
 import type { Clock } from "@drumpaddle/protocol";
 import { compareLives, type Life, LifeOrder, type Registry } from "@drumpaddle/routes";
 import type { Log } from "../runtime/log.js";
-import type { LifeSign } from "./life-probe.js";
+import type { LifeSign } from "./endpoint-probe.js";
 
 /** An endpoint as the watch knows it. */
 export interface WatchedEndpoint extends Life {
@@ -24,7 +24,7 @@
 }
 
 /** A call that broke off while it ran at an endpoint. */
-export interface BrokenRun {
+export interface InterruptedRun {
     readonly req: string;
     readonly route: string;
     readonly workspace: string | undefined;
@@ -36,19 +36,19 @@
 }
 
 /** How it was found out that a life is over. */
-export type EndingSign = "refused" | "laterLife" | "gone";
+export type CrashEvidence = "refused" | "laterLife" | "gone";
 
 /** The end of a life under calls of this host. */
-export interface SeenEnding {
+export interface EndpointCrash {
     readonly endpoint: WatchedEndpoint;
     /** When the calls broke off, on the monotonic clock: an end that is found out later counts from then. */
     readonly at: number;
-    readonly runs: readonly BrokenRun[];
-    readonly sign: EndingSign;
+    readonly runs: readonly InterruptedRun[];
+    readonly sign: CrashEvidence;
 }
 
 /** What the watch needs of the gateway. */
-export interface EndingWatchDeps {
+export interface CrashDetectorDeps {
     readonly clock: Clock;
     readonly log: Log;
     /** Asks an endpoint whether its life is still there. */
@@ -59,53 +59,53 @@
     isOver(incarnation: string): boolean;
     /** Whether the store does not tell what becomes of registrations. */
     isDeaf(): boolean;
-    onEnded(ending: SeenEnding): void;
+    onEnded(ending: EndpointCrash): void;
     /** The endpoint lives on, or it cannot be asked; in the latter case its end may be found out later. */
-    onNotEnded(runs: readonly BrokenRun[]): void;
+    onNotEnded(runs: readonly InterruptedRun[]): void;
     meetLife(life: Life): void;
 }
 
 /** A crashed endpoint's registration lapses after three heartbeats, seen after 2.8 s; one that has not by then is not over. */
-const UNKNOWN_MS = 10_000;
+const REGISTRY_WAIT_MS = 10_000;
 /** Calls that were running at a life's end break off within this: a silent connection is given up by then. */
-const SAME_ENDING_MS = 5_000;
+const SAME_CRASH_MS = 5_000;
 
-interface Pending {
+interface Investigation {
     readonly endpoint: WatchedEndpoint;
     readonly at: number;
-    readonly runs: BrokenRun[];
+    readonly runs: InterruptedRun[];
     /** Whether it cannot be asked, so that only the registry can tell. */
-    isUnknown: boolean;
+    awaitsRegistry: boolean;
 }
 
 /** The endings that one host sees. */
 export class EndingWatch {
-    private readonly pending = new Map<string, Pending>();
+    private readonly pending = new Map<string, Investigation>();
     /** When lives ended, by name. */
-    private readonly ended = new Map<string, { readonly at: number; readonly sign: EndingSign }>();
+    private readonly crashes = new Map<string, { readonly at: number; readonly sign: CrashEvidence }>();
 
-    constructor(private readonly deps: EndingWatchDeps) {}
+    constructor(private readonly deps: CrashDetectorDeps) {}
 
     /** A call broke off; what it is due to is told by one of the listeners, at once or later. */
-    broke(endpoint: WatchedEndpoint, run: BrokenRun): void {
+    broke(endpoint: WatchedEndpoint, run: InterruptedRun): void {
         const { incarnation } = endpoint;
         const now = this.deps.clock.now();
         if (this.deps.isOver(incarnation)) {
             return this.deps.onEnded({ endpoint, at: now, runs: [run], sign: "laterLife" });
         }
         if (this.deps.isLeaving(incarnation)) return this.deps.onNotEnded([run]);
-        const known = this.ended.get(incarnation);
+        const known = this.crashes.get(incarnation);
         if (known && now - run.ranMs < known.at) {
             return this.deps.onEnded({ endpoint, at: known.at, runs: [run], sign: known.sign });
         }
         const pending = this.pending.get(incarnation);
         if (pending) {
             pending.runs.push(run);
-            if (pending.isUnknown) this.deps.onNotEnded([run]);
+            if (pending.awaitsRegistry) this.deps.onNotEnded([run]);
             return;
         }
-        this.pending.set(incarnation, { endpoint, at: now, runs: [run], isUnknown: false });
-        void this.ask(endpoint);
+        this.pending.set(incarnation, { endpoint, at: now, runs: [run], awaitsRegistry: false });
+        void this.probeEndpoint(endpoint);
     }
 
     /** Takes in what the registry tells of endpoints. */
@@ -113,53 +113,53 @@
         for (const { endpoint } of [...this.pending.values()]) {
             const { incarnation, id } = endpoint;
             const known = latest.get(id);
-            if (known && compareLives(known, endpoint) === LifeOrder.Later) this.end(incarnation, "laterLife");
+            if (known && compareLives(known, endpoint) === LifeOrder.Later) this.confirmCrash(incarnation, "laterLife");
             else if (!endpoints.has(incarnation) && departed.has(incarnation) && !this.deps.isDeaf()) {
-                this.end(incarnation, "gone");
+                this.confirmCrash(incarnation, "gone");
             }
         }
     }
 
-    private async ask(endpoint: WatchedEndpoint): Promise<void> {
+    private async probeEndpoint(endpoint: WatchedEndpoint): Promise<void> {
         const { incarnation } = endpoint;
         const sign = await this.deps.probe(endpoint);
-        if (sign.kind === "lives") return this.giveUp(incarnation);
+        if (sign.kind === "lives") return this.dismiss(incarnation);
         if (sign.kind === "unknown") {
             this.deps.log.debug({ endpoint: incarnation, detail: sign.detail }, "endpoint_end_unknown");
             return this.waitForRegistry(incarnation);
         }
         if (sign.kind === "laterLife") this.deps.meetLife(sign.life);
-        this.end(incarnation, sign.kind);
+        this.confirmCrash(incarnation, sign.kind);
     }
 
     private waitForRegistry(incarnation: string): void {
         const pending = this.pending.get(incarnation);
         if (!pending) return;
-        pending.isUnknown = true;
+        pending.awaitsRegistry = true;
         this.deps.onNotEnded([...pending.runs]);
-        setTimeout(() => this.pending.delete(incarnation), UNKNOWN_MS).unref();
+        setTimeout(() => this.pending.delete(incarnation), REGISTRY_WAIT_MS).unref();
     }
 
-    private end(incarnation: string, sign: EndingSign): void {
+    private confirmCrash(incarnation: string, sign: CrashEvidence): void {
         const pending = this.pending.get(incarnation);
         if (!pending) return;
         this.pending.delete(incarnation);
-        this.forgetOld();
-        this.ended.set(incarnation, { at: pending.at, sign });
+        this.forgetOldCrashes();
+        this.crashes.set(incarnation, { at: pending.at, sign });
         this.deps.onEnded({ ...pending, sign });
     }
 
-    private giveUp(incarnation: string): void {
+    private dismiss(incarnation: string): void {
         const pending = this.pending.get(incarnation);
         if (!pending) return;
         this.pending.delete(incarnation);
         this.deps.onNotEnded(pending.runs);
     }
 
-    private forgetOld(): void {
+    private forgetOldCrashes(): void {
         const now = this.deps.clock.now();
-        for (const [incarnation, { at }] of this.ended) {
-            if (now - at >= SAME_ENDING_MS) this.ended.delete(incarnation);
+        for (const [incarnation, { at }] of this.crashes) {
+            if (now - at >= SAME_CRASH_MS) this.crashes.delete(incarnation);
         }
     }
 }
--- a/packages/host/src/endpoints/declare-endpoints.ts
+++ b/packages/host/src/endpoints/declare-endpoints.ts
@@ -17,16 +17,16 @@
 import { plainModel } from "./plain-model.js";
 
 /** What a cold endpoint bears beyond what its service declares: a multiple, and requests a second. */
-export interface ColdBounds {
+export interface ColdLimits {
     readonly over: number;
     readonly slack: number;
 }
 
-function coldOf(
+function coldCfgOf(
     registered: Registered,
     service: ServiceCfg | undefined,
     halls: HallOrders,
-    { over, slack }: ColdBounds,
+    { over, slack }: ColdLimits,
 ): ColdCfg | undefined {
     if (service?.coldPerS === undefined) return undefined;
     return { until: warmAt(registered, service, halls), perS: service.coldPerS * over + slack };
@@ -36,7 +36,7 @@
 export function declareEndpoints(
     table: RouteTable,
     registry: Registry,
-    bounds: ColdBounds,
+    bounds: ColdLimits,
     engines: Placement,
     plain: Placement,
 ): void {
@@ -50,7 +50,7 @@
             models: [plainModel(entry.service)],
             memoryTokens: service?.engine?.memoryTokens ?? 0,
             isEvacuated: registry.halls.evacuated.has(entry.hall),
-            cold: coldOf(registered, service, registry.halls, bounds),
+            cold: coldCfgOf(registered, service, registry.halls, bounds),
         };
         (service?.engine ? declared.engines : declared.plain).push(endpoint);
     }
--- a/packages/host/src/endpoints/endpoint-connections.ts
+++ b/packages/host/src/endpoints/endpoint-connections.ts
@@ -7,7 +7,7 @@
 import type { Clock, RawHeaders } from "@drumpaddle/protocol";
 import type { Socket } from "node:net";
 import { buildConnector, Client, type Dispatcher } from "undici";
-import { noteEnds } from "./connector.js";
+import { reportSocketEnds } from "./connector.js";
 
 /** One call as it is written to an endpoint. */
 export interface OutgoingCall {
@@ -41,7 +41,7 @@
 }
 
 /** Told what becomes of connections to an address. */
-export interface ConnectionSigns {
+export interface ConnectionListeners {
     /** A connection came up, or an answer began. */
     readonly onAnswered?: (address: string) => void;
     /** No connection came up. */
@@ -53,11 +53,11 @@
 /** Time for a connection to come up: the networks of a region answer within milliseconds. */
 const CONNECT_TIMEOUT_MS = 500;
 /** A connection that rested longer is not used again: endpoints may have forgotten it. */
-const LONGEST_REST_MS = 3_000;
+const MAX_IDLE_MS = 3_000;
 /** A connection is given up this long before the endpoint would close it. */
-const REST_MARGIN_MS = 1_000;
+const IDLE_MARGIN_MS = 1_000;
 /** Probes on silent connections begin after this. */
-const PROBE_AFTER_MS = 1_000;
+const TCP_PROBE_DELAY_MS = 1_000;
 /** Undici's own limits on silence are off: a call's deadline ends it. */
 const NO_TIMEOUT = 0;
 
@@ -71,15 +71,15 @@
     ended: boolean;
     usableUntil: number;
     /** Until when its endpoint said that it keeps the connection at rest; -Infinity where it did not say. */
-    keptUntil: number;
+    keepAliveUntil: number;
     /** Reads on, where a call is on its way. */
-    readOn: () => void;
+    resumeReading: () => void;
 }
 
 const connector = buildConnector({
     timeout: CONNECT_TIMEOUT_MS,
     keepAlive: true,
-    keepAliveInitialDelay: PROBE_AFTER_MS,
+    keepAliveInitialDelay: TCP_PROBE_DELAY_MS,
 });
 
 /** Connections of one host to all endpoints. */
@@ -91,7 +91,7 @@
         signal: AbortSignal,
         private readonly clock: Clock,
         private readonly onOpened: () => void,
-        private readonly signs: ConnectionSigns = {},
+        private readonly listeners: ConnectionListeners = {},
     ) {
         signal.addEventListener("abort", () => {
             for (const { client } of this.all) void client.destroy();
@@ -114,7 +114,7 @@
     send(address: string, call: OutgoingCall, sink: ExchangeSink): Exchange {
         const connection = this.takeIdle(address) ?? this.open(address);
         const state: { controller?: Dispatcher.DispatchController; done: boolean } = { done: false };
-        const drop = (): void => this.drop(address, connection);
+        const drop = (): void => this.close(address, connection);
         connection.client.dispatch({
             method: call.method,
             path: call.path,
@@ -125,12 +125,12 @@
         }, {
             onRequestStart: controller => {
                 state.controller = controller;
-                connection.readOn = () => controller.resume();
+                connection.resumeReading = () => controller.resume();
                 sink.onSending();
             },
             onResponseStart: (controller, status) => {
-                this.signs.onAnswered?.(address);
-                sink.onHead(status, textOf(controller.rawHeaders));
+                this.listeners.onAnswered?.(address);
+                sink.onHead(status, headerTexts(controller.rawHeaders));
             },
             onResponseData: (_controller, chunk) => sink.onData(chunk),
             onResponseEnd: () => {
@@ -151,14 +151,14 @@
             get unsentBytes() {
                 return connection.socket?.writableLength ?? 0;
             },
-            release: keepMs => this.rest(address, connection, keepMs),
+            release: keepMs => this.keepIdle(address, connection, keepMs),
             destroy: drop,
         };
     }
 
     /** Closes all idle connections to an address. */
     forget(address: string): void {
-        for (const connection of this.idle.get(address) ?? []) this.drop(address, connection);
+        for (const connection of this.idle.get(address) ?? []) this.close(address, connection);
         this.idle.delete(address);
     }
 
@@ -168,80 +168,80 @@
     }
 
     private takeIdle(address: string): Connection | undefined {
-        const resting = this.idle.get(address);
+        const idle = this.idle.get(address);
         const now = this.clock.now();
         for (;;) {
-            const connection = resting?.pop();
+            const connection = idle?.pop();
             if (!connection) return undefined;
             if (!connection.client.destroyed && !connection.failed && now < connection.usableUntil) return connection;
-            this.drop(address, connection);
+            this.close(address, connection);
         }
     }
 
     private open(address: string): Connection {
-        const connectNotingEnds = noteEnds(connector, failed => {
+        const connectReportingEnds = reportSocketEnds(connector, failed => {
             connection.failed ||= failed;
             connection.ended = true;
             // Undici's parser throws where it ends while it is paused, which nothing catches.
-            connection.readOn();
+            connection.resumeReading();
         });
         const connection: Connection = {
             socket: undefined,
             failed: false,
             ended: false,
             usableUntil: 0,
-            keptUntil: -Infinity,
-            readOn: () => undefined,
+            keepAliveUntil: -Infinity,
+            resumeReading: () => undefined,
             client: new Client(`http://${address}`, {
                 pipelining: 1,
                 connect: (options, callback) =>
-                    connectNotingEnds(options, (...result) => {
+                    connectReportingEnds(options, (...result) => {
                         const [, socket] = result;
                         if (socket) {
                             connection.socket = socket;
-                            this.opened(address);
+                            this.reportConnected(address);
                         }
                         // A call that was given up says nothing of the way.
-                        else if (!connection.client.destroyed) this.signs.onUnreachable?.(address);
+                        else if (!connection.client.destroyed) this.listeners.onUnreachable?.(address);
                         callback(...result);
                     }),
             }),
         };
         connection.client.on("disconnect", () => {
-            const isAtRest = this.idle.get(address)?.includes(connection) === true;
-            if (isAtRest && this.clock.now() < connection.keptUntil) this.signs.onEndedAtRest?.(address);
-            this.drop(address, connection);
+            const isIdle = this.idle.get(address)?.includes(connection) === true;
+            if (isIdle && this.clock.now() < connection.keepAliveUntil) this.listeners.onEndedAtRest?.(address);
+            this.close(address, connection);
         });
         this.all.add(connection);
         return connection;
     }
 
-    private opened(address: string): void {
+    private reportConnected(address: string): void {
         this.onOpened();
-        this.signs.onAnswered?.(address);
+        this.listeners.onAnswered?.(address);
     }
 
-    private rest(address: string, connection: Connection, keepMs: number | undefined): void {
-        const restMs = Math.min(LONGEST_REST_MS, (keepMs ?? Infinity) - REST_MARGIN_MS);
-        if (restMs <= 0 || connection.failed || !this.all.has(connection)) return this.drop(address, connection);
+    private keepIdle(address: string, connection: Connection, keepMs: number | undefined): void {
+        const idleMs = Math.min(MAX_IDLE_MS, (keepMs ?? Infinity) - IDLE_MARGIN_MS);
+        if (idleMs <= 0 || connection.failed || !this.all.has(connection)) return this.close(address, connection);
         const now = this.clock.now();
-        connection.usableUntil = now + restMs;
-        connection.keptUntil = keepMs === undefined ? -Infinity : now + keepMs - REST_MARGIN_MS;
-        const resting = this.idle.get(address);
-        if (resting) resting.push(connection);
+        connection.usableUntil = now + idleMs;
+        connection.keepAliveUntil = keepMs === undefined ? -Infinity : now + keepMs - IDLE_MARGIN_MS;
+        const idle = this.idle.get(address);
+        if (idle) idle.push(connection);
         else this.idle.set(address, [connection]);
     }
 
-    private drop(address: string, connection: Connection): void {
+    private close(address: string, connection: Connection): void {
         if (!this.all.delete(connection)) return;
-        const resting = this.idle.get(address);
-        if (resting?.includes(connection)) this.idle.set(address, resting.filter(other => other !== connection));
+        const idle = this.idle.get(address);
+        if (idle?.includes(connection)) this.idle.set(address, idle.filter(other => other !== connection));
         void connection.client.destroy();
     }
 }
 
 /** Headers as they came; the table form is never used for HTTP/1.1. */
-function textOf(headers: Dispatcher.DispatchController["rawHeaders"]): string[] {
+function headerTexts(headers: Dispatcher.DispatchController["rawHeaders"]): string[] {
     if (!Array.isArray(headers)) return [];
     return headers.map(text => typeof text === "string" ? text : text.toString("latin1"));
 }
--- a/packages/host/src/endpoints/endpoint-words.ts
+++ b/packages/host/src/endpoints/endpoint-notices.ts
@@ -12,7 +12,7 @@
 import type { Placement } from "./placement.js";
 
 /** What the words are told to. */
-export interface EndpointWordsDeps {
+export interface EndpointNoticesDeps {
     readonly clock: Clock;
     readonly log: Log;
     readonly metrics: Metrics;
@@ -23,20 +23,20 @@
 }
 
 /** What an answer's head says of its endpoint. */
-export type EndpointHead = Pick<AnswerHead, "notRun" | "limitPerS" | "leaving" | "retryAfterS">;
+export type NoticeHead = Pick<AnswerHead, "notRun" | "limitPerS" | "leaving" | "retryAfterS">;
 
 /** Who told what an endpoint says. */
-type WordSource = "endpoint" | "peer";
+type NoticeSource = "endpoint" | "peer";
 
 /** With this status an endpoint turns a request away, and may ask for rest. */
-const REFUSED = 503;
+const SERVICE_UNAVAILABLE = 503;
 const MS_PER_S = 1_000;
 /** That an endpoint says the same again is taken in this often: it counts as news of seconds. */
-const SAME_AGAIN_MS = 250;
+const REPEAT_INTERVAL_MS = 250;
 
 /** What a gateway hears endpoints say. */
 export class EndpointWords {
-    constructor(private readonly deps: EndpointWordsDeps) {}
+    constructor(private readonly deps: EndpointNoticesDeps) {}
 
     /**
      * Takes in an answer of a life of an endpoint.
@@ -46,19 +46,19 @@
      * words.heard("i-7@1700", 200, wire.readAnswer(headers));
      * ```
      */
-    heard(endpoint: string, status: number, head: EndpointHead): void {
-        const leaves = head.leaving && this.takeLeaving(endpoint, "endpoint");
-        const limits = this.hearLimit(endpoint, head);
-        if (leaves || limits) this.tell(endpoint);
-        if (status === REFUSED && head.notRun) this.hearRest(endpoint, head);
+    heard(endpoint: string, status: number, head: NoticeHead): void {
+        const isLeavingNews = head.leaving && this.applyLeaving(endpoint, "endpoint");
+        const isLimitNews = this.readLimit(endpoint, head);
+        if (isLeavingNews || isLimitNews) this.shareWithPeers(endpoint);
+        if (status === SERVICE_UNAVAILABLE && head.notRun) this.readRetryAfter(endpoint, head);
     }
 
     /** Takes in what a peer tells; returns what had not been known. */
-    hear(words: readonly EndpointWord[]): readonly EndpointWord[] {
+    receive(words: readonly EndpointWord[]): readonly EndpointWord[] {
         const now = this.deps.clock.now();
         return words.filter(({ endpoint, leaves, limit }) => {
-            const isLeavingNews = leaves && this.takeLeaving(endpoint, "peer");
-            const isLimitNews = limit !== undefined && this.takeLimit(endpoint, saidOf(limit, now), "peer");
+            const isLeavingNews = leaves && this.applyLeaving(endpoint, "peer");
+            const isLimitNews = limit !== undefined && this.applyLimit(endpoint, saidOf(limit, now), "peer");
             return isLeavingNews || isLimitNews;
         });
     }
@@ -80,33 +80,33 @@
         this.deps.metrics.limited.set(this.views().filter(isLimited).length);
     }
 
-    private hearLimit(endpoint: string, { limitPerS }: EndpointHead): boolean {
-        if (limitPerS.kind === "malformed") return this.ignore(endpoint, "limit", limitPerS.text);
+    private readLimit(endpoint: string, { limitPerS }: NoticeHead): boolean {
+        if (limitPerS.kind === "malformed") return this.logIgnored(endpoint, "limit", limitPerS.text);
         const value = limitPerS.kind === "number" ? limitPerS.value : undefined;
-        return this.takeLimit(endpoint, { limitPerS: value, at: this.deps.clock.now() }, "endpoint");
+        return this.applyLimit(endpoint, { limitPerS: value, at: this.deps.clock.now() }, "endpoint");
     }
 
-    private hearRest(endpoint: string, { retryAfterS }: EndpointHead): void {
-        if (retryAfterS.kind === "malformed") this.ignore(endpoint, "rest", retryAfterS.text);
+    private readRetryAfter(endpoint: string, { retryAfterS }: NoticeHead): void {
+        if (retryAfterS.kind === "malformed") this.logIgnored(endpoint, "rest", retryAfterS.text);
         if (retryAfterS.kind !== "number") return;
         const forMs = Math.round(MS_PER_S * retryAfterS.value);
-        for (const placement of this.deps.placements) placement.rest(endpoint, forMs);
+        for (const placement of this.deps.placements) placement.pauseFor(endpoint, forMs);
         this.deps.log.info({ endpoint, for_ms: forMs }, "endpoint_rests");
     }
 
-    private ignore(endpoint: string, said: "limit" | "rest", text: string): false {
+    private logIgnored(endpoint: string, said: "limit" | "rest", text: string): false {
         this.deps.log.debug({ endpoint, said, text }, "endpoint_word_ignored");
         return false;
     }
 
-    private tell(endpoint: string): void {
+    private shareWithPeers(endpoint: string): void {
         const view = this.viewOf(endpoint);
-        const word = view && wordOf(view, this.deps.clock.now());
-        if (word) this.deps.tell([word]);
+        const notice = view && wordOf(view, this.deps.clock.now());
+        if (notice) this.deps.tell([notice]);
     }
 
     /** Takes in that an endpoint leaves; returns whether that is news. */
-    private takeLeaving(endpoint: string, source: WordSource): boolean {
+    private applyLeaving(endpoint: string, source: NoticeSource): boolean {
         const view = this.viewOf(endpoint);
         if (!view || saysLeaving(view)) return false;
         for (const placement of this.deps.placements) placement.setLeaving(endpoint, "answer", true);
@@ -115,14 +115,14 @@
     }
 
     /** Takes in what an endpoint says of its limit; returns whether it changes what is known. */
-    private takeLimit(endpoint: string, said: Said, source: WordSource): boolean {
+    private applyLimit(endpoint: string, said: Said, source: NoticeSource): boolean {
         const known = this.viewOf(endpoint)?.said;
         // Nearly every answer names no limit where none was named before.
         if (!known && said.limitPerS === undefined) return false;
-        const isSame = known?.limitPerS === said.limitPerS;
-        if (known && (known.at >= said.at || isSame && said.at - known.at < SAME_AGAIN_MS)) return false;
+        const isUnchanged = known?.limitPerS === said.limitPerS;
+        if (known && (known.at >= said.at || isUnchanged && said.at - known.at < REPEAT_INTERVAL_MS)) return false;
         for (const placement of this.deps.placements) placement.said(endpoint, said);
-        if (isSame || !this.viewOf(endpoint)) return false;
+        if (isUnchanged || !this.viewOf(endpoint)) return false;
         const before = known?.limitPerS ?? "none";
         this.deps.log.info({ endpoint, per_s: said.limitPerS ?? "none", before, source }, "endpoint_limit");
         this.count();
--- a/packages/host/src/endpoints/life-probe.ts
+++ b/packages/host/src/endpoints/endpoint-probe.ts
@@ -11,15 +11,15 @@
 /** What an endpoint's answer shows of a life. */
 export type LifeSign =
     /** `saysBorn`: it tells when its life began, so that it is surely the one that is known. */
-    | { readonly kind: "lives"; readonly saysBorn: boolean }
+    | { readonly kind: "lives"; readonly reportsBirth: boolean }
     | { readonly kind: "refused" }
     /** A later life answered. */
     | { readonly kind: "laterLife"; readonly life: Life }
     | { readonly kind: "unknown"; readonly detail: string };
 
 /** Endpoints of a region refuse a connection within 10 ms; a cut one is not waited for. */
-const ANSWER_MS = 250;
-const REFUSED = "ECONNREFUSED";
+const PROBE_TIMEOUT_MS = 250;
+const REFUSED_CODE = "ECONNREFUSED";
 
 /**
  * Asks by the endpoint's own report, which may tell when its life began.
@@ -38,14 +38,14 @@
     signal: AbortSignal,
 ): Promise<LifeSign> {
     try {
-        const { status, body } = await callEndpoint(address, wire.stayCall(), ANSWER_MS, signal);
+        const { status, body } = await callEndpoint(address, wire.stayCall(), PROBE_TIMEOUT_MS, signal);
         const stay = wire.readStay(status, body);
         const life = { id: known.id, born: stay.kind === "told" ? stay.born : undefined };
         if (compareLives(life, known) === LifeOrder.Later) return { kind: "laterLife", life };
-        return { kind: "lives", saysBorn: life.born !== undefined };
+        return { kind: "lives", reportsBirth: life.born !== undefined };
     }
     catch (err) {
-        return signOf(err);
+        return resultOfError(err);
     }
 }
 
@@ -65,19 +65,19 @@
         const socket = connect({
             host: hostname.replace(/^\[|\]$/g, ""),
             port: Number(port || (protocol === "https:" ? 443 : 80)),
-            timeout: ANSWER_MS,
+            timeout: PROBE_TIMEOUT_MS,
         });
-        const end = (sign: LifeSign): void => {
+        const finish = (sign: LifeSign): void => {
             socket.destroy();
             resolve(sign);
         };
-        socket.once("connect", () => end({ kind: "lives", saysBorn: false }));
-        socket.once("timeout", () => end({ kind: "unknown", detail: `no connection in ${ANSWER_MS} ms` }));
-        socket.once("error", err => end(signOf(err)));
+        socket.once("connect", () => finish({ kind: "lives", reportsBirth: false }));
+        socket.once("timeout", () => finish({ kind: "unknown", detail: `no connection in ${PROBE_TIMEOUT_MS} ms` }));
+        socket.once("error", err => finish(resultOfError(err)));
     });
 }
 
-function signOf(err: unknown): LifeSign {
-    const isRefused = err instanceof Error && "code" in err && err.code === REFUSED;
+function resultOfError(err: unknown): LifeSign {
+    const isRefused = err instanceof Error && "code" in err && err.code === REFUSED_CODE;
     return isRefused ? { kind: "refused" } : { kind: "unknown", detail: errText(err) };
 }
--- a/packages/host/src/endpoints/life-signals.ts
+++ b/packages/host/src/endpoints/incarnation-signals.ts
@@ -8,8 +8,8 @@
 
 /** The signals of the lives that something rests on. */
 export class LifeSignals {
-    private readonly lives = new Map<string, AbortController>();
-    private over: ReadonlySet<string> = new Set();
+    private readonly controllers = new Map<string, AbortController>();
+    private overIncarnations: ReadonlySet<string> = new Set();
 
     /**
      * Aborts when the life is over.
@@ -20,29 +20,29 @@
      * ```
      */
     of(incarnation: string): AbortSignal {
-        const known = this.lives.get(incarnation);
+        const known = this.controllers.get(incarnation);
         if (known) return known.signal;
-        const life = new AbortController();
+        const controller = new AbortController();
         // Every attempt at the endpoint listens to it.
-        setMaxListeners(0, life.signal);
-        this.lives.set(incarnation, life);
-        return life.signal;
+        setMaxListeners(0, controller.signal);
+        this.controllers.set(incarnation, controller);
+        return controller.signal;
     }
 
     /** Takes in which endpoints are there; gives the names of the lives that are found to be over only now. */
     take({ endpoints, departed }: Registry): readonly string[] {
         const over = new Set([...departed].filter(([, { isOver }]) => isOver).map(([incarnation]) => incarnation));
-        const news = [...over].filter(incarnation => !this.over.has(incarnation));
-        this.over = over;
-        for (const incarnation of this.lives.keys()) {
-            if (!endpoints.has(incarnation) && !departed.has(incarnation)) this.lives.delete(incarnation);
+        const newlyOver = [...over].filter(incarnation => !this.overIncarnations.has(incarnation));
+        this.overIncarnations = over;
+        for (const incarnation of this.controllers.keys()) {
+            if (!endpoints.has(incarnation) && !departed.has(incarnation)) this.controllers.delete(incarnation);
         }
-        return news;
+        return newlyOver;
     }
 
     /** Ends what rests on a life. */
     end(incarnation: string): void {
-        this.lives.get(incarnation)?.abort();
-        this.lives.delete(incarnation);
+        this.controllers.get(incarnation)?.abort();
+        this.controllers.delete(incarnation);
     }
 }
--- a/packages/host/src/endpoints/stay-watch.ts
+++ b/packages/host/src/endpoints/leaving-poll.ts
@@ -11,7 +11,7 @@
 import { callEndpoint } from "./call-endpoint.js";
 
 /** What the watch needs of the gateway. */
-export interface StayWatchDeps {
+export interface LeavingPollDeps {
     readonly wire: PlatformWire;
     readonly log: Log;
     readonly metrics: Metrics;
@@ -29,28 +29,28 @@
  * Engines that are reclaimed give notice of 1.5 to 2 s, and a report is about 0.5 s old: asked four times a second, one
  * leaves more than half of the notice for copies.
  */
-const ASK_EVERY_MS = 250;
+const POLL_INTERVAL_MS = 250;
 /** An answer that takes longer than the next question is of no more use. */
-const ANSWER_MS = 250;
+const POLL_TIMEOUT_MS = 250;
 
 /** Starts to watch; ends with the signal. */
-export function watchStays(deps: StayWatchDeps): void {
+export function watchStays(deps: LeavingPollDeps): void {
     const ask = (): void => {
         if (!deps.isDeaf()) return;
         for (const endpoint of deps.owned()) {
-            if (deps.mayAsk(endpoint.incarnation)) void askOne(deps, endpoint);
+            if (deps.mayAsk(endpoint.incarnation)) void pollOne(deps, endpoint);
         }
     };
-    repeat(ask, () => ASK_EVERY_MS, deps.signal);
+    repeat(ask, () => POLL_INTERVAL_MS, deps.signal);
 }
 
-async function askOne(deps: StayWatchDeps, endpoint: EndpointEntry): Promise<void> {
+async function pollOne(deps: LeavingPollDeps, endpoint: EndpointEntry): Promise<void> {
     const { wire, log, metrics, signal } = deps;
     const { incarnation, address } = endpoint;
     try {
-        const { status, body } = await callEndpoint(address, wire.stayCall(), ANSWER_MS, signal);
+        const { status, body } = await callEndpoint(address, wire.stayCall(), POLL_TIMEOUT_MS, signal);
         const answer = wire.readStay(status, body);
-        metrics.countStay(answer.kind === "told" ? leavingWord(answer.leaving) : answer.kind);
+        metrics.countStay(answer.kind === "told" ? leavingLabel(answer.leaving) : answer.kind);
         if (answer.kind === "told") return deps.onStay(endpoint, answer);
         log.debug({ endpoint: incarnation, detail: answer.detail }, "stay_not_told");
     }
@@ -60,6 +60,6 @@
     }
 }
 
-function leavingWord(leaving: boolean): string {
+function leavingLabel(leaving: boolean): string {
     return leaving ? "leaving" : "stays";
 }
--- a/packages/host/src/endpoints/placement.ts
+++ b/packages/host/src/endpoints/placement.ts
@@ -34,7 +34,7 @@
 }
 
 /** A question to an endpoint's owner. */
-export type AskAction = Extract<SchedulerAction, { kind: "ask" }>;
+export type OwnerQueryAction = Extract<SchedulerAction, { kind: "ask" }>;
 
 /** A copy to be made. */
 export type CopyAction = Extract<SchedulerAction, { kind: "copy" }>;
@@ -45,10 +45,10 @@
 /** Decisions of one host for one kind of service. */
 export class Placement {
     private state: SchedulerState;
-    private readonly asking = new Map<string, Placed>();
+    private readonly listeners = new Map<string, Placed>();
     private readonly timer: NodeJS.Timeout;
-    private readonly evacuations = new Map<string, (plan: CopyAction | undefined) => void>();
-    private onAsk: (action: AskAction) => void = () => undefined;
+    private readonly pendingEvacuations = new Map<string, (plan: CopyAction | undefined) => void>();
+    private queryOwner: (action: OwnerQueryAction) => void = () => undefined;
     private onLeaving: () => void = () => undefined;
 
     constructor(
@@ -88,8 +88,8 @@
     }
 
     /** Who carries questions to owners; until then they go unanswered and are decided alone. */
-    setAsker(onAsk: (action: AskAction) => void): void {
-        this.onAsk = onAsk;
+    setOwnerQuery(onAsk: (action: OwnerQueryAction) => void): void {
+        this.queryOwner = onAsk;
     }
 
     /** Who is told when an endpoint is leaving, by whatever source. */
@@ -99,7 +99,7 @@
 
     /** Asks for an endpoint; the answer comes at once or later, once. */
     submit(job: Job, avoid: readonly string[], retry: boolean, placed: Placed): void {
-        this.asking.set(job.id, placed);
+        this.listeners.set(job.id, placed);
         this.handle({ kind: "arrive", job, avoid, retry });
     }
 
@@ -107,14 +107,14 @@
     continueOn(job: string, failed: boolean, placed: Placed): void {
         // Its endpoint has ended: there is nothing left to copy from.
         this.resolveEvacuation(job, undefined);
-        this.asking.set(job, placed);
+        this.listeners.set(job, placed);
         this.handle({ kind: "continue", job, failed });
     }
 
     /** Where a request whose endpoint is leaving is to be copied to; undefined where no endpoint has room. */
     planEvacuation(job: string): Promise<CopyAction | undefined> {
         return new Promise(resolve => {
-            this.evacuations.set(job, resolve);
+            this.pendingEvacuations.set(job, resolve);
             this.handle({ kind: "evacuate", job });
         });
     }
@@ -161,18 +161,18 @@
     }
 
     /** An endpoint wants nothing from this host for a while. */
-    rest(endpoint: string, forMs: number): void {
+    pauseFor(endpoint: string, forMs: number): void {
         this.handle({ kind: "rest", endpoint, until: this.clock.now() + forMs });
     }
 
     /** An endpoint may have begun a later life, for so long; not any more where nothing is given. */
-    doubt(endpoint: string, forMs: number | undefined): void {
+    suspectRestart(endpoint: string, forMs: number | undefined): void {
         const until = forMs === undefined ? undefined : this.clock.now() + forMs;
         this.handle({ kind: "doubt", endpoint, until });
     }
 
     /** Whether an endpoint is bounded while it is cold. */
-    boundsCold(endpoint: string): boolean {
+    limitsWhileCold(endpoint: string): boolean {
         return this.state.endpoints.get(endpoint)?.cfg.cold !== undefined;
     }
 
@@ -183,7 +183,7 @@
 
     /** Takes back a request that waits. */
     withdraw(job: string): void {
-        this.asking.delete(job);
+        this.listeners.delete(job);
         this.handle({ kind: "withdraw", job });
     }
 
@@ -197,37 +197,37 @@
     }
 
     private resolveEvacuation(job: string, plan: CopyAction | undefined): void {
-        const resolve = this.evacuations.get(job);
-        this.evacuations.delete(job);
+        const resolve = this.pendingEvacuations.get(job);
+        this.pendingEvacuations.delete(job);
         resolve?.(plan);
     }
 
     /** Takes in what the hall's hosts know of each other. */
-    tell(events: readonly SchedulerEvent[]): void {
+    applyEvents(events: readonly SchedulerEvent[]): void {
         for (const event of events) this.handle(event);
     }
 
     private handle(event: SchedulerEvent): void {
         const { state, actions } = decide(this.state, event, this.clock.now());
-        const news = event.kind === "leaving" && event.leaving && state !== this.state;
+        const isLeavingNews = event.kind === "leaving" && event.leaving && state !== this.state;
         this.state = state;
         for (const action of actions) this.carryOut(action);
-        if (news) this.onLeaving();
+        if (isLeavingNews) this.onLeaving();
     }
 
     private carryOut(action: SchedulerAction): void {
         if (action.kind === "ask") {
-            this.onAsk(action);
+            this.queryOwner(action);
             return;
         }
         if (action.kind === "copy" || action.kind === "noCopy") {
             this.resolveEvacuation(action.job, action.kind === "copy" ? action : undefined);
             return;
         }
-        const placed = this.asking.get(action.job);
-        this.asking.delete(action.job);
-        if (action.kind === "dispatch") placed?.onDispatch(action.endpoint, action.priority, action.backUp);
-        else placed?.onRefuse(action.reason, action.detail, action.retryAfterMs);
+        const listener = this.listeners.get(action.job);
+        this.listeners.delete(action.job);
+        if (action.kind === "dispatch") listener?.onDispatch(action.endpoint, action.priority, action.backUp);
+        else listener?.onRefuse(action.reason, action.detail, action.retryAfterMs);
     }
 }
 
--- a/packages/host/src/endpoints/request-guard.ts
+++ b/packages/host/src/endpoints/request-guard.ts
@@ -28,7 +28,7 @@
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
 import { repeat } from "../runtime/repeat.js";
-import type { BrokenRun, SeenEnding, WatchedEndpoint } from "./ending-watch.js";
+import type { EndpointCrash, InterruptedRun, WatchedEndpoint } from "./crash-detector.js";
 
 /** Why an attempt may not be begun. */
 export interface Withheld {
@@ -48,7 +48,7 @@
     /** Tells peers what is new here. */
     tell(news: QuarantineNews): void;
     /** Finds out whether an endpoint's life ended as a call there broke off. */
-    broke(endpoint: WatchedEndpoint, run: BrokenRun): void;
+    broke(endpoint: WatchedEndpoint, run: InterruptedRun): void;
 }
 
 /** What operators are told of a request that was at endings. */
@@ -67,15 +67,15 @@
 }
 
 /** A call of this host that was at an ending. */
-type Sighting = Pick<BrokenRun, "req" | "route" | "workspace">;
+type CrashedCall = Pick<InterruptedRun, "req" | "route" | "workspace">;
 
 /** Sightings that are kept for operators: as many as a day of endings brings. */
-const MOST_SIGHTINGS = 1_024;
+const MAX_CRASHED_CALLS = 1_024;
 /** What is too old is forgotten this often. */
 const FORGET_EVERY_MS = 10_000;
 /** Requests that ran to their end are remembered so long, and so many: news of an ending is late by a few seconds at most. */
-const WHOLE_KEPT_MS = 10_000;
-const MOST_WHOLE = 4_096;
+const COMPLETED_KEPT_MS = 10_000;
+const MAX_COMPLETED = 4_096;
 /** Refusals of one request are logged this often, whoever floods. */
 const REFUSAL_LOG_MS = 1_000;
 
@@ -83,15 +83,15 @@
 export class RequestGuard {
     private state: Quarantine = EMPTY_QUARANTINE;
     /** Attempts that broke off at endpoints that are being asked whether they ended, by fingerprint, with the life of each. */
-    private readonly unsettled = new Map<string, Map<BrokenRun, string>>();
+    private readonly unresolved = new Map<string, Map<InterruptedRun, string>>();
     /** When requests ran to their end, by fingerprint, the oldest first. */
-    private readonly whole = new Map<string, number>();
-    private readonly refusalLogged = new Map<string, number>();
+    private readonly completedAt = new Map<string, number>();
+    private readonly refusalLoggedAt = new Map<string, number>();
     /** By life and fingerprint, the oldest first. */
-    private readonly sightings = new Map<string, Sighting>();
+    private readonly crashedCalls = new Map<string, CrashedCall>();
 
     constructor(private readonly deps: RequestGuardDeps) {
-        repeat(() => this.forget(), () => FORGET_EVERY_MS, deps.signal);
+        repeat(() => this.forgetExpired(), () => FORGET_EVERY_MS, deps.signal);
     }
 
     /** The time by the clock that the guard decides by. */
@@ -112,12 +112,12 @@
     /** What is quarantined or suspected, for operators. */
     list(): readonly ListedRequest[] {
         const charges = [...this.state.charges.values()].filter(({ endings }) => endings.length > 0);
-        return charges.map(charge => this.listed(charge));
+        return charges.map(charge => this.describe(charge));
     }
 
-    private listed({ fingerprint, endings }: Charge): ListedRequest {
+    private describe({ fingerprint, endings }: Charge): ListedRequest {
         const now = this.deps.clock.now();
-        const seen = endings.map(({ life }) => this.sightings.get(`${life} ${fingerprint}`));
+        const seen = endings.map(({ life }) => this.crashedCalls.get(`${life} ${fingerprint}`));
         const first = seen.find(sighting => sighting !== undefined);
         return {
             fingerprint,
@@ -143,44 +143,44 @@
      */
     withhold(fingerprint: string, asked: Asked = {}): Withheld | undefined {
         const verdict = verdictOf(this.state, fingerprint, this.deps.clock.now(), asked);
-        const unsettled = new Set(this.unsettled.get(fingerprint)?.values()).size;
+        const probedEndpoints = new Set(this.unresolved.get(fingerprint)?.values()).size;
         // An end that is being looked into: the request would be at the next endpoint before it is known.
-        if (unsettled > 0 && endingsOf(verdict) + unsettled >= ENDINGS_TO_QUARANTINE) {
-            return quarantined(ENDINGS_TO_QUARANTINE, NEWS_MS);
+        if (probedEndpoints > 0 && crashCountOf(verdict) + probedEndpoints >= ENDINGS_TO_QUARANTINE) {
+            return withheldAsQuarantined(ENDINGS_TO_QUARANTINE, NEWS_MS);
         }
-        return WITHHELD[verdict.kind](verdict as never);
+        return WITHHELD_BY_VERDICT[verdict.kind](verdict as never);
     }
 
     /** Whether a request was at an ending, or at what may be one: it is begun where little else runs. */
     isSuspect(fingerprint: string): boolean {
-        return this.unsettled.has(fingerprint) || isSuspect(this.state, fingerprint);
+        return this.unresolved.has(fingerprint) || isSuspect(this.state, fingerprint);
     }
 
     /** An attempt is being sent; returns whether its request is a suspect. */
     begun(fingerprint: string, attempt: string): boolean {
         const suspect = this.isSuspect(fingerprint);
-        if (suspect) this.tellTrial(fingerprint, attempt, false);
+        if (suspect) this.publishTrial(fingerprint, attempt, false);
         return suspect;
     }
 
     /** An attempt is over, however it ended. */
     over(fingerprint: string, attempt: string): void {
-        if (this.state.trials.has(attempt)) this.tellTrial(fingerprint, attempt, true);
+        if (this.state.trials.has(attempt)) this.publishTrial(fingerprint, attempt, true);
     }
 
     /** An attempt broke off while it ran. */
-    broke(endpoint: WatchedEndpoint, run: BrokenRun): void {
-        const known = this.unsettled.get(run.fingerprint) ?? new Map<BrokenRun, string>();
-        this.unsettled.set(run.fingerprint, known.set(run, endpoint.incarnation));
+    broke(endpoint: WatchedEndpoint, run: InterruptedRun): void {
+        const known = this.unresolved.get(run.fingerprint) ?? new Map<InterruptedRun, string>();
+        this.unresolved.set(run.fingerprint, known.set(run, endpoint.incarnation));
         this.deps.broke(endpoint, run);
     }
 
     /** An attempt ran to its end: its endpoint outlived it. */
     ranWhole(fingerprint: string): void {
         const now = this.deps.clock.now();
-        this.whole.delete(fingerprint);
-        this.whole.set(fingerprint, now);
-        if (this.whole.size > MOST_WHOLE) this.whole.delete(this.whole.keys().next().value!);
+        this.completedAt.delete(fingerprint);
+        this.completedAt.set(fingerprint, now);
+        if (this.completedAt.size > MAX_COMPLETED) this.completedAt.delete(this.completedAt.keys().next().value!);
         if (isSuspect(this.state, fingerprint)) this.clear(fingerprint, "whole");
     }
 
@@ -190,12 +190,12 @@
         if (charge && (charge.isGuilty || reason === "operator")) {
             this.deps.log.warn({ fingerprint, reason }, "request_quarantine_lifted");
         }
-        this.follow(clear(this.state, fingerprint, this.deps.clock.now()));
+        this.applyStep(clear(this.state, fingerprint, this.deps.clock.now()));
     }
 
     /** The lives of endpoints that calls of this host ran at are over. */
-    ended({ endpoint, at, runs, sign }: SeenEnding): void {
-        this.settle(runs);
+    ended({ endpoint, at, runs, sign }: EndpointCrash): void {
+        this.removeUnresolved(runs);
         const { incarnation } = endpoint;
         this.deps.metrics.countEnding(sign);
         this.deps.log.warn({ endpoint: incarnation, sign, runs: runs.length }, "endpoint_ended_under_calls");
@@ -215,57 +215,61 @@
         const life = nameOfEnded(this.state.endings, incarnation, beganAt);
         const ending = { life, agoMs: this.deps.clock.now() - at, software: endpoint.software, requests };
         for (const { req, route, workspace, fingerprint } of runs) {
-            this.sightings.set(`${life} ${fingerprint}`, { req, route, workspace });
-            if (this.sightings.size > MOST_SIGHTINGS) this.sightings.delete(this.sightings.keys().next().value!);
+            this.crashedCalls.set(`${life} ${fingerprint}`, { req, route, workspace });
+            if (this.crashedCalls.size > MAX_CRASHED_CALLS) {
+                this.crashedCalls.delete(this.crashedCalls.keys().next().value!);
+            }
         }
-        this.follow(joinNews(this.state, { endings: [ending], trials: [] }, this.deps.clock.now()));
-        this.clearWhole([ending]);
+        this.applyStep(joinNews(this.state, { endings: [ending], trials: [] }, this.deps.clock.now()));
+        this.clearCompleted([ending]);
     }
 
     /** The endpoints of calls that broke off live on, or cannot be asked: what becomes of them may still be told later. */
-    notEnded(runs: readonly BrokenRun[]): void {
-        this.settle(runs);
+    notEnded(runs: readonly InterruptedRun[]): void {
+        this.removeUnresolved(runs);
     }
 
     /** Takes in what a peer tells; what is new is passed on. */
-    hear(told: QuarantineNews): void {
-        this.follow(joinNews(this.state, told, this.deps.clock.now()));
-        this.clearWhole(told.endings);
+    receive(told: QuarantineNews): void {
+        this.applyStep(joinNews(this.state, told, this.deps.clock.now()));
+        this.clearCompleted(told.endings);
     }
 
     /** Counts a refusal, and logs it now and then. */
     refused(req: string, fingerprint: string, { code, detail }: Withheld): void {
         this.deps.metrics.countWithheld(code);
         const now = this.deps.clock.now();
-        if (now - (this.refusalLogged.get(fingerprint) ?? -Infinity) < REFUSAL_LOG_MS) return;
-        this.refusalLogged.set(fingerprint, now);
+        if (now - (this.refusalLoggedAt.get(fingerprint) ?? -Infinity) < REFUSAL_LOG_MS) return;
+        this.refusalLoggedAt.set(fingerprint, now);
         this.deps.log.info({ req, fingerprint, outcome: code, detail }, "call_withheld");
     }
 
     /** Clears requests that have run to their end here since endings that are told only now. */
-    private clearWhole(endings: readonly EndingNews[]): void {
+    private clearCompleted(endings: readonly EndingNews[]): void {
         const now = this.deps.clock.now();
         for (const { agoMs, requests } of endings) {
             for (const { fingerprint, cleared } of requests) {
-                const wholeAt = this.whole.get(fingerprint);
-                if (!cleared && wholeAt !== undefined && wholeAt >= now - agoMs) this.clear(fingerprint, "whole");
+                const completedAt = this.completedAt.get(fingerprint);
+                if (!cleared && completedAt !== undefined && completedAt >= now - agoMs) {
+                    this.clear(fingerprint, "whole");
+                }
             }
         }
     }
 
-    private settle(runs: readonly BrokenRun[]): void {
+    private removeUnresolved(runs: readonly InterruptedRun[]): void {
         for (const run of runs) {
-            const known = this.unsettled.get(run.fingerprint);
-            if (known?.delete(run) && known.size === 0) this.unsettled.delete(run.fingerprint);
+            const known = this.unresolved.get(run.fingerprint);
+            if (known?.delete(run) && known.size === 0) this.unresolved.delete(run.fingerprint);
         }
     }
 
-    private tellTrial(fingerprint: string, attempt: string, isOver: boolean): void {
+    private publishTrial(fingerprint: string, attempt: string, isOver: boolean): void {
         const trials = [{ attempt, fingerprint, agoMs: 0, isOver }];
-        this.follow(joinNews(this.state, { endings: [], trials }, this.deps.clock.now()));
+        this.applyStep(joinNews(this.state, { endings: [], trials }, this.deps.clock.now()));
     }
 
-    private follow({ state, news }: QuarantineStep): void {
+    private applyStep({ state, news }: QuarantineStep): void {
         const before = this.state.charges;
         this.state = state;
         if (!news) return;
@@ -288,29 +292,29 @@
         }, "request_quarantined");
     }
 
-    private forget(): void {
+    private forgetExpired(): void {
         const now = this.deps.clock.now();
         this.state = forgetOld(this.state, now);
-        for (const [fingerprint, at] of this.whole) {
-            if (now - at < WHOLE_KEPT_MS) break;
-            this.whole.delete(fingerprint);
+        for (const [fingerprint, at] of this.completedAt) {
+            if (now - at < COMPLETED_KEPT_MS) break;
+            this.completedAt.delete(fingerprint);
         }
-        for (const [fingerprint, at] of this.refusalLogged) {
-            if (now - at >= REFUSAL_LOG_MS) this.refusalLogged.delete(fingerprint);
+        for (const [fingerprint, at] of this.refusalLoggedAt) {
+            if (now - at >= REFUSAL_LOG_MS) this.refusalLoggedAt.delete(fingerprint);
         }
     }
 }
 
-function endingsOf(verdict: Verdict): number {
+function crashCountOf(verdict: Verdict): number {
     return "endings" in verdict ? verdict.endings : 0;
 }
 
-function quarantined(endings: number, sureMs: number): Withheld {
+function withheldAsQuarantined(endings: number, sureMs: number): Withheld {
     const detail = `this request was running at ${endings} endpoints when they ended; do not send it again`;
     return { code: FailCode.Quarantined, detail, sureMs };
 }
 
-const WITHHELD: {
+const WITHHELD_BY_VERDICT: {
     readonly [K in Verdict["kind"]]: (verdict: Extract<Verdict, { kind: K }>) => Withheld | undefined;
 } = {
     free: () => undefined,
@@ -320,5 +324,5 @@
         detail: "this request was running at an endpoint when that ended, and runs once more now",
         retryAfterMs: againMs,
     }),
-    quarantined: ({ endings, sureMs }) => quarantined(endings, sureMs),
+    quarantined: ({ endings, sureMs }) => withheldAsQuarantined(endings, sureMs),
 };
--- a/packages/host/src/endpoints/life-doubts.ts
+++ b/packages/host/src/endpoints/restart-suspicions.ts
@@ -6,12 +6,12 @@
  */
 import type { Life } from "@drumpaddle/routes";
 import type { Log } from "../runtime/log.js";
-import type { WatchedEndpoint } from "./ending-watch.js";
-import type { LifeSign } from "./life-probe.js";
+import type { WatchedEndpoint } from "./crash-detector.js";
+import type { LifeSign } from "./endpoint-probe.js";
 import type { Placement } from "./placement.js";
 
 /** What doubts need of the gateway. */
-export interface LifeDoubtsDeps {
+export interface RestartSuspicionsDeps {
     readonly log: Log;
     /** Decisions that know of endpoints; each endpoint is known to one of them. */
     readonly placements: readonly Placement[];
@@ -22,30 +22,30 @@
 }
 
 /** An endpoint that does not answer the question has written its registration anew by then. */
-const DOUBT_MS = 2_000;
+const SUSPICION_MS = 2_000;
 
 /** The endpoints that one host doubts. */
 export class LifeDoubts {
-    private readonly asking = new Set<string>();
+    private readonly probing = new Set<string>();
 
-    constructor(private readonly deps: LifeDoubtsDeps) {}
+    constructor(private readonly deps: RestartSuspicionsDeps) {}
 
     /** A connection to an endpoint has ended by itself. One that says nothing of its lives cannot be told from a later one. */
     raise(endpoint: WatchedEndpoint): void {
         const { incarnation, born } = endpoint;
-        const placement = this.deps.placements.find(known => known.boundsCold(incarnation));
-        if (!placement || born === undefined || this.asking.has(incarnation)) return;
-        this.asking.add(incarnation);
-        placement.doubt(incarnation, DOUBT_MS);
-        void this.settle(endpoint, placement);
+        const placement = this.deps.placements.find(known => known.limitsWhileCold(incarnation));
+        if (!placement || born === undefined || this.probing.has(incarnation)) return;
+        this.probing.add(incarnation);
+        placement.suspectRestart(incarnation, SUSPICION_MS);
+        void this.probeAndSettle(endpoint, placement);
     }
 
-    private async settle(endpoint: WatchedEndpoint, placement: Placement): Promise<void> {
+    private async probeAndSettle(endpoint: WatchedEndpoint, placement: Placement): Promise<void> {
         const { incarnation } = endpoint;
         const sign = await this.deps.probe(endpoint);
-        this.asking.delete(incarnation);
+        this.probing.delete(incarnation);
         this.deps.log.info({ endpoint: incarnation, sign: sign.kind }, "endpoint_life_doubted");
-        if (sign.kind === "lives" && sign.saysBorn) placement.doubt(incarnation, undefined);
+        if (sign.kind === "lives" && sign.reportsBirth) placement.suspectRestart(incarnation, undefined);
         if (sign.kind === "laterLife") this.deps.meetLife(sign.life);
     }
 }
--- a/packages/host/src/endpoints/speed-watch.ts
+++ b/packages/host/src/endpoints/speed-watch.ts
@@ -10,9 +10,9 @@
 import { repeat } from "../runtime/repeat.js";
 
 /** An endpoint is looked at this often, in milliseconds: known within its first second, it is told of within its second. */
-const LOOK_MS = 1_000;
+const CHECK_INTERVAL_MS = 1_000;
 /** It is clearly slower or faster where an error of so many deviations would leave it so. */
-const CLEAR_DEVIATIONS = 3;
+const OUTLIER_DEVIATIONS = 3;
 
 /** What the watch needs. */
 export interface SpeedWatchDeps {
@@ -25,19 +25,19 @@
 
 /** Starts to watch; ends with the signal. */
 export function watchSpeeds({ clock, log, metrics, view, signal }: SpeedWatchDeps): void {
-    let told: ReadonlySet<string> = new Set();
+    let reported: ReadonlySet<string> = new Set();
     repeat(
         () => {
             const state = view();
             const now = clock.now();
             metrics.speedSpread.set(spreadOf(state));
-            const clear = clearlyOff(state, now);
-            for (const { endpoint, speed } of clear.filter(({ endpoint }) => !told.has(endpoint))) {
+            const outliers = speedOutliers(state, now);
+            for (const { endpoint, speed } of outliers.filter(({ endpoint }) => !reported.has(endpoint))) {
                 log.info({ endpoint, ...speedFields(speed) }, speed.log > 0 ? "endpoint_slow" : "endpoint_fast");
             }
-            told = stillKnown(state, told, clear.map(({ endpoint }) => endpoint));
+            reported = stillDeclared(state, reported, outliers.map(({ endpoint }) => endpoint));
         },
-        () => LOOK_MS,
+        () => CHECK_INTERVAL_MS,
         signal,
     );
 }
@@ -48,19 +48,23 @@
 }
 
 /** Endpoints that are clearly slower or faster than their kind; one host tells of each, its owner. */
-export function clearlyOff(
+export function speedOutliers(
     state: SchedulerState,
     now: number,
 ): readonly { readonly endpoint: string; readonly speed: KnownSpeed }[] {
     return state.endpoints.values()
         .filter(({ cfg }) => state.hosts <= 1 || state.owned.has(cfg.id))
         .map(view => ({ endpoint: view.cfg.id, speed: knownSpeed(state, view, now) }))
-        .filter(({ speed }) => speed.log !== 0 && Math.abs(speed.log) > CLEAR_DEVIATIONS * speed.deviation);
+        .filter(({ speed }) => speed.log !== 0 && Math.abs(speed.log) > OUTLIER_DEVIATIONS * speed.deviation);
 }
 
 /** Endpoints that were told of and are still declared: each is told of once. */
-function stillKnown(state: SchedulerState, told: ReadonlySet<string>, news: readonly string[]): ReadonlySet<string> {
-    return new Set([...told, ...news].filter(endpoint => state.endpoints.get(endpoint) !== undefined));
+function stillDeclared(
+    state: SchedulerState,
+    reported: ReadonlySet<string>,
+    outliers: readonly string[],
+): ReadonlySet<string> {
+    return new Set([...reported, ...outliers].filter(endpoint => state.endpoints.get(endpoint) !== undefined));
 }
 
 /** A speed as log lines tell it: times of the mean endpoint, the relative error, and when it was last seen. */
--- a/packages/host/src/peers/owned-log.ts
+++ b/packages/host/src/peers/ownership-log.ts
@@ -8,19 +8,19 @@
 import type { Metrics } from "../runtime/metrics.js";
 
 /** What a host owned when it was last looked at. */
-export class OwnedLog {
-    private owned = 0;
+export class OwnershipLog {
+    private ownedCount = 0;
 
     constructor(private readonly log: Log, private readonly metrics: Pick<Metrics, "ownedEndpoints">) {}
 
     /** Takes in what a round has found this host to own. */
-    see(events: readonly SchedulerEvent[]): void {
-        const owns = events.find(event => event.kind === "owns");
-        if (!owns) return;
-        const { length: owned } = owns.endpoints;
+    update(events: readonly SchedulerEvent[]): void {
+        const ownsEvent = events.find(event => event.kind === "owns");
+        if (!ownsEvent) return;
+        const { length: owned } = ownsEvent.endpoints;
         this.metrics.ownedEndpoints.set(owned);
-        const before = this.owned;
-        this.owned = owned;
+        const before = this.ownedCount;
+        this.ownedCount = owned;
         // How many there are changes with every endpoint that comes or goes.
         if ((owned > 0) !== (before > 0)) this.log.info({ owned, before }, "endpoints_owned");
     }
--- a/packages/host/src/peers/peer-messages.ts
+++ b/packages/host/src/peers/peer-messages.ts
@@ -19,7 +19,7 @@
 import { TypeCompiler } from "@sinclair/typebox/compiler";
 import type { StorePeerMessage, StoreStamp } from "../store/store-words.js";
 
-const News = Type.Object({
+const MemberShape = Type.Object({
     name: Type.String(),
     hall: Type.String(),
     scope: Type.String(),
@@ -32,8 +32,8 @@
     leaving: Type.Boolean(),
     forMs: Type.Number({ minimum: 0 }),
 });
-const ListOfNews = Type.Array(News);
-const Stamp = Type.Object({
+const MemberList = Type.Array(MemberShape);
+const SenderShape = Type.Object({
     name: Type.String(),
     start: Type.Number(),
     incarnation: Type.Integer({ minimum: 0 }),
@@ -41,9 +41,9 @@
 });
 const Revision = Type.Integer({ minimum: 0 });
 /** A point in the store's history. */
-const Position = { epoch: Type.Integer({ minimum: 0 }), revision: Revision };
+const PositionFields = { epoch: Type.Integer({ minimum: 0 }), revision: Revision };
 /** How far a host is with what the store tells; below 0 where it knows nothing. */
-const StoreProgress = { epoch: Type.Integer(), revision: Type.Integer(), version: Type.Integer() };
+const StoreProgressFields = { epoch: Type.Integer(), revision: Type.Integer(), version: Type.Integer() };
 /** How far the sender is: its settings' version, or what it knows by the store's word. */
 const Progress = {
     settings: Type.Optional(Type.Object({ version: Type.Integer(), hash: Type.String() })),
@@ -52,16 +52,16 @@
     ),
     quarantine: Type.Optional(Type.Integer()),
 };
-const SignOfLife = Type.Object({
-    self: Stamp,
-    news: Type.Optional(ListOfNews),
+const ProbeShape = Type.Object({
+    self: SenderShape,
+    news: Type.Optional(MemberList),
     for: Type.Optional(Type.String()),
     ...Progress,
 });
-const Sum = Type.Number({ minimum: 0 });
-const ShownShape = Type.Array(Sum, { minItems: SHOWN_WORDS, maxItems: SHOWN_WORDS });
-const SpeedShape = Type.Tuple([Type.Number(), Sum, Sum]);
-const HeldShape = Type.Object({
+const NonNegative = Type.Number({ minimum: 0 });
+const ShownShape = Type.Array(NonNegative, { minItems: SHOWN_WORDS, maxItems: SHOWN_WORDS });
+const SpeedShape = Type.Tuple([Type.Number(), NonNegative, NonNegative]);
+const LoadShape = Type.Object({
     endpoint: Type.String(),
     streams: Type.Integer({ minimum: 0 }),
     unread: Type.Number({ minimum: 0 }),
@@ -71,7 +71,7 @@
     shown: Type.Optional(ShownShape),
     speed: Type.Optional(SpeedShape),
 });
-const Change = Type.Object({
+const ChangeShape = Type.Object({
     key: Type.String(),
     value: Type.Optional(Type.String()),
     modRevision: Revision,
@@ -90,44 +90,44 @@
     ),
 });
 const TrialShape = Type.Object({ attempt: Name, fingerprint: Name, agoMs: Age, isOver: Type.Boolean() });
-const WordShape = Type.Object({
+const NoticeShape = Type.Object({
     endpoint: Name,
     leaves: Type.Boolean(),
     limit: Type.Optional(Type.Object({ perS: Type.Optional(Type.Number({ minimum: 0 })), agoMs: Age })),
 });
 /** Endings, and as many suspects that run, or words of endpoints, that one message may tell of. */
-export const MOST_TOLD = 256;
-const Texts = Type.Record(Type.String(), Type.String());
+export const MAX_ITEMS = 256;
+const TextRecord = Type.Record(Type.String(), Type.String());
 
 /** Shape of each message; one that is not so is dropped and counted. */
 const SHAPES = {
-    probe: SignOfLife,
-    ack: SignOfLife,
+    probe: ProbeShape,
+    ack: ProbeShape,
     check: Type.Object({ name: Type.String(), ...Progress }),
     vouch: Type.Object({ name: Type.String(), ...Progress }),
-    gossip: Type.Object({ news: ListOfNews, ...Progress }),
+    gossip: Type.Object({ news: MemberList, ...Progress }),
     sync: Type.Object({
-        self: News,
+        self: MemberShape,
         digest: Type.Number(),
         known: Type.Optional(Type.Array(Type.Number())),
         left: Type.Integer(),
         ...Progress,
     }),
-    members: Type.Object({ news: ListOfNews, ...Progress }),
-    ask: Type.Object({ have: Texts }),
+    members: Type.Object({ news: MemberList, ...Progress }),
+    ask: Type.Object({ have: TextRecord }),
     give: Type.Object({
-        head: Type.Object({ version: Type.Integer(), parts: Texts, hash: Type.String() }),
-        parts: Texts,
+        head: Type.Object({ version: Type.Integer(), parts: TextRecord, hash: Type.String() }),
+        parts: TextRecord,
     }),
-    held: Type.Object({ held: Type.Array(HeldShape) }),
+    held: Type.Object({ held: Type.Array(LoadShape) }),
     others: Type.Object({
-        others: Type.Array(HeldShape),
+        others: Type.Array(LoadShape),
         owned: Type.Array(Type.String()),
         leaving: Type.Array(Type.String()),
     }),
     question: Type.Object({
         job: Type.String(),
-        stream: HeldShape,
+        stream: LoadShape,
         demand: Type.Object({
             model: Type.String(),
             promptTokens: Type.Number({ minimum: 0 }),
@@ -155,15 +155,15 @@
         unread: Type.Optional(Type.Number({ minimum: 0 })),
     }),
     storeWord: Type.Object({
-        ...Position,
+        ...PositionFields,
         hears: Type.Boolean(),
         after: Revision,
-        changes: Type.Array(Change),
+        changes: Type.Array(ChangeShape),
     }),
     lifeMet: Type.Object({ id: Type.String({ minLength: 1 }), born: Type.Integer() }),
-    storeAsk: Type.Object(StoreProgress),
+    storeAsk: Type.Object(StoreProgressFields),
     storeState: Type.Object({
-        ...Position,
+        ...PositionFields,
         ageMs: Type.Number({ minimum: 0 }),
         deployment: Type.Optional(Type.String()),
         endpoints: Type.String(),
@@ -171,11 +171,11 @@
     }),
     quarantine: Type.Object({
         isAll: Type.Boolean(),
-        endings: Type.Array(EndingShape, { maxItems: MOST_TOLD }),
-        trials: Type.Array(TrialShape, { maxItems: MOST_TOLD }),
+        endings: Type.Array(EndingShape, { maxItems: MAX_ITEMS }),
+        trials: Type.Array(TrialShape, { maxItems: MAX_ITEMS }),
     }),
     quarantineAsk: Type.Object({}),
-    said: Type.Object({ words: Type.Array(WordShape, { maxItems: MOST_TOLD }), isAll: Type.Boolean() }),
+    said: Type.Object({ words: Type.Array(NoticeShape, { maxItems: MAX_ITEMS }), isAll: Type.Boolean() }),
     saidAsk: Type.Object({}),
     unreached: Type.Object({ endpoint: Name, agoMs: Age }),
 } as const;
@@ -202,7 +202,7 @@
     | { readonly kind: "give" } & SettingsGive
     | StorePeerMessage
     | QuarantinePeerMessage
-    | WordPeerMessage
+    | NoticePeerMessage
     | ReachPeerMessage
     | ShareMessage;
 
@@ -214,7 +214,7 @@
 }
 
 /** Messages by which hosts share what endpoints say of themselves. */
-export type WordPeerMessage =
+export type NoticePeerMessage =
     /** `isAll`: the answer to a question for all that the sender knows. */
     | { readonly kind: "said"; readonly words: readonly EndpointWord[]; readonly isAll: boolean }
     /** Asks for all that a peer knows. */
--- a/packages/host/src/peers/peers.ts
+++ b/packages/host/src/peers/peers.ts
@@ -45,7 +45,7 @@
 import { type Clock, type FrameMessage, type PeerError, PeerMesh, type PeerName } from "@drumpaddle/protocol";
 import type { Life } from "@drumpaddle/routes";
 import { randomInt } from "node:crypto";
-import type { EndpointWords } from "../endpoints/endpoint-words.js";
+import type { EndpointWords } from "../endpoints/endpoint-notices.js";
 import type { Placement } from "../endpoints/placement.js";
 import type { RequestGuard } from "../endpoints/request-guard.js";
 import type { HostCfg } from "../runtime/config.js";
@@ -56,11 +56,11 @@
 import type { Spread } from "../store/spread.js";
 import { type StoreFollower, StoreSharing } from "../store/store-follower.js";
 import type { StorePeerMessage } from "../store/store-words.js";
-import { OwnedLog } from "./owned-log.js";
+import { NoticeSharing } from "./notice-sharing.js";
+import { OwnershipLog } from "./ownership-log.js";
 import { isPeerMessage, type PeerMessage, type Progress } from "./peer-messages.js";
 import { QuarantineSharing } from "./quarantine-sharing.js";
 import { ReachSharing } from "./reach-sharing.js";
-import { WordSharing } from "./word-sharing.js";
 
 type Handlers = {
     readonly [K in PeerMessage["kind"]]: (from: PeerName, message: Extract<PeerMessage, { kind: K }>) => void;
@@ -79,43 +79,43 @@
     /** Where it is given, two hosts of a hall watch the store for all. */
     readonly follower?: StoreFollower;
     /** Where it is given, hosts share which requests end endpoints. */
-    readonly guard?: Pick<RequestGuard, "all" | "digest" | "hear">;
+    readonly guard?: Pick<RequestGuard, "all" | "digest" | "receive">;
     /** Where it is given, hosts share what endpoints say of themselves. */
-    readonly words?: Pick<EndpointWords, "all" | "hear">;
+    readonly words?: Pick<EndpointWords, "all" | "receive">;
     /** Where it is given, what waits for peers is a part of its budget. */
     readonly memory?: HostMemory;
     readonly signal: AbortSignal;
 }
 
 /** Many peers tell of a new version at once: another of them is asked only after this. */
-const ASK_AGAIN_MS = 500;
+const SETTINGS_RETRY_MS = 500;
 /** Starts of a host are told apart by a number of this range. */
-const STARTS = 2 ** 32;
+const START_RANGE = 2 ** 32;
 
 /** This host's part in its hall. */
 export class Peers {
     private detector: Detector;
-    private share: ShareState;
-    private readonly sharing: StoreSharing | undefined;
-    private readonly quarantine: QuarantineSharing | undefined;
-    private readonly words: WordSharing | undefined;
+    private shareState: ShareState;
+    private readonly storeSharing: StoreSharing | undefined;
+    private readonly quarantineSharing: QuarantineSharing | undefined;
+    private readonly noticeSharing: NoticeSharing | undefined;
     /** Which other halls can be reached. */
     readonly reach: ReachSharing;
-    private readonly ownedLog: OwnedLog;
+    private readonly ownershipLog: OwnershipLog;
     /** The live hosts that the log last told of. */
-    private logged: readonly string[] = [];
+    private loggedLive: readonly string[] = [];
     /** The version that a peer was asked for last, and when. */
-    private askedVersion = { version: -Infinity, at: -Infinity };
+    private requestedVersion = { version: -Infinity, at: -Infinity };
 
     private constructor(private readonly host: PeersDeps, private readonly mesh: PeerMesh, seeds: readonly string[]) {
         const { "host.name": name, "host.hall": hall, "peers.scope": scope = hall } = host.cfg;
-        this.share = createShare(name);
-        this.ownedLog = new OwnedLog(host.log, host.metrics);
-        const start = randomInt(STARTS);
+        this.shareState = createShare(name);
+        this.ownershipLog = new OwnershipLog(host.log, host.metrics);
+        const start = randomInt(START_RANGE);
         const capacity = ownCapacity(host.cfg);
         const told = capacity === undefined ? {} : { capacity };
         this.detector = createDetector({ name, hall, scope, address: mesh.at, start, ...told }, seeds);
-        this.sharing = host.follower && new StoreSharing({
+        this.storeSharing = host.follower && new StoreSharing({
             name,
             clock: host.clock,
             signal: host.signal,
@@ -135,29 +135,29 @@
             inHall: () => liveInHall(this.membership, this.host.clock.now()),
             otherHalls: () => otherHalls(this.membership, this.host.clock.now()),
             send: (names, message) => this.sendAll(names, message),
-            tell: event => {
-                for (const placement of [host.engines, host.plain]) placement.tell([event]);
+            applyEvent: event => {
+                for (const placement of [host.engines, host.plain]) placement.applyEvents([event]);
             },
         });
         const { guard } = host;
-        this.quarantine = guard && new QuarantineSharing({
+        this.quarantineSharing = guard && new QuarantineSharing({
             name,
             clock: host.clock,
             signal: host.signal,
             live: () => this.live,
             send: (names, message) => this.sendAll(names, message),
-            hear: news => guard.hear(news),
+            learn: news => guard.receive(news),
             all: () => guard.all(),
             digest: () => guard.digest,
         });
         const { words } = host;
-        this.words = words && new WordSharing({
+        this.noticeSharing = words && new NoticeSharing({
             name,
             clock: host.clock,
             signal: host.signal,
             live: () => this.live,
             send: (names, message) => this.sendAll(names, message),
-            hear: told => words.hear(told),
+            learn: told => words.receive(told),
             all: () => words.all(),
         });
     }
@@ -175,13 +175,13 @@
         const { cfg, clock, log, metrics, memory, signal } = host;
         const listen = cfg["peers.listen"];
         const at = listen.lastIndexOf(":");
-        const received: { peers?: Peers } = {};
+        const started: { peers?: Peers } = {};
         const mesh = await PeerMesh.listen({
             name: cfg["host.name"],
             listen: { ip: listen.slice(0, at), port: Number(listen.slice(at + 1)) },
             secrets: cfg["peers.secrets"],
             clock,
-            onMessage: (from, message) => received.peers?.receive(from, message),
+            onMessage: (from, message) => started.peers?.receive(from, message),
             onError: (peer: string, err: PeerError) =>
                 log.debug({ peer, err: err.kind, detail: "detail" in err ? err.detail : undefined }, "peer_error"),
             onBytes: (direction, bytes) => metrics.countPeerBytes(direction, bytes),
@@ -194,18 +194,18 @@
         });
         if (memory) memory.onCutLink = link => mesh.cutOff(link);
         const peers = new Peers(host, mesh, cfg["peers.seeds"]);
-        received.peers = peers;
-        peers.run();
+        started.peers = peers;
+        peers.startTimers();
         return peers;
     }
 
-    private run(): void {
+    private startTimers(): void {
         const { cfg, signal } = this.host;
-        this.host.engines.setAsker(action =>
-            this.follow(shareAsk(this.share, action, this.endpoints, this.live, this.host.clock.now()))
+        this.host.engines.setOwnerQuery(action =>
+            this.applyShareStep(shareAsk(this.shareState, action, this.endpoints, this.live, this.host.clock.now()))
         );
-        repeat(() => this.beat(), () => cfg["control.heartbeat"], signal);
-        repeat(() => this.dueRound(), () => Math.min(tellEvery(this.live.length), TELL_OWNERS_MS), signal);
+        repeat(() => this.heartbeat(), () => cfg["control.heartbeat"], signal);
+        repeat(() => this.sendDueRound(), () => Math.min(tellEvery(this.live.length), TELL_OWNERS_MS), signal);
     }
 
     /** Where peers reach this host. */
@@ -241,39 +241,39 @@
 
     /** Whether this host asks an endpoint for its load, as its owner. */
     owns(endpoint: string): boolean {
-        const owner = endpointOwner(endpoint, this.endpoints.values().length, this.live, this.share.weights);
+        const owner = endpointOwner(endpoint, this.endpoints.values().length, this.live, this.shareState.weights);
         return owner === this.host.cfg["host.name"];
     }
 
     /** Whether this host has heard what its peers know of endpoints and of requests that end them, as far as one can tell. */
     get isInformed(): boolean {
-        return (this.quarantine?.isReady ?? true) && (this.words?.isReady ?? true);
+        return (this.quarantineSharing?.isReady ?? true) && (this.noticeSharing?.isReady ?? true);
     }
 
     /** Tells peers of requests that end endpoints. */
     tellQuarantine(news: QuarantineNews): void {
-        this.quarantine?.tell(news);
+        this.quarantineSharing?.share(news);
     }
 
     /** Tells peers of a change in what endpoints say of themselves. */
     tellWords(words: readonly EndpointWord[]): void {
-        this.words?.tell(words);
+        this.noticeSharing?.share(words);
     }
 
     /** Takes in which life of an endpoint has answered this host. */
     meetLife(life: Life): void {
-        this.sharing?.meetLife(life);
+        this.storeSharing?.meetLife(life);
     }
 
     /** The host was suspended, or may have been: asks its peers at once who they take it for, and tells them what it holds. */
     woke(): void {
-        this.beat();
+        this.heartbeat();
         this.tellNow();
     }
 
     /** Tells peers at once that this host is leaving. */
     leave(): void {
-        this.carryOut(leaveHall(this.detector, this.env));
+        this.applyDetectorStep(leaveHall(this.detector, this.env));
     }
 
     /** Tells all live peers of the version in force, at once; called when this host has a new one. */
@@ -287,13 +287,13 @@
         const { guard } = this.host;
         const quarantine = guard ? { quarantine: guard.digest } : {};
         // What is learnt from the store is told by its revision.
-        if (!this.sharing) return { settings: this.host.spread.news(), ...quarantine };
-        const store = this.sharing.stamp();
+        if (!this.storeSharing) return { settings: this.host.spread.news(), ...quarantine };
+        const store = this.storeSharing.stamp();
         return { ...(store ? { store } : {}), ...quarantine };
     }
 
-    private beat(): void {
-        this.carryOut(tick(this.detector, this.env));
+    private heartbeat(): void {
+        this.applyDetectorStep(tick(this.detector, this.env));
         const { metrics, follower, spread, cfg } = this.host;
         const { live } = this;
         metrics.liveHosts.set(live.length);
@@ -302,16 +302,16 @@
         if (!follower) spread.setWatching(watches(cfg["host.name"], live, this.weights));
     }
 
-    private carryOut({ state, send }: DetectorStep): void {
+    private applyDetectorStep({ state, send }: DetectorStep): void {
         this.detector = state;
         const { progress } = this;
         for (const { to, message } of send) this.send(to, { ...message, ...progress });
     }
 
     private logChanges(live: readonly string[]): void {
-        const before = this.logged;
+        const before = this.loggedLive;
         if (before.length === live.length && before.every((name, at) => name === live[at])) return;
-        this.logged = live;
+        this.loggedLive = live;
         const joined = live.filter(name => !before.includes(name));
         const gone = before.filter(name => !live.includes(name));
         this.host.log.debug({ live: live.length, joined: joined.join(","), gone: gone.join(",") }, "hosts_changed");
@@ -341,52 +341,52 @@
     }
 
     private readonly handlers: Handlers = {
-        probe: (from, message) => this.hearDetector(from, message),
-        ack: (from, message) => this.hearDetector(from, message),
-        check: (from, message) => this.hearDetector(from, message),
-        vouch: (from, message) => this.hearDetector(from, message),
-        gossip: (from, message) => this.hearDetector(from, message),
-        sync: (from, message) => this.hearDetector(from, message),
-        members: (from, message) => this.hearDetector(from, message),
+        probe: (from, message) => this.receiveDetector(from, message),
+        ack: (from, message) => this.receiveDetector(from, message),
+        check: (from, message) => this.receiveDetector(from, message),
+        vouch: (from, message) => this.receiveDetector(from, message),
+        gossip: (from, message) => this.receiveDetector(from, message),
+        sync: (from, message) => this.receiveDetector(from, message),
+        members: (from, message) => this.receiveDetector(from, message),
         ask: (from, ask) => {
             const given = this.host.spread.give(ask);
             if (given) this.send(from.address, { kind: "give", ...given });
         },
         give: (_from, given) => this.host.spread.take(given),
-        held: (from, message) => this.hearShare(from, message),
-        others: (from, message) => this.hearShare(from, message),
-        question: (from, message) => this.hearShare(from, message),
-        answer: (from, message) => this.hearShare(from, message),
-        storeWord: (from, message) => this.hearStore(from, message),
-        storeAsk: (from, message) => this.hearStore(from, message),
-        storeState: (from, message) => this.hearStore(from, message),
-        lifeMet: (from, message) => this.hearStore(from, message),
-        quarantine: (from, message) => this.quarantine?.receive(from.name, message),
-        quarantineAsk: (from, message) => this.quarantine?.receive(from.name, message),
-        said: (from, message) => this.words?.receive(from.name, message),
-        saidAsk: (from, message) => this.words?.receive(from.name, message),
+        held: (from, message) => this.receiveShare(from, message),
+        others: (from, message) => this.receiveShare(from, message),
+        question: (from, message) => this.receiveShare(from, message),
+        answer: (from, message) => this.receiveShare(from, message),
+        storeWord: (from, message) => this.receiveStore(from, message),
+        storeAsk: (from, message) => this.receiveStore(from, message),
+        storeState: (from, message) => this.receiveStore(from, message),
+        lifeMet: (from, message) => this.receiveStore(from, message),
+        quarantine: (from, message) => this.quarantineSharing?.receive(from.name, message),
+        quarantineAsk: (from, message) => this.quarantineSharing?.receive(from.name, message),
+        said: (from, message) => this.noticeSharing?.receive(from.name, message),
+        saidAsk: (from, message) => this.noticeSharing?.receive(from.name, message),
         unreached: (_from, message) => this.reach.receive(message),
     };
 
-    private hearDetector(from: PeerName, message: DetectorMessage & Progress): void {
-        this.carryOut(receive(this.detector, from.address, message, this.env));
+    private receiveDetector(from: PeerName, message: DetectorMessage & Progress): void {
+        this.applyDetectorStep(receive(this.detector, from.address, message, this.env));
         const { settings, store, quarantine } = message;
-        if (store) this.sharing?.hearStamp(from.name, store);
-        if (quarantine !== undefined) this.quarantine?.hearDigest(from.name, quarantine);
+        if (store) this.storeSharing?.hearStamp(from.name, store);
+        if (quarantine !== undefined) this.quarantineSharing?.receiveDigest(from.name, quarantine);
         const ask = settings && this.host.spread.ask(settings);
-        if (ask && this.mayAsk(settings.version)) this.send(from.address, { kind: "ask", ...ask });
+        if (ask && this.shouldRequestSettings(settings.version)) this.send(from.address, { kind: "ask", ...ask });
     }
 
-    private hearStore(from: PeerName, message: StorePeerMessage): void {
-        this.sharing?.receive(from.name, message);
+    private receiveStore(from: PeerName, message: StorePeerMessage): void {
+        this.storeSharing?.receive(from.name, message);
     }
 
     /** Whether a version is asked for now: not again from every peer that tells of it. */
-    private mayAsk(version: number): boolean {
+    private shouldRequestSettings(version: number): boolean {
         const now = this.host.clock.now();
-        const asked = this.askedVersion;
-        if (version <= asked.version && now - asked.at < ASK_AGAIN_MS) return false;
-        this.askedVersion = { version, at: now };
+        const asked = this.requestedVersion;
+        if (version <= asked.version && now - asked.at < SETTINGS_RETRY_MS) return false;
+        this.requestedVersion = { version, at: now };
         return true;
     }
 
@@ -394,36 +394,38 @@
         return this.host.engines.view.endpoints;
     }
 
-    private hearShare(from: PeerName, message: ShareMessage): void {
-        this.follow(shareHear(this.share, from.name, message, this.host.engines.view, this.host.clock.now()));
+    private receiveShare(from: PeerName, message: ShareMessage): void {
+        this.applyShareStep(
+            shareHear(this.shareState, from.name, message, this.host.engines.view, this.host.clock.now()),
+        );
     }
 
     /** Carries out what follows from a step of what hosts know of each other's streams. */
-    private follow({ state, send, events }: ShareStep): void {
-        this.share = state;
+    private applyShareStep({ state, send, events }: ShareStep): void {
+        this.shareState = state;
         for (const { to, message } of send) this.sendTo(to, message);
-        this.host.engines.tell(events);
+        this.host.engines.applyEvents(events);
     }
 
     /** A round of telling, at once and not only when it is due: for news that must not wait, such as leaving. */
     tellNow(): void {
-        this.round(0);
+        this.sendRound(0);
     }
 
     /** The round that is due: owners hear each time, other hosts more rarely. */
-    private dueRound(): void {
+    private sendDueRound(): void {
         const every = tellEvery(this.live.length);
-        this.round(every <= TELL_OWNERS_MS ? 0 : every);
+        this.sendRound(every <= TELL_OWNERS_MS ? 0 : every);
     }
 
-    private round(othersEveryMs: number): void {
+    private sendRound(othersEveryMs: number): void {
         const { live } = this;
         const unheard = unheardCandidates(this.membership).length;
-        this.host.plain.tell([hostsEvent(this.host.cfg["host.name"], live, unheard)]);
-        this.share = withWeights(this.share, this.weights);
-        const step = shareRound(this.share, this.endpoints, live, this.host.clock.now(), othersEveryMs, unheard);
-        this.ownedLog.see(step.events);
-        this.follow(step);
+        this.host.plain.applyEvents([hostsEvent(this.host.cfg["host.name"], live, unheard)]);
+        this.shareState = withWeights(this.shareState, this.weights);
+        const step = shareRound(this.shareState, this.endpoints, live, this.host.clock.now(), othersEveryMs, unheard);
+        this.ownershipLog.update(step.events);
+        this.applyShareStep(step);
     }
 
     private sendTo(name: string, message: PeerMessage): void {
--- a/packages/host/src/peers/quarantine-sharing.ts
+++ b/packages/host/src/peers/quarantine-sharing.ts
@@ -7,8 +7,8 @@
 import type { QuarantineNews } from "@drumpaddle/hall";
 import type { Clock } from "@drumpaddle/protocol";
 import { someOf } from "../runtime/some-of.js";
-import { AskAtStart } from "./ask-at-start.js";
-import { MOST_TOLD, type QuarantinePeerMessage } from "./peer-messages.js";
+import { MAX_ITEMS, type QuarantinePeerMessage } from "./peer-messages.js";
+import { StartupQuery } from "./startup-query.js";
 
 /** What sharing needs of the peers. */
 export interface QuarantineSharingDeps {
@@ -19,7 +19,7 @@
     live(): readonly string[];
     send(names: readonly string[], message: QuarantinePeerMessage): void;
     /** Takes in what a peer tells. */
-    hear(news: QuarantineNews): void;
+    learn(news: QuarantineNews): void;
     all(): QuarantineNews;
     digest(): number;
 }
@@ -30,61 +30,61 @@
  */
 const FANOUT = 6;
 /** News of one moment is told together: an engine's end breaks up to 24 calls at once. */
-const GATHER_MS = 2;
+const BATCH_MS = 2;
 /** Hosts that know other endings are told all of them this often at most. */
 const RECONCILE_MS = 1_000;
-const NOTHING: QuarantineNews = { endings: [], trials: [] };
+const NO_NEWS: QuarantineNews = { endings: [], trials: [] };
 
 /** One host's part in sharing them. */
 export class QuarantineSharing {
     private reconciledAt = -Infinity;
-    private readonly asking: AskAtStart;
-    private gathered: QuarantineNews = NOTHING;
+    private readonly startupQuery: StartupQuery;
+    private batch: QuarantineNews = NO_NEWS;
 
     constructor(private readonly deps: QuarantineSharingDeps) {
         const { clock, signal } = deps;
-        this.asking = new AskAtStart({ clock, signal, ask: () => this.ask() });
+        this.startupQuery = new StartupQuery({ clock, signal, ask: () => this.ask() });
     }
 
     /** Whether a peer has told what is quarantined, or none is there that could. */
     get isReady(): boolean {
-        return this.asking.isReady;
+        return this.startupQuery.isReady;
     }
 
     /** Tells a few hosts what is new here, in a moment. */
-    tell({ endings, trials }: QuarantineNews): void {
-        const { gathered } = this;
-        this.gathered = { endings: [...gathered.endings, ...endings], trials: [...gathered.trials, ...trials] };
-        if (gathered === NOTHING) setTimeout(() => this.flush(), GATHER_MS).unref();
+    share({ endings, trials }: QuarantineNews): void {
+        const { batch: gathered } = this;
+        this.batch = { endings: [...gathered.endings, ...endings], trials: [...gathered.trials, ...trials] };
+        if (gathered === NO_NEWS) setTimeout(() => this.flush(), BATCH_MS).unref();
     }
 
     private flush(): void {
-        const { endings, trials } = this.gathered;
-        this.gathered = NOTHING;
+        const { endings, trials } = this.batch;
+        this.batch = NO_NEWS;
         const to = this.someOthers(FANOUT);
-        for (let at = 0; at < Math.max(endings.length, trials.length); at += MOST_TOLD) {
-            const part = { endings: endings.slice(at, at + MOST_TOLD), trials: trials.slice(at, at + MOST_TOLD) };
+        for (let at = 0; at < Math.max(endings.length, trials.length); at += MAX_ITEMS) {
+            const part = { endings: endings.slice(at, at + MAX_ITEMS), trials: trials.slice(at, at + MAX_ITEMS) };
             this.deps.send(to, { kind: "quarantine", isAll: false, ...part });
         }
     }
 
     /** A peer's probe says by a digest what it knows. */
-    hearDigest(from: string, digest: number): void {
+    receiveDigest(from: string, digest: number): void {
         if (digest === this.deps.digest()) return;
         const now = this.deps.clock.now();
         if (now - this.reconciledAt < RECONCILE_MS) return;
         this.reconciledAt = now;
-        this.sendAll(from);
+        this.sendEverything(from);
     }
 
     /** Takes in a message of a peer. */
     receive(from: string, message: QuarantinePeerMessage): void {
-        if (message.kind === "quarantineAsk") return this.sendAll(from);
-        if (message.isAll) this.asking.answered();
-        this.deps.hear(message);
+        if (message.kind === "quarantineAsk") return this.sendEverything(from);
+        if (message.isAll) this.startupQuery.onAnswer();
+        this.deps.learn(message);
     }
 
-    private sendAll(to: string): void {
+    private sendEverything(to: string): void {
         this.deps.send([to], { kind: "quarantine", isAll: true, ...this.deps.all() });
     }
 
--- a/packages/host/src/peers/reach-sharing.ts
+++ b/packages/host/src/peers/reach-sharing.ts
@@ -43,7 +43,7 @@
     otherHalls(): readonly HallHosts[];
     send(names: readonly string[], message: ReachPeerMessage): void;
     /** Tells the decisions. */
-    tell(event: SchedulerEvent): void;
+    applyEvent(event: SchedulerEvent): void;
     /** Draws whom news is told; the system's where it is absent. */
     readonly random?: () => number;
 }
@@ -60,7 +60,7 @@
     private byName: ReadonlyMap<string, PlacedEndpoint> = new Map();
     private doubts: Doubts = NO_DOUBTS;
     /** Halls that were in doubt and have not been heard since. */
-    private readonly unheard = new Set<string>();
+    private readonly awaitingContact = new Set<string>();
 
     constructor(private readonly deps: ReachSharingDeps) {}
 
@@ -73,34 +73,34 @@
 
     /** A message came from a host of a hall. */
     heardHost(hall: string): void {
-        if (hall !== this.deps.hall) this.heard(hall);
+        if (hall !== this.deps.hall) this.markHeard(hall);
     }
 
     /** An endpoint answered, or a connection to it came up. */
     answered(address: string): void {
         const endpoint = this.byAddress.get(address);
-        if (endpoint) this.heard(endpoint.hall);
+        if (endpoint) this.markHeard(endpoint.hall);
     }
 
     /** A connection to an endpoint failed. */
     failed(address: string): void {
         const endpoint = this.byAddress.get(address);
-        if (endpoint) this.lose(endpoint, 0);
+        if (endpoint) this.recordFailure(endpoint, 0);
     }
 
     /** Takes in what another host of the hall found out. */
     receive({ endpoint: name, agoMs }: ReachPeerMessage): void {
         const endpoint = this.byName.get(name);
-        if (endpoint) this.lose(endpoint, agoMs);
+        if (endpoint) this.recordFailure(endpoint, agoMs);
     }
 
     /** Looks anew what is in doubt: silence becomes a doubt as time passes, and time ends one. */
     look(): void {
-        this.lookAfter([]);
+        this.updateAfter([]);
     }
 
     /** @param back Halls that were in doubt and have just been heard. */
-    private lookAfter(back: readonly string[]): void {
+    private updateAfter(back: readonly string[]): void {
         const { clock, log, metrics } = this.deps;
         const before = this.doubts;
         const found = doubtsOf(this.reach, this.otherHalls(), clock.now());
@@ -108,14 +108,14 @@
         if (found.endpoints.length + before.endpoints.length + back.length === 0) return;
         metrics.doubtedHalls.set(found.halls.length);
         for (const item of found.halls) {
-            if (!holds(before, item.hall)) this.logDoubt(item);
-            this.unheard.add(item.hall);
+            if (!isHallInDoubt(before, item.hall)) this.logDoubt(item);
+            this.awaitingContact.add(item.hall);
         }
-        const over = before.halls.filter(({ hall }) => !holds(found, hall));
+        const over = before.halls.filter(({ hall }) => !isHallInDoubt(found, hall));
         for (const { hall } of over) log.info({ hall, heard: back.includes(hall) }, "hall_no_longer_in_doubt");
         // Told again while it lasts, for endpoints that are declared meanwhile.
         const doubted = { halls: found.halls.map(({ hall }) => hall), endpoints: found.endpoints };
-        this.deps.tell({ kind: "reach", doubted, back });
+        this.deps.applyEvent({ kind: "reach", doubted, back });
     }
 
     private otherHalls(): readonly HallMembers[] {
@@ -126,25 +126,25 @@
         return [...this.byName.values()].filter(endpoint => endpoint.hall === hall).length;
     }
 
-    private heard(hall: string): void {
+    private markHeard(hall: string): void {
         const hadLost = [...this.reach.lost.values()].some(lost => lost.hall === hall);
         this.reach = hearHall(this.reach, hall, this.deps.clock.now());
-        const isBack = this.unheard.delete(hall);
-        if (hadLost || isBack) this.lookAfter(isBack ? [hall] : []);
+        const isRestored = this.awaitingContact.delete(hall);
+        if (hadLost || isRestored) this.updateAfter(isRestored ? [hall] : []);
     }
 
-    private lose(endpoint: PlacedEndpoint, agoMs: number): void {
+    private recordFailure(endpoint: PlacedEndpoint, agoMs: number): void {
         const { incarnation, hall } = endpoint;
         const now = this.deps.clock.now();
         const { state, isNews } = loseEndpoint(this.reach, incarnation, hall, now - agoMs, now);
         this.reach = state;
         if (!isNews) return;
         // Once the hall is in doubt the others know enough.
-        if (!holds(this.doubts, hall)) this.pass({ kind: "unreached", endpoint: incarnation, agoMs });
+        if (!isHallInDoubt(this.doubts, hall)) this.passOn({ kind: "unreached", endpoint: incarnation, agoMs });
         this.look();
     }
 
-    private pass(message: ReachPeerMessage): void {
+    private passOn(message: ReachPeerMessage): void {
         const others = this.deps.inHall().filter(name => name !== this.deps.name);
         this.deps.send(someOf(others, FANOUT, this.deps.random), message);
     }
@@ -158,6 +158,6 @@
     }
 }
 
-function holds({ halls }: Doubts, hall: string): boolean {
+function isHallInDoubt({ halls }: Doubts, hall: string): boolean {
     return halls.some(item => item.hall === hall);
 }
--- a/packages/host/src/peers/ask-at-start.ts
+++ b/packages/host/src/peers/startup-query.ts
@@ -7,7 +7,7 @@
 import { repeat } from "../runtime/repeat.js";
 
 /** What asking needs. */
-export interface AskAtStartDeps {
+export interface StartupQueryDeps {
     readonly clock: Clock;
     readonly signal: AbortSignal;
     /** Asks one peer, if there is any. */
@@ -15,9 +15,9 @@
 }
 
 /** A host that starts asks this often, */
-const ASK_EVERY_MS = 50;
+const RETRY_MS = 50;
 /** and is ready without an answer after this: its peers may all have started with it. */
-const ASK_MOST_MS = 400;
+const MAX_WAIT_MS = 400;
 
 /**
  * The questions of one start.
@@ -27,28 +27,28 @@
  * const asking = new AskAtStart({ clock, signal, ask: () => send(someOf(others(), 1), { kind: "saidAsk" }) });
  * ```
  */
-export class AskAtStart {
+export class StartupQuery {
     private readonly startedAt: number;
-    private readonly asking = new AbortController();
+    private readonly stopAsking = new AbortController();
     private isAnswered = false;
 
-    constructor(private readonly deps: AskAtStartDeps) {
+    constructor(private readonly deps: StartupQueryDeps) {
         this.startedAt = deps.clock.now();
-        repeat(() => this.round(), () => ASK_EVERY_MS, AbortSignal.any([deps.signal, this.asking.signal]));
+        repeat(() => this.askAgain(), () => RETRY_MS, AbortSignal.any([deps.signal, this.stopAsking.signal]));
     }
 
     /** Whether a peer has answered, or none is there that could. */
     get isReady(): boolean {
-        return this.isAnswered || this.deps.clock.now() - this.startedAt >= ASK_MOST_MS;
+        return this.isAnswered || this.deps.clock.now() - this.startedAt >= MAX_WAIT_MS;
     }
 
     /** A peer has answered. */
-    answered(): void {
+    onAnswer(): void {
         this.isAnswered = true;
     }
 
-    private round(): void {
-        if (this.isReady) this.asking.abort();
+    private askAgain(): void {
+        if (this.isReady) this.stopAsking.abort();
         else this.deps.ask();
     }
 }
--- a/packages/host/test/endpoint-speeds.test.ts
+++ b/packages/host/test/endpoint-speeds.test.ts
@@ -11,7 +11,7 @@
     type Shown,
 } from "@drumpaddle/policy";
 import test from "ava";
-import { clearlyOff, spreadOf } from "../src/endpoints/speed-watch.js";
+import { speedOutliers, spreadOf } from "../src/endpoints/speed-watch.js";
 import { listed } from "../src/operators/endpoints-api.js";
 import { isPeerMessage } from "../src/peers/peer-messages.js";
 
@@ -43,14 +43,14 @@
     t.true(slow!.slownessError > 0 && slow!.slownessError < 0.2);
     t.is(slow!.slownessAgeMs, 1_000);
     t.true(spreadOf(state) > 0);
-    t.true(clearlyOff(state, 10_000).some(({ endpoint, speed }) => endpoint === "e1" && speed.log > 0));
+    t.true(speedOutliers(state, 10_000).some(({ endpoint, speed }) => endpoint === "e1" && speed.log > 0));
 });
 
 test("endpoints that are alike are told as alike, and one that nothing was seen of as not seen", t => {
     const state = told(1);
     t.is(listed(state.endpoints.get("e1")!, state, 10_000).slowness, 1);
     t.is(spreadOf(state), 0);
-    t.deepEqual(clearlyOff(state, 10_000), []);
+    t.deepEqual(speedOutliers(state, 10_000), []);
     const endpoints = [{ id: "e9", hall: "h", models: ["m"], memoryTokens: 30_000 }];
     const fresh = decide(createScheduler(), { kind: "endpoints", endpoints }, 0).state;
     t.is(listed(fresh.endpoints.get("e9")!, fresh, 0).slownessAgeMs, undefined);
--- a/packages/host/test/word-sharing.test.ts
+++ b/packages/host/test/notice-sharing.test.ts
@@ -1,15 +1,15 @@
 import type { EndpointWord } from "@drumpaddle/hall";
 import { createClock } from "@drumpaddle/protocol";
 import test, { type ExecutionContext } from "ava";
-import type { WordPeerMessage } from "../src/peers/peer-messages.js";
-import { WordSharing } from "../src/peers/word-sharing.js";
+import { NoticeSharing } from "../src/peers/notice-sharing.js";
+import type { NoticePeerMessage } from "../src/peers/peer-messages.js";
 
 const KNOWN: readonly EndpointWord[] = [{ endpoint: "e1", leaves: false, limit: { perS: 2.3, agoMs: 40 } }];
 const NEWS: readonly EndpointWord[] = [{ endpoint: "e2", leaves: true }];
 
 interface Sent {
     readonly names: readonly string[];
-    readonly message: WordPeerMessage;
+    readonly message: NoticePeerMessage;
 }
 
 /** A host among others that knows something, and what it sends; `hear` says what of a message is news. */
@@ -18,17 +18,17 @@
     live: readonly string[],
     known = KNOWN,
     hear = (words: readonly EndpointWord[]) => words,
-): { readonly sharing: WordSharing; readonly sent: Sent[] } {
+): { readonly sharing: NoticeSharing; readonly sent: Sent[] } {
     const end = new AbortController();
     t.teardown(() => end.abort());
     const sent: Sent[] = [];
-    const sharing = new WordSharing({
+    const sharing = new NoticeSharing({
         name: "h0",
         clock: createClock(),
         signal: end.signal,
         live: () => live,
         send: (names, message) => void sent.push({ names, message }),
-        hear,
+        learn: hear,
         all: () => known,
     });
     return { sharing, sent };
--- a/packages/host/test/owned-log.test.ts
+++ b/packages/host/test/ownership-log.test.ts
@@ -1,6 +1,6 @@
 import type { SchedulerEvent } from "@drumpaddle/policy";
 import test from "ava";
-import { OwnedLog } from "../src/peers/owned-log.js";
+import { OwnershipLog } from "../src/peers/ownership-log.js";
 
 function owns(...endpoints: readonly string[]): readonly SchedulerEvent[] {
     return [{ kind: "owns", endpoints }];
@@ -10,8 +10,11 @@
     const lines: [string, object][] = [];
     const gauge: number[] = [];
     const log = { info: (fields: object, event: string) => void lines.push([event, fields]) } as never;
-    const owned = new OwnedLog(log, { ownedEndpoints: { set: (value: number) => void gauge.push(value) } } as never);
-    for (const events of [owns(), [], owns("a"), owns("a", "b"), owns(), owns()]) owned.see(events);
+    const owned = new OwnershipLog(
+        log,
+        { ownedEndpoints: { set: (value: number) => void gauge.push(value) } } as never,
+    );
+    for (const events of [owns(), [], owns("a"), owns("a", "b"), owns(), owns()]) owned.update(events);
     t.deepEqual(lines, [
         ["endpoints_owned", { owned: 1, before: 0 }],
         ["endpoints_owned", { owned: 0, before: 2 }],
--- a/packages/host/test/cut-fleet.ts
+++ b/packages/host/test/partition-fleet.ts
@@ -132,7 +132,7 @@
             inHall: () => liveInHall(sim.state.membership, this.fleet.now),
             otherHalls: () => otherHalls(sim.state.membership, this.fleet.now),
             send: (names, message) => this.tell(names, message),
-            tell: event => this.doubt(host, event),
+            applyEvent: event => this.doubt(host, event),
             random: this.drawn,
         });
         const host: CallingHost = {
--- a/packages/host/test/cut-hall.test.ts
+++ b/packages/host/test/partitioned-hall.test.ts
@@ -1,6 +1,6 @@
 import { LOST_VALID_MS } from "@drumpaddle/hall";
 import test from "ava";
-import { type Cut, type CutDay, playCut } from "./cut-fleet.js";
+import { type Cut, type CutDay, playCut } from "./partition-fleet.js";
 
 /** Sizes of fleets, and how many days are played of each. */
 const SIZES = [{ hosts: 6, days: 3 }, { hosts: 30, days: 3 }, { hosts: 90, days: 1 }];
--- a/packages/host/test/quarantine-sharing.test.ts
+++ b/packages/host/test/quarantine-sharing.test.ts
@@ -30,7 +30,7 @@
         signal: end.signal,
         live: () => live,
         send: (names, message) => void sent.push({ names, message }),
-        hear: news => void heard.push(news),
+        learn: news => void heard.push(news),
         all: () => NEWS,
         digest: () => 7,
     });
@@ -63,12 +63,12 @@
     const { sharing, sent } = sharingOf(t, ["h0"]);
     sharing.receive("h1", { kind: "quarantineAsk" });
     t.like(sent.at(-1), { names: ["h1"], message: { kind: "quarantine", isAll: true } });
-    sharing.hearDigest("h2", 7);
+    sharing.receiveDigest("h2", 7);
     t.is(sent.length, 1);
-    sharing.hearDigest("h2", 8);
+    sharing.receiveDigest("h2", 8);
     t.like(sent.at(-1), { names: ["h2"], message: { kind: "quarantine", isAll: true } });
     // At once again it would be the same news.
-    sharing.hearDigest("h3", 8);
+    sharing.receiveDigest("h3", 8);
     t.is(sent.length, 2);
 });
 
@@ -76,8 +76,8 @@
     const live = Array.from({ length: 400 }, (_, at) => `h${at}`);
     const { sharing, sent } = sharingOf(t, live);
     const before = sent.length;
-    sharing.tell(NEWS);
-    sharing.tell(NEWS);
+    sharing.share(NEWS);
+    sharing.share(NEWS);
     await pause(30);
     const told = sent.slice(before).filter(({ message }) => message.kind === "quarantine");
     t.is(told.length, 1);
--- a/packages/host/test/reach-sharing.test.ts
+++ b/packages/host/test/reach-sharing.test.ts
@@ -37,7 +37,7 @@
         inHall: () => inHall,
         otherHalls: () => [{ hall: "k2", hosts: 4, relied: 4 }],
         send: (names, message) => void sent.push({ names, message }),
-        tell: event => void events.push(event),
+        applyEvent: event => void events.push(event),
     });
     sharing.setEndpoints(ENDPOINTS);
     sharing.heardHost("k2");
--- a/packages/host/test/request-guard.test.ts
+++ b/packages/host/test/request-guard.test.ts
@@ -1,8 +1,8 @@
 import { createClock } from "@drumpaddle/protocol";
 import test, { type ExecutionContext } from "ava";
 import { Writable } from "node:stream";
-import { EndingWatch, type WatchedEndpoint } from "../src/endpoints/ending-watch.js";
-import type { LifeSign } from "../src/endpoints/life-probe.js";
+import { EndingWatch, type WatchedEndpoint } from "../src/endpoints/crash-detector.js";
+import type { LifeSign } from "../src/endpoints/endpoint-probe.js";
 import { RequestGuard } from "../src/endpoints/request-guard.js";
 import { createLog } from "../src/runtime/log.js";
 import { Metrics } from "../src/runtime/metrics.js";
@@ -65,7 +65,7 @@
 });
 
 test("several runs at one endpoint that is being asked are one ending", t => {
-    const { guard, broke } = guardOf(t, { kind: "lives", saysBorn: true });
+    const { guard, broke } = guardOf(t, { kind: "lives", reportsBirth: true });
     for (let at = 0; at < 5; at++) broke("f", "e1");
     t.is(guard.withhold("f"), undefined);
     for (const id of ["e2", "e3"]) broke("f", id);
@@ -73,7 +73,7 @@
 });
 
 test("a request whose runs break off at endpoints that live on is begun as before", async t => {
-    const { guard, broke } = guardOf(t, { kind: "lives", saysBorn: true });
+    const { guard, broke } = guardOf(t, { kind: "lives", reportsBirth: true });
     for (const id of ["e1", "e2", "e3", "e4"]) broke("f", id);
     await soon();
     t.is(guard.withhold("f"), undefined);
--- a/packages/standins/src/host-mutations.ts
+++ b/packages/standins/src/host-mutations.ts
@@ -15,7 +15,7 @@
 const REACH = "packages/hall/test/reach.test.ts";
 const IN_DOUBT = "packages/policy/test/in-doubt.test.ts";
 const SHARING = "packages/host/test/reach-sharing.test.ts";
-const CUT = "packages/host/test/cut-hall.test.ts";
+const CUT = "packages/host/test/partitioned-hall.test.ts";
 const MACHINES = "platform/test/capacity.test.ts";
 const NOT_RUN = "packages/request/test/not-run.test.ts";
 const NOT_RUN_ANSWER = "packages/host/test/not-run.test.ts";
@@ -123,8 +123,8 @@
     {
         promise: "cut halls: what one host finds out is told to its hall",
         file: SHARING_SOURCE,
-        find: `if (!holds(this.doubts, hall)) this.pass(`,
-        replace: `if (holds(this.doubts, hall)) this.pass(`,
+        find: `if (!isHallInDoubt(this.doubts, hall)) this.passOn(`,
+        replace: `if (isHallInDoubt(this.doubts, hall)) this.passOn(`,
         tests: [SHARING, CUT],
     },
     {
--- a/packages/standins/src/mutations.ts
+++ b/packages/standins/src/mutations.ts
@@ -349,7 +349,7 @@
     {
         promise: "quarantine: a host that starts asks before it is ready",
         file: "packages/host/src/peers/quarantine-sharing.ts",
-        find: "return this.asking.isReady;",
+        find: "return this.startupQuery.isReady;",
         replace: "return true;",
         tests: ["packages/host/test/quarantine-sharing.test.ts"],
     },
@@ -362,14 +362,14 @@
     },
     {
         promise: "quarantine: an endpoint that lives on is no evidence",
-        file: "packages/host/src/endpoints/ending-watch.ts",
-        find: 'if (sign.kind === "lives") return this.giveUp(incarnation);',
+        file: "packages/host/src/endpoints/crash-detector.ts",
+        find: 'if (sign.kind === "lives") return this.dismiss(incarnation);',
         replace: "",
         tests: [FATAL],
     },
     {
         promise: "quarantine: a planned end is no evidence",
-        file: "packages/host/src/endpoints/ending-watch.ts",
+        file: "packages/host/src/endpoints/crash-detector.ts",
         find: "if (this.deps.isLeaving(incarnation)) return this.deps.onNotEnded([run]);",
         replace: "",
         tests: [FATAL],
--- a/packages/standins/src/speed-mutations.ts
+++ b/packages/standins/src/speed-mutations.ts
@@ -111,8 +111,8 @@
     {
         promise: "words of another shape are not taken",
         file: "packages/host/src/peers/peer-messages.ts",
-        find: "const Sum = Type.Number({ minimum: 0 });",
-        replace: "const Sum = Type.Number();",
+        find: "const NonNegative = Type.Number({ minimum: 0 });",
+        replace: "const NonNegative = Type.Number();",
         tests: [MESSAGES],
     },
 ];
