--- a/packages/host/src/endpoints/call-endpoint.ts
+++ b/packages/host/src/endpoints/call-endpoint.ts
@@ -1,19 +1,19 @@
 /**
- * Sends one of the system's own calls to an endpoint.
+ * Sends control calls to endpoints: calls that a host makes on its own behalf, not for a caller.
  *
  * @module
  */
 import { type EndpointCall, withinTime } from "@drumpaddle/protocol";
 import { request } from "undici";
 
-/** What an endpoint answered. */
+/** Status and body of an endpoint's answer. */
 export interface EndpointResponse {
     readonly status: number;
     readonly body: string;
 }
 
 /**
- * Sends the call; rejects with the error of the network where no whole answer comes in time.
+ * Sends a control call. Rejects with the network's error if no complete answer arrives within `timeoutMs`.
  *
  * @param address `ip:port`
  *
--- a/packages/host/src/endpoints/connector.ts
+++ b/packages/host/src/endpoints/connector.ts
@@ -1,25 +1,25 @@
 /**
- * Connectors for undici whose sockets tell how they ended, which undici itself does not always pass on.
+ * Connectors for undici that report how their sockets end: undici itself does not always pass this on.
  *
  * @module
  */
 import type { Socket } from "node:net";
 import type { buildConnector } from "undici";
 
-/** The code by which undici knows a reset; the end of an answer without a length is one to it. */
+/** Error code of a reset. Undici takes a socket error with this code as the regular end of an answer without a length. */
 const RESET_CODE = "ECONNRESET";
-/** A code that is a failure to undici, whatever the answer. */
+/** An error code that undici treats as a failure for every answer. */
 const FAILURE_CODE = "CONNECTION_RESET";
 
 /**
- * Told before undici's own listeners how a socket ended: `failed` where its other side reset it, an error came, or this side
- * destroyed it with one.
+ * Called before undici's own listeners when a socket ends. `failed` is true if the peer reset the connection, if the socket
+ * emitted an error, or if this side destroyed it with an error.
  */
 export type OnSocketEnd = (failed: boolean) => void;
 
 /**
- * A connector that tells how its sockets end. Their resets break every answer that is not whole, also one whose end only
- * its connection tells.
+ * Wraps a connector so that it reports how its sockets end. A reset fails every incomplete answer, including an answer
+ * without a length, whose end is marked only by the end of its connection.
  *
  * @example
  * ```ts
@@ -40,7 +40,7 @@
 }
 
 /**
- * A connector whose sockets' resets break every answer that is not whole.
+ * Wraps a connector so that a reset fails every incomplete answer.
  *
  * @example
  * ```ts
@@ -52,8 +52,8 @@
 }
 
 /**
- * Whether a socket that ended was reset. Where a reset comes right behind data, Node tells of the end and of no error; but
- * the system knows no other side of a connection that was reset.
+ * Whether a socket that ended was reset. If a reset follows directly on data, Node emits `end` and no error; but the operating
+ * system no longer knows the peer address of a connection that was reset.
  */
 function wasReset(socket: Socket): boolean {
     return socket.remoteAddress === undefined;
--- a/packages/host/src/endpoints/crash-detector.ts
+++ b/packages/host/src/endpoints/crash-detector.ts
@@ -1,10 +1,10 @@
 /**
- * Finds out whether an endpoint's life ended when calls there broke off: a path that was cut and a connection that was reset break
- * them too, and leave the endpoint as it is.
+ * Finds out whether an endpoint crashed when calls to it were interrupted. A network partition or a reset connection interrupts
+ * calls too, without harm to the endpoint.
  *
- * An endpoint whose call broke off is asked at once. Refused connections and a later life show that the one that ran the call is over;
- * any other answer shows that it is not. Where no answer comes, what the registry tells in the next seconds decides. An endpoint that
- * was leaving ends as planned, and its end tells nothing of what ran there.
+ * The host probes the endpoint as soon as a call there is interrupted. A refused connection or a later incarnation shows that the
+ * incarnation that ran the call has ended; any other answer shows that it is alive. If the probe gets no answer, the registry
+ * decides within the next seconds. An endpoint that was leaving ends as planned, which says nothing about the requests it ran.
  *
  * @module
  */
@@ -13,80 +13,85 @@
 import type { Log } from "../runtime/log.js";
 import type { LifeSign } from "./endpoint-probe.js";
 
-/** An endpoint as the watch knows it. */
+/** One incarnation of an endpoint: one run of its process. */
 export interface WatchedEndpoint extends Life {
-    /** Name of its life among all lives; its id alone where endpoints tell nothing of their lives. */
+    /** Unique name of the incarnation; the endpoint's id alone if endpoints do not report their incarnations. */
     readonly incarnation: string;
-    /** Where it is reached. */
+    /** `ip:port`, or the endpoint's URL if endpoints do not report their incarnations. */
     readonly address: string;
-    /** Version of its software; undefined where it does not say. */
+    /** Version of its software; undefined if the endpoint does not report one. */
     readonly software: string | undefined;
 }
 
-/** A call that broke off while it ran at an endpoint. */
+/** A run of a request at an endpoint that was interrupted before its answer was complete. */
 export interface InterruptedRun {
     readonly req: string;
     readonly route: string;
     readonly workspace: string | undefined;
     readonly fingerprint: string;
-    /** How long it had run there, in milliseconds. */
+    /** How long it had been running there, in milliseconds. */
     readonly ranMs: number;
-    /** Whether it was begun there although it was known to have been at an ending. */
+    /** Whether the request was already suspected of crashing endpoints when this run began. */
     readonly wasSuspect: boolean;
 }
 
-/** How it was found out that a life is over. */
+/** What showed that an incarnation has ended: a refused connection, a later incarnation, or its removal from the registry. */
 export type CrashEvidence = "refused" | "laterLife" | "gone";
 
-/** The end of a life under calls of this host. */
+/** The crash of an endpoint while it ran calls of this host. */
 export interface EndpointCrash {
     readonly endpoint: WatchedEndpoint;
-    /** When the calls broke off, on the monotonic clock: an end that is found out later counts from then. */
+    /** When the first call was interrupted, on the monotonic clock; the crash counts from then, whenever it is confirmed. */
     readonly at: number;
     readonly runs: readonly InterruptedRun[];
     readonly sign: CrashEvidence;
 }
 
-/** What the watch needs of the gateway. */
+/** Dependencies of {@link EndingWatch}. */
 export interface CrashDetectorDeps {
     readonly clock: Clock;
     readonly log: Log;
-    /** Asks an endpoint whether its life is still there. */
+    /** Asks an endpoint whether this incarnation is still alive. */
     probe(endpoint: WatchedEndpoint): Promise<LifeSign>;
-    /** Whether an endpoint is known to be leaving, or to have left. */
+    /** Whether the endpoint is known to be leaving, or to have left. */
     isLeaving(incarnation: string): boolean;
-    /** Whether an endpoint that was not leaving is known to have begun a later life. */
+    /** Whether an endpoint that was not leaving is known to have started a later incarnation. */
     isOver(incarnation: string): boolean;
-    /** Whether the store does not tell what becomes of registrations. */
+    /** Whether this host gets no changes of the registry at present, neither from the store nor from a peer. */
     isDeaf(): boolean;
     onEnded(ending: EndpointCrash): void;
-    /** The endpoint lives on, or it cannot be asked; in the latter case its end may be found out later. */
+    /** The endpoint is alive, or it cannot be probed; in the latter case a crash may still be reported later. */
     onNotEnded(runs: readonly InterruptedRun[]): void;
+    /** A probe was answered by this later incarnation. */
     meetLife(life: Life): void;
 }
 
-/** A crashed endpoint's registration lapses after three heartbeats, seen after 2.8 s; one that has not by then is not over. */
+/**
+ * How long an endpoint that cannot be probed may take to leave the registry. A crashed endpoint's registration lapses after three
+ * missed heartbeats, which was seen to take 2.8 s.
+ */
 const REGISTRY_WAIT_MS = 10_000;
-/** Calls that were running at a life's end break off within this: a silent connection is given up by then. */
+/** Calls that ran at an endpoint when it crashed are interrupted within this time: by then silent connections time out. */
 const SAME_CRASH_MS = 5_000;
 
+/** An endpoint whose calls were interrupted, until it is known whether it crashed. */
 interface Investigation {
     readonly endpoint: WatchedEndpoint;
     readonly at: number;
     readonly runs: InterruptedRun[];
-    /** Whether it cannot be asked, so that only the registry can tell. */
+    /** Whether the endpoint did not answer the probe, so that only the registry can show a crash. */
     awaitsRegistry: boolean;
 }
 
-/** The endings that one host sees. */
+/** Detects crashes of the endpoints at which calls of this host run. */
 export class EndingWatch {
     private readonly pending = new Map<string, Investigation>();
-    /** When lives ended, by name. */
+    /** Recent crashes, by incarnation. */
     private readonly crashes = new Map<string, { readonly at: number; readonly sign: CrashEvidence }>();
 
     constructor(private readonly deps: CrashDetectorDeps) {}
 
-    /** A call broke off; what it is due to is told by one of the listeners, at once or later. */
+    /** Takes up an interrupted call. `onEnded` or `onNotEnded` reports the finding, at once or later. */
     broke(endpoint: WatchedEndpoint, run: InterruptedRun): void {
         const { incarnation } = endpoint;
         const now = this.deps.clock.now();
@@ -108,7 +113,7 @@
         void this.probeEndpoint(endpoint);
     }
 
-    /** Takes in what the registry tells of endpoints. */
+    /** Checks the endpoints under investigation against a new state of the registry. */
     take({ endpoints, departed, latest }: Registry): void {
         for (const { endpoint } of [...this.pending.values()]) {
             const { incarnation, id } = endpoint;
--- a/packages/host/src/endpoints/declare-endpoints.ts
+++ b/packages/host/src/endpoints/declare-endpoints.ts
@@ -1,5 +1,5 @@
 /**
- * Tells the decisions which endpoints there are, by the deployment and the registrations.
+ * Passes the endpoints that deployment and registry name to the schedulers.
  *
  * @module
  */
@@ -16,9 +16,11 @@
 import type { Placement } from "./placement.js";
 import { plainModel } from "./plain-model.js";
 
-/** What a cold endpoint bears beyond what its service declares: a multiple, and requests a second. */
+/** How far a cold endpoint may be loaded beyond the rate that its service declares. */
 export interface ColdLimits {
+    /** Factor on the declared rate. */
     readonly over: number;
+    /** Requests per second that are added to it. */
     readonly slack: number;
 }
 
@@ -32,7 +34,10 @@
     return { until: warmAt(registered, service, halls), perS: service.coldPerS * over + slack };
 }
 
-/** Declares engines and plain endpoints, each to its own decisions, and which of them are leaving by their registrations. */
+/**
+ * Declares engines and plain endpoints, each to the scheduler of its kind, and marks those that are leaving according to the
+ * registry.
+ */
 export function declareEndpoints(
     table: RouteTable,
     registry: Registry,
--- a/packages/host/src/endpoints/endpoint-connections.ts
+++ b/packages/host/src/endpoints/endpoint-connections.ts
@@ -1,6 +1,6 @@
 /**
- * Connections to endpoints, one call at a time on each, so that what becomes of a call is known from its own connection:
- * whether its first byte left, and whether its end was an orderly one.
+ * Connections to endpoints. Each carries one call at a time, so that the outcome of a call can be read from its own connection:
+ * whether its first byte was sent, and whether its answer ended in an orderly way.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import { buildConnector, Client, type Dispatcher } from "undici";
 import { reportSocketEnds } from "./connector.js";
 
-/** One call as it is written to an endpoint. */
+/** One call as it is sent to an endpoint. */
 export interface OutgoingCall {
     readonly method: string;
     readonly path: string;
@@ -17,62 +17,70 @@
     readonly body: Buffer | undefined;
 }
 
-/** What a call's connection reports, in order; `onEnd` or `onBroken` comes last. */
+/** Receives the progress of one call, in the order of these methods; `onEnd` or `onBroken` is called last. */
 export interface ExchangeSink {
-    /** The first byte is about to leave. */
+    /** The first byte is about to be sent. */
     onSending(): void;
     onHead(status: number, headers: RawHeaders): void;
     onData(chunk: Buffer): void;
-    /** The answer is whole; `orderly` is false where its connection was reset, which ends no answer without a length. */
+    /**
+     * The answer has ended. `orderly` is false if the connection was reset: an answer without a length is then not known to be
+     * complete.
+     */
     onEnd(orderly: boolean): void;
     onBroken(err: Error): void;
 }
 
-/** A call that is on its way. */
+/** A call in progress. */
 export interface Exchange {
     pause(): void;
     resume(): void;
-    /** Bytes of the call that the endpoint has not taken yet, nor the system for it. */
+    /** Bytes of the call that have not been handed to the operating system yet. */
     readonly unsentBytes: number;
-    /** Keeps the connection for another call, once the answer is whole. */
+    /**
+     * Keeps the connection for another call, once the answer is complete.
+     *
+     * @param keepMs For how long the endpoint said that it keeps idle connections open.
+     */
     release(keepMs: number | undefined): void;
-    /** Closes the connection, whatever is on it. */
+    /** Closes the connection, also in the middle of a call. */
     destroy(): void;
 }
 
-/** Told what becomes of connections to an address. */
+/** Listeners for events of connections, by the endpoint's address. */
 export interface ConnectionListeners {
-    /** A connection came up, or an answer began. */
+    /** A connection was established, or an answer began. */
     readonly onAnswered?: (address: string) => void;
-    /** No connection came up. */
+    /** A connection could not be established. */
     readonly onUnreachable?: (address: string) => void;
-    /** An endpoint ended a connection at rest before the time for which it said it would keep it. */
+    /** An endpoint closed an idle connection before the keep-alive time that it had announced. */
     readonly onEndedAtRest?: (address: string) => void;
 }
 
-/** Time for a connection to come up: the networks of a region answer within milliseconds. */
+/** Connections within a region are established within milliseconds. */
 const CONNECT_TIMEOUT_MS = 500;
-/** A connection that rested longer is not used again: endpoints may have forgotten it. */
+/** A connection that was idle for longer is not reused: the endpoint may have dropped it. */
 const MAX_IDLE_MS = 3_000;
-/** A connection is given up this long before the endpoint would close it. */
+/** A connection is not reused within this time of the moment when the endpoint would close it. */
 const IDLE_MARGIN_MS = 1_000;
-/** Probes on silent connections begin after this. */
+/** TCP keep-alive probes begin after this much silence. */
 const TCP_PROBE_DELAY_MS = 1_000;
-/** Undici's own limits on silence are off: a call's deadline ends it. */
+/** Turns off undici's own timeouts for headers and body: the caller of {@link EndpointConnections.send} enforces the deadline. */
 const NO_TIMEOUT = 0;
 
 interface Connection {
     readonly client: Client;
-    /** Undefined until the connection is up. */
+    /** Undefined until the connection is established. */
     socket: Socket | undefined;
-    /** Whether its socket was reset or failed, as opposed to an orderly end. */
+    /** Whether its socket was reset or failed. */
     failed: boolean;
-    /** Whether its socket has ended: what is left of an answer is taken at once. */
+    /** Whether its socket has ended; the rest of an answer is then read at once, and `pause` has no effect. */
     ended: boolean;
+    /** Until when it may be reused, on the monotonic clock. */
     usableUntil: number;
-    /** Until when its endpoint said that it keeps the connection at rest; -Infinity where it did not say. */
+    /** Until when the endpoint promised to keep it open while idle, less the margin; -Infinity if it made no promise. */
     keepAliveUntil: number;
-    /** Reads on, where a call is on its way. */
+    /** Resumes reading the answer of the call in progress, if there is one. */
     resumeReading: () => void;
 }
 
@@ -82,7 +90,7 @@
     keepAliveInitialDelay: TCP_PROBE_DELAY_MS,
 });
 
-/** Connections of one host to all endpoints. */
+/** All connections of this host to endpoints. */
 export class EndpointConnections {
     private readonly idle = new Map<string, Connection[]>();
     private readonly all = new Set<Connection>();
@@ -98,13 +106,13 @@
         }, { once: true });
     }
 
-    /** Open connections, used and idle. */
+    /** Number of connections, in use or idle. */
     get size(): number {
         return this.all.size;
     }
 
     /**
-     * Sends a call to an address.
+     * Sends a call to an endpoint's address, on an idle connection or a new one.
      *
      * @example
      * ```ts
@@ -182,7 +190,7 @@
         const connectReportingEnds = reportSocketEnds(connector, failed => {
             connection.failed ||= failed;
             connection.ended = true;
-            // Undici's parser throws where it ends while it is paused, which nothing catches.
+            // Undici's parser throws an uncaught exception if the socket ends while the parser is paused.
             connection.resumeReading();
         });
         const connection: Connection = {
@@ -201,7 +209,7 @@
                             connection.socket = socket;
                             this.reportConnected(address);
                         }
-                        // A call that was given up says nothing of the way.
+                        // If the call was cancelled, the failure says nothing about the network.
                         else if (!connection.client.destroyed) this.listeners.onUnreachable?.(address);
                         callback(...result);
                     }),
@@ -240,7 +248,7 @@
     }
 }
 
-/** Headers as they came; the table form is never used for HTTP/1.1. */
+/** Raw headers as strings. Undici's object form of raw headers does not occur with HTTP/1.1. */
 function headerTexts(headers: Dispatcher.DispatchController["rawHeaders"]): string[] {
     if (!Array.isArray(headers)) return [];
     return headers.map(text => typeof text === "string" ? text : text.toString("latin1"));
--- a/packages/host/src/endpoints/endpoint-notices.ts
+++ b/packages/host/src/endpoints/endpoint-notices.ts
@@ -1,6 +1,6 @@
 /**
- * Takes in what endpoints say of themselves in their answers to this host or to its peers: a line for each change, and the
- * word for the decisions.
+ * Handles notices of endpoints: that they are leaving, limit their request rate, or want no requests for a while. Endpoints put
+ * them into their answers to this host, or to peers, which pass them on. Each change is logged and given to the schedulers.
  *
  * @module
  */
@@ -11,35 +11,35 @@
 import type { Metrics } from "../runtime/metrics.js";
 import type { Placement } from "./placement.js";
 
-/** What the words are told to. */
+/** Dependencies of {@link EndpointWords}. */
 export interface EndpointNoticesDeps {
     readonly clock: Clock;
     readonly log: Log;
     readonly metrics: Metrics;
-    /** Decisions that know of endpoints; each endpoint is known to one of them. */
+    /** The schedulers; each endpoint is known to one of them. */
     readonly placements: readonly Placement[];
-    /** Tells peers of a change. */
+    /** Shares changed notices with peers. */
     tell(words: readonly EndpointWord[]): void;
 }
 
-/** What an answer's head says of its endpoint. */
+/** The part of an answer's head that carries notices. */
 export type NoticeHead = Pick<AnswerHead, "notRun" | "limitPerS" | "leaving" | "retryAfterS">;
 
-/** Who told what an endpoint says. */
+/** Where this host learnt a notice from. */
 type NoticeSource = "endpoint" | "peer";
 
-/** With this status an endpoint turns a request away, and may ask for rest. */
+/** Status with which an endpoint refuses a request; `Retry-After` then asks this host to pause. */
 const SERVICE_UNAVAILABLE = 503;
 const MS_PER_S = 1_000;
-/** That an endpoint says the same again is taken in this often: it counts as news of seconds. */
+/** An unchanged limit is refreshed at most this often: limits stay valid for seconds. */
 const REPEAT_INTERVAL_MS = 250;
 
-/** What a gateway hears endpoints say. */
+/** The notices of all endpoints. */
 export class EndpointWords {
     constructor(private readonly deps: EndpointNoticesDeps) {}
 
     /**
-     * Takes in an answer of a life of an endpoint.
+     * Reads the notices in an answer of an endpoint's incarnation.
      *
      * @example
      * ```ts
@@ -53,7 +53,7 @@
         if (status === SERVICE_UNAVAILABLE && head.notRun) this.readRetryAfter(endpoint, head);
     }
 
-    /** Takes in what a peer tells; returns what had not been known. */
+    /** Applies notices from a peer; returns those that are new here. */
     receive(words: readonly EndpointWord[]): readonly EndpointWord[] {
         const now = this.deps.clock.now();
         return words.filter(({ endpoint, leaves, limit }) => {
@@ -63,19 +63,19 @@
         });
     }
 
-    /** All that is worth telling a peer. */
+    /** All notices worth sharing with a peer. */
     all(): readonly EndpointWord[] {
         return wordsToTell(this.views(), this.deps.clock.now());
     }
 
-    /** Whether a life of an endpoint has said that it leaves; also of one that is declared no more. */
+    /** Whether an incarnation has announced that it is leaving, also if it is no longer declared. */
     hasSaidLeaving(endpoint: string): boolean {
         const view = this.viewOf(endpoint);
         if (view) return saysLeaving(view);
         return this.deps.placements.some(({ view: { remembered } }) => remembered.get(endpoint)?.leaves === true);
     }
 
-    /** Counts anew how many endpoints name a limit; called when endpoints come or go as well. */
+    /** Sets the gauge of endpoints with a limit; also called when endpoints come or go. */
     count(): void {
         this.deps.metrics.limited.set(this.views().filter(isLimited).length);
     }
@@ -105,7 +105,7 @@
         if (notice) this.deps.tell([notice]);
     }
 
-    /** Takes in that an endpoint leaves; returns whether that is news. */
+    /** Marks an endpoint as leaving; returns whether that is new. */
     private applyLeaving(endpoint: string, source: NoticeSource): boolean {
         const view = this.viewOf(endpoint);
         if (!view || saysLeaving(view)) return false;
@@ -114,10 +114,10 @@
         return true;
     }
 
-    /** Takes in what an endpoint says of its limit; returns whether it changes what is known. */
+    /** Applies the limit that an endpoint states, or that it states none; returns whether the limit changed. */
     private applyLimit(endpoint: string, said: Said, source: NoticeSource): boolean {
         const known = this.viewOf(endpoint)?.said;
-        // Nearly every answer names no limit where none was named before.
+        // Return early: nearly every answer states no limit, for an endpoint that had stated none before.
         if (!known && said.limitPerS === undefined) return false;
         const isUnchanged = known?.limitPerS === said.limitPerS;
         if (known && (known.at >= said.at || isUnchanged && said.at - known.at < REPEAT_INTERVAL_MS)) return false;
--- a/packages/host/src/endpoints/endpoint-probe.ts
+++ b/packages/host/src/endpoints/endpoint-probe.ts
@@ -1,5 +1,5 @@
 /**
- * Asks an endpoint whether the life that ran a call is still there.
+ * Probes an endpoint: is the incarnation that ran a call still alive?
  *
  * @module
  */
@@ -8,21 +8,23 @@
 import { connect } from "node:net";
 import { callEndpoint } from "./call-endpoint.js";
 
-/** What an endpoint's answer shows of a life. */
+/** What a probe shows about an incarnation. */
 export type LifeSign =
-    /** `saysBorn`: it tells when its life began, so that it is surely the one that is known. */
+    /** `reportsBirth`: the answer also says when the incarnation began, so that it certainly came from the known one. */
     | { readonly kind: "lives"; readonly reportsBirth: boolean }
+    /** The connection was refused. */
     | { readonly kind: "refused" }
-    /** A later life answered. */
+    /** A later incarnation answered. */
     | { readonly kind: "laterLife"; readonly life: Life }
+    /** The probe got no usable answer. */
     | { readonly kind: "unknown"; readonly detail: string };
 
-/** Endpoints of a region refuse a connection within 10 ms; a cut one is not waited for. */
+/** Endpoints of the same region refuse a connection within 10 ms; the host does not wait for one behind a partition. */
 const PROBE_TIMEOUT_MS = 250;
 const REFUSED_CODE = "ECONNREFUSED";
 
 /**
- * Asks by the endpoint's own report, which may tell when its life began.
+ * Probes by the endpoint's status call, whose answer may say when its incarnation began.
  *
  * @param address `ip:port`
  *
@@ -50,13 +52,14 @@
 }
 
 /**
- * Asks by a connection alone, where endpoints tell nothing of their lives: one that has started again meanwhile passes for the same.
+ * Probes by opening a connection, for endpoints that do not report their incarnations. An endpoint that has restarted in the
+ * meantime passes as alive.
  *
- * @param url Where the endpoint is reached.
+ * @param url URL of the endpoint.
  *
  * @example
  * ```ts
- * (await probeByConnecting("http://10.0.0.9:8080")).kind; // "refused" where nobody listens
+ * (await probeByConnecting("http://10.0.0.9:8080")).kind; // "refused" if nothing listens there
  * ```
  */
 export function probeByConnecting(url: string): Promise<LifeSign> {
--- a/packages/host/src/endpoints/incarnation-signals.ts
+++ b/packages/host/src/endpoints/incarnation-signals.ts
@@ -1,18 +1,18 @@
 /**
- * Ends what rests on one life of an endpoint when that life is over: attempts there are lost, idle connections are closed.
+ * Abort signals for the incarnations of endpoints: attempts that run at an incarnation listen for its end.
  *
  * @module
  */
 import type { Registry } from "@drumpaddle/routes";
 import { setMaxListeners } from "node:events";
 
-/** The signals of the lives that something rests on. */
+/** One abort signal for each incarnation that something depends on. */
 export class LifeSignals {
     private readonly controllers = new Map<string, AbortController>();
     private overIncarnations: ReadonlySet<string> = new Set();
 
     /**
-     * Aborts when the life is over.
+     * A signal that aborts when the incarnation has ended.
      *
      * @example
      * ```ts
@@ -23,13 +23,13 @@
         const known = this.controllers.get(incarnation);
         if (known) return known.signal;
         const controller = new AbortController();
-        // Every attempt at the endpoint listens to it.
+        // Every attempt at the endpoint adds a listener.
         setMaxListeners(0, controller.signal);
         this.controllers.set(incarnation, controller);
         return controller.signal;
     }
 
-    /** Takes in which endpoints are there; gives the names of the lives that are found to be over only now. */
+    /** Compares a new state of the registry with the last one; returns the incarnations that have been superseded since. */
     take({ endpoints, departed }: Registry): readonly string[] {
         const over = new Set([...departed].filter(([, { isOver }]) => isOver).map(([incarnation]) => incarnation));
         const newlyOver = [...over].filter(incarnation => !this.overIncarnations.has(incarnation));
@@ -40,7 +40,7 @@
         return newlyOver;
     }
 
-    /** Ends what rests on a life. */
+    /** Aborts the signal of an incarnation that has ended. */
     end(incarnation: string): void {
         this.controllers.get(incarnation)?.abort();
         this.controllers.delete(incarnation);
--- a/packages/host/src/endpoints/leaving-poll.ts
+++ b/packages/host/src/endpoints/leaving-poll.ts
@@ -1,5 +1,5 @@
 /**
- * Asks engines whether they are leaving while the platform's store, which says so otherwise, does not answer.
+ * Polls engines whether they are leaving, while the platform's store, which otherwise says so, does not answer.
  *
  * @module
  */
@@ -10,30 +10,31 @@
 import { repeat } from "../runtime/repeat.js";
 import { callEndpoint } from "./call-endpoint.js";
 
-/** What the watch needs of the gateway. */
+/** Dependencies of {@link watchStays}. */
 export interface LeavingPollDeps {
     readonly wire: PlatformWire;
     readonly log: Log;
     readonly metrics: Metrics;
     readonly signal: AbortSignal;
-    /** Whether neither the store nor a peer that hears it tells this host of leaving endpoints. */
+    /** Whether this host gets no changes of the registry at present, neither from the store nor from a peer. */
     isDeaf(): boolean;
-    /** Engines that this host asks for all hosts. */
+    /** Engines that this host polls on behalf of all hosts. */
     owned(): readonly EndpointEntry[];
-    /** Whether a question may go to an endpoint now. */
+    /** Whether a control call may be sent to the endpoint now. */
     mayAsk(incarnation: string): boolean;
+    /** An engine answered whether it is leaving. */
     onStay(endpoint: EndpointEntry, stay: Extract<StayAnswer, { kind: "told" }>): void;
 }
 
 /**
- * Engines that are reclaimed give notice of 1.5 to 2 s, and a report is about 0.5 s old: asked four times a second, one
- * leaves more than half of the notice for copies.
+ * An engine that is reclaimed gives 1.5 to 2 s notice, and its answer is about 0.5 s old. With four polls per second more than
+ * half of the notice is left for copying its streams.
  */
 const POLL_INTERVAL_MS = 250;
-/** An answer that takes longer than the next question is of no more use. */
+/** An answer that arrives after the next poll is useless. */
 const POLL_TIMEOUT_MS = 250;
 
-/** Starts to watch; ends with the signal. */
+/** Starts polling; stops when the signal aborts. */
 export function watchStays(deps: LeavingPollDeps): void {
     const ask = (): void => {
         if (!deps.isDeaf()) return;
--- a/packages/host/src/endpoints/placement.ts
+++ b/packages/host/src/endpoints/placement.ts
@@ -1,5 +1,6 @@
 /**
- * The shell around the decisions on where requests run: keeps their state, hands in time, carries out what they ask.
+ * Drives the scheduler, which decides where requests run. The scheduler is a pure function; a {@link Placement} holds its state,
+ * passes it events and the time, and carries out its actions.
  *
  * @module
  */
@@ -27,22 +28,22 @@
 } from "@drumpaddle/policy";
 import type { Clock } from "@drumpaddle/protocol";
 
-/** Told what was decided for a request. */
+/** Receives the decision on one request. */
 export interface Placed {
     onDispatch(endpoint: string, priority: number, backUp: string | undefined): void;
     onRefuse(reason: RefuseReason, detail: string, retryAfterMs: number): void;
 }
 
-/** A question to an endpoint's owner. */
+/** The scheduler's action that asks an endpoint's owner for advice. */
 export type OwnerQueryAction = Extract<SchedulerAction, { kind: "ask" }>;
 
-/** A copy to be made. */
+/** The scheduler's action that copies a running request to another endpoint. */
 export type CopyAction = Extract<SchedulerAction, { kind: "copy" }>;
 
-/** Waiting requests are looked at this often even when nothing happens. */
+/** Interval of the scheduler's ticks while requests wait. */
 const TICK_MS = 50;
 
-/** Decisions of one host for one kind of service. */
+/** The scheduler of one host for one kind of service, with its timers and listeners. */
 export class Placement {
     private state: SchedulerState;
     private readonly listeners = new Map<string, Placed>();
@@ -66,7 +67,7 @@
         signal.addEventListener("abort", () => clearInterval(this.timer), { once: true });
     }
 
-    /** The decisions' state, to be read only. */
+    /** The scheduler's state, read-only. */
     get view(): SchedulerState {
         return this.state;
     }
@@ -75,7 +76,7 @@
         this.handle({ kind: "endpoints", endpoints });
     }
 
-    /** Takes in a source's word on whether an endpoint is leaving; true if it was news. */
+    /** Records whether an endpoint is leaving according to one source; returns whether that source's statement changed. */
     setLeaving(endpoint: string, source: LeavingSource, leaving: boolean): boolean {
         const known = this.state.endpoints.get(endpoint);
         if (!known || known.leavingBy.includes(source) === leaving) return false;
@@ -87,31 +88,40 @@
         this.handle({ kind: "report", endpoint, report });
     }
 
-    /** Who carries questions to owners; until then they go unanswered and are decided alone. */
+    /** Sets the function that sends queries to owners. Without it queries stay unanswered, and the scheduler decides alone. */
     setOwnerQuery(onAsk: (action: OwnerQueryAction) => void): void {
         this.queryOwner = onAsk;
     }
 
-    /** Who is told when an endpoint is leaving, by whatever source. */
+    /** Sets the function that is called when an endpoint is found to be leaving, by any source. */
     setLeavingListener(onLeaving: () => void): void {
         this.onLeaving = onLeaving;
     }
 
-    /** Asks for an endpoint; the answer comes at once or later, once. */
+    /**
+     * Requests an endpoint for a job. The listener is called exactly once, at once or later.
+     *
+     * @param avoid Endpoints that must not be chosen.
+     * @param retry Whether an earlier attempt of the job has failed.
+     */
     submit(job: Job, avoid: readonly string[], retry: boolean, placed: Placed): void {
         this.listeners.set(job.id, placed);
         this.handle({ kind: "arrive", job, avoid, retry });
     }
 
-    /** Asks for the endpoint that keeps a request's copy; the answer comes at once. */
+    /**
+     * Requests the endpoint that holds the request's copy, to continue there. The listener is called at once.
+     *
+     * @param failed Whether the loss of the running attempt is held against its endpoint.
+     */
     continueOn(job: string, failed: boolean, placed: Placed): void {
-        // Its endpoint has ended: there is nothing left to copy from.
+        // Its endpoint is gone, so there is nothing left to copy from.
         this.resolveEvacuation(job, undefined);
         this.listeners.set(job, placed);
         this.handle({ kind: "continue", job, failed });
     }
 
-    /** Where a request whose endpoint is leaving is to be copied to; undefined where no endpoint has room. */
+    /** Where to copy a request whose endpoint is leaving; undefined if no endpoint has room. */
     planEvacuation(job: string): Promise<CopyAction | undefined> {
         return new Promise(resolve => {
             this.pendingEvacuations.set(job, resolve);
@@ -119,14 +129,14 @@
         });
     }
 
-    /** Whether a running request could go on from a copy now. */
+    /** Whether a running request could continue from a copy now. */
     canGoOn(job: string): boolean {
         return canGoOn(this.state, job, this.clock.now());
     }
 
     /**
-     * Whether a question of this host's own may go to an endpoint now: not while it wants rest; counted where it names a limit,
-     * which is for all that it is sent.
+     * Whether this host may send a control call to an endpoint now: not while the endpoint asks for a pause. If the endpoint states
+     * a limit, the call counts against it, because the limit covers everything that it is sent.
      */
     mayAsk(endpoint: string): boolean {
         const view = this.state.endpoints.get(endpoint);
@@ -138,50 +148,54 @@
         return true;
     }
 
-    /** How slow an endpoint is taken to be, as a factor of the mean of its kind; undefined where it is not known to differ. */
+    /** Estimated slowness of an endpoint, as a factor of the mean of its kind; undefined if it is not known to differ from it. */
     slownessOf(endpoint: string): number | undefined {
         const view = this.state.endpoints.get(endpoint);
         const log = view ? knownSpeed(this.state, view, this.clock.now()).log : 0;
         return log === 0 ? undefined : Number(Math.exp(log).toFixed(2));
     }
 
-    /** The copy of a request could not be made. */
+    /** The copy of a request failed. */
     copyLost(job: string): void {
         this.handle({ kind: "copyLost", job });
     }
 
-    /** No connection to an endpoint came up. */
+    /** No connection to an endpoint could be established. */
     unreachable(endpoint: string): void {
         this.handle({ kind: "unreachable", endpoint });
     }
 
-    /** An endpoint has said something of itself. */
+    /** An endpoint has stated its limit, or that it has none. */
     said(endpoint: string, said: Said): void {
         this.handle({ kind: "said", endpoint, said });
     }
 
-    /** An endpoint wants nothing from this host for a while. */
+    /** An endpoint asked this host to send it nothing for a while. */
     pauseFor(endpoint: string, forMs: number): void {
         this.handle({ kind: "rest", endpoint, until: this.clock.now() + forMs });
     }
 
-    /** An endpoint may have begun a later life, for so long; not any more where nothing is given. */
+    /**
+     * Treats an endpoint as possibly restarted, and therefore as cold.
+     *
+     * @param forMs How long the suspicion holds; `undefined` withdraws it.
+     */
     suspectRestart(endpoint: string, forMs: number | undefined): void {
         const until = forMs === undefined ? undefined : this.clock.now() + forMs;
         this.handle({ kind: "doubt", endpoint, until });
     }
 
-    /** Whether an endpoint is bounded while it is cold. */
+    /** Whether the load of an endpoint is limited while it is cold. */
     limitsWhileCold(endpoint: string): boolean {
         return this.state.endpoints.get(endpoint)?.cfg.cold !== undefined;
     }
 
-    /** An endpoint's life is over, and its copies with it. */
+    /** An endpoint's incarnation has ended, and its copies with it. */
     endLife(endpoint: string): void {
         this.handle({ kind: "lifeOver", endpoint });
     }
 
-    /** Takes back a request that waits. */
+    /** Withdraws a waiting request. */
     withdraw(job: string): void {
         this.listeners.delete(job);
         this.handle({ kind: "withdraw", job });
@@ -202,7 +216,7 @@
         resolve?.(plan);
     }
 
-    /** Takes in what the hall's hosts know of each other. */
+    /** Passes events to the scheduler that follow from what hosts tell each other. */
     applyEvents(events: readonly SchedulerEvent[]): void {
         for (const event of events) this.handle(event);
     }
@@ -231,7 +245,7 @@
     }
 }
 
-/** Whether an endpoint is known to be leaving, or takes no new work for other reasons that were told. */
+/** Whether an endpoint is leaving, is no longer declared, or is declared without models and so takes no new work. */
 export function isLeaving(incarnation: string, ...placements: readonly Placement[]): boolean {
     const views = placements.flatMap(({ view }) => view.endpoints.get(incarnation) ?? []);
     return views.every(({ leavingBy, cfg }) => leavingBy.length > 0 || cfg.models.length === 0);
--- a/packages/host/src/endpoints/plain-model.ts
+++ b/packages/host/src/endpoints/plain-model.ts
@@ -1,10 +1,10 @@
 /**
- * Plain services among the models that decisions know.
+ * Model names under which the scheduler knows plain services.
  *
  * @module
  */
 
-/** Name under which a plain service's endpoints stand among the models that decisions know. */
+/** The model name under which the scheduler knows the endpoints of a plain service. */
 export function plainModel(service: string): string {
     return `service:${service}`;
 }
--- a/packages/host/src/endpoints/request-guard.ts
+++ b/packages/host/src/endpoints/request-guard.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps requests that end the endpoints that run them from being begun: the shell around the decisions of `quarantine` in the package
- * `hall`. It counts what breaks off here, asks before each attempt, and tells the peers.
+ * Withholds requests that crash the endpoints that run them. The guard records interrupted attempts of this host, answers before
+ * each attempt whether it may start, and shares its findings with the peers. The rules stand in `quarantine` of the package `hall`.
  *
  * @module
  */
@@ -30,86 +30,86 @@
 import { repeat } from "../runtime/repeat.js";
 import type { EndpointCrash, InterruptedRun, WatchedEndpoint } from "./crash-detector.js";
 
-/** Why an attempt may not be begun. */
+/** Why an attempt may not start. */
 export interface Withheld {
     readonly code: typeof FailCode.Quarantined | typeof FailCode.OnTrial;
     readonly detail: string;
     readonly retryAfterMs?: number;
-    /** It is not certain yet: what is asked after this time is. */
+    /** Set if the refusal is provisional: asked again after this time, the guard gives a final answer. */
     readonly sureMs?: number;
 }
 
-/** What the guard needs of the host. */
+/** Dependencies of {@link RequestGuard}. */
 export interface RequestGuardDeps {
     readonly log: Log;
     readonly metrics: Metrics;
     readonly clock: Clock;
     readonly signal: AbortSignal;
-    /** Tells peers what is new here. */
+    /** Shares news with the peers. */
     tell(news: QuarantineNews): void;
-    /** Finds out whether an endpoint's life ended as a call there broke off. */
+    /** Finds out whether the endpoint of an interrupted run crashed; reports by `ended` or `notEnded`. */
     broke(endpoint: WatchedEndpoint, run: InterruptedRun): void;
 }
 
-/** What operators are told of a request that was at endings. */
+/** A suspected or quarantined request, as operators see it. */
 export interface ListedRequest {
     readonly fingerprint: string;
     readonly quarantined: boolean;
-    /** Known where calls of this host were at one of the endings. */
+    /** Known if a call of this host ran at one of the endpoints when it crashed. */
     readonly route: string | undefined;
     readonly workspace: string | undefined;
     readonly endings: readonly {
         readonly endpoint: string;
         readonly ageMs: number;
-        /** The call that was there, where it was one of this host. */
+        /** The call that ran there, if it was one of this host. */
         readonly req: string | undefined;
     }[];
 }
 
-/** A call of this host that was at an ending. */
+/** A call of this host that ran at an endpoint when the endpoint crashed. */
 type CrashedCall = Pick<InterruptedRun, "req" | "route" | "workspace">;
 
-/** Sightings that are kept for operators: as many as a day of endings brings. */
-const MAX_CRASHED_CALLS = 1_024;
-/** What is too old is forgotten this often. */
+/** Calls kept for operators' listings: enough for a day of crashes. */
+const MAX_CALLS = 1_024;
+/** Interval at which expired state is dropped. */
 const FORGET_EVERY_MS = 10_000;
-/** Requests that ran to their end are remembered so long, and so many: news of an ending is late by a few seconds at most. */
+/** How long completed requests are remembered, and how many: news of a crash arrives at most a few seconds late. */
 const COMPLETED_KEPT_MS = 10_000;
 const MAX_COMPLETED = 4_096;
-/** Refusals of one request are logged this often, whoever floods. */
+/** Refusals of one request are logged at most this often, so that repeated calls cannot flood the log. */
 const REFUSAL_LOG_MS = 1_000;
 
-/** One host's part in keeping such requests away. */
+/** Decides on this host which requests are withheld. */
 export class RequestGuard {
     private state: Quarantine = EMPTY_QUARANTINE;
-    /** Attempts that broke off at endpoints that are being asked whether they ended, by fingerprint, with the life of each. */
+    /** Interrupted runs whose endpoint is still being probed, by the request's fingerprint; each with the endpoint's incarnation. */
     private readonly unresolved = new Map<string, Map<InterruptedRun, string>>();
-    /** When requests ran to their end, by fingerprint, the oldest first. */
+    /** When requests last completed, by fingerprint, the oldest first. */
     private readonly completedAt = new Map<string, number>();
     private readonly refusalLoggedAt = new Map<string, number>();
-    /** By life and fingerprint, the oldest first. */
+    /** By incarnation and fingerprint, the oldest first. */
     private readonly crashedCalls = new Map<string, CrashedCall>();
 
     constructor(private readonly deps: RequestGuardDeps) {
         repeat(() => this.forgetExpired(), () => FORGET_EVERY_MS, deps.signal);
     }
 
-    /** The time by the clock that the guard decides by. */
+    /** The current time of the guard's clock. */
     now(): number {
         return this.deps.clock.now();
     }
 
-    /** A number by which peers see whether they know the same. */
+    /** A digest of the known crashes, by which peers see whether they know the same ones. */
     get digest(): number {
         return this.state.digest;
     }
 
-    /** All that is known here. */
+    /** Everything that this host knows, for a peer. */
     all(): QuarantineNews {
         return allNews(this.state, this.deps.clock.now());
     }
 
-    /** What is quarantined or suspected, for operators. */
+    /** All quarantined and suspected requests, for operators. */
     list(): readonly ListedRequest[] {
         const charges = [...this.state.charges.values()].filter(({ endings }) => endings.length > 0);
         return charges.map(charge => this.describe(charge));
@@ -133,7 +133,7 @@
     }
 
     /**
-     * Why a request may not be begun now; undefined where it may.
+     * Why a request may not start now; undefined if it may.
      *
      * @example
      * ```ts
@@ -144,38 +144,38 @@
     withhold(fingerprint: string, asked: Asked = {}): Withheld | undefined {
         const verdict = verdictOf(this.state, fingerprint, this.deps.clock.now(), asked);
         const probedEndpoints = new Set(this.unresolved.get(fingerprint)?.values()).size;
-        // An end that is being looked into: the request would be at the next endpoint before it is known.
+        // Count crashes that are still under investigation: otherwise the request reaches the next endpoint before they are confirmed.
         if (probedEndpoints > 0 && crashCountOf(verdict) + probedEndpoints >= ENDINGS_TO_QUARANTINE) {
             return withheldAsQuarantined(ENDINGS_TO_QUARANTINE, NEWS_MS);
         }
         return WITHHELD_BY_VERDICT[verdict.kind](verdict as never);
     }
 
-    /** Whether a request was at an ending, or at what may be one: it is begun where little else runs. */
+    /** Whether a request ran at an endpoint that crashed or may have crashed. It is then sent where little else runs. */
     isSuspect(fingerprint: string): boolean {
         return this.unresolved.has(fingerprint) || isSuspect(this.state, fingerprint);
     }
 
-    /** An attempt is being sent; returns whether its request is a suspect. */
+    /** Called when an attempt is being sent; returns whether its request is suspected. */
     begun(fingerprint: string, attempt: string): boolean {
         const suspect = this.isSuspect(fingerprint);
         if (suspect) this.publishTrial(fingerprint, attempt, false);
         return suspect;
     }
 
-    /** An attempt is over, however it ended. */
+    /** Called when an attempt is over, whatever its outcome. */
     over(fingerprint: string, attempt: string): void {
         if (this.state.trials.has(attempt)) this.publishTrial(fingerprint, attempt, true);
     }
 
-    /** An attempt broke off while it ran. */
+    /** Called when an attempt was interrupted while it ran. */
     broke(endpoint: WatchedEndpoint, run: InterruptedRun): void {
         const known = this.unresolved.get(run.fingerprint) ?? new Map<InterruptedRun, string>();
         this.unresolved.set(run.fingerprint, known.set(run, endpoint.incarnation));
         this.deps.broke(endpoint, run);
     }
 
-    /** An attempt ran to its end: its endpoint outlived it. */
+    /** Called when an attempt completed. As its endpoint survived it, the request is cleared. */
     ranWhole(fingerprint: string): void {
         const now = this.deps.clock.now();
         this.completedAt.delete(fingerprint);
@@ -184,7 +184,7 @@
         if (isSuspect(this.state, fingerprint)) this.clear(fingerprint, "whole");
     }
 
-    /** Nothing is held against a request any more. */
+    /** Drops all evidence against a request. */
     clear(fingerprint: string, reason: "whole" | "operator"): void {
         const charge = this.state.charges.get(fingerprint);
         if (charge && (charge.isGuilty || reason === "operator")) {
@@ -193,7 +193,7 @@
         this.applyStep(clear(this.state, fingerprint, this.deps.clock.now()));
     }
 
-    /** The lives of endpoints that calls of this host ran at are over. */
+    /** Called when an endpoint crashed while it ran calls of this host. */
     ended({ endpoint, at, runs, sign }: EndpointCrash): void {
         this.removeUnresolved(runs);
         const { incarnation } = endpoint;
@@ -216,26 +216,24 @@
         const ending = { life, agoMs: this.deps.clock.now() - at, software: endpoint.software, requests };
         for (const { req, route, workspace, fingerprint } of runs) {
             this.crashedCalls.set(`${life} ${fingerprint}`, { req, route, workspace });
-            if (this.crashedCalls.size > MAX_CRASHED_CALLS) {
-                this.crashedCalls.delete(this.crashedCalls.keys().next().value!);
-            }
+            if (this.crashedCalls.size > MAX_CALLS) this.crashedCalls.delete(this.crashedCalls.keys().next().value!);
         }
         this.applyStep(joinNews(this.state, { endings: [ending], trials: [] }, this.deps.clock.now()));
         this.clearCompleted([ending]);
     }
 
-    /** The endpoints of calls that broke off live on, or cannot be asked: what becomes of them may still be told later. */
+    /** Called when the endpoint of interrupted runs is alive, or cannot be probed; `ended` may still follow in the latter case. */
     notEnded(runs: readonly InterruptedRun[]): void {
         this.removeUnresolved(runs);
     }
 
-    /** Takes in what a peer tells; what is new is passed on. */
+    /** Merges news from a peer, and passes on what is new. */
     receive(told: QuarantineNews): void {
         this.applyStep(joinNews(this.state, told, this.deps.clock.now()));
         this.clearCompleted(told.endings);
     }
 
-    /** Counts a refusal, and logs it now and then. */
+    /** Counts a refusal, and logs it at a limited rate. */
     refused(req: string, fingerprint: string, { code, detail }: Withheld): void {
         this.deps.metrics.countWithheld(code);
         const now = this.deps.clock.now();
@@ -244,15 +242,13 @@
         this.deps.log.info({ req, fingerprint, outcome: code, detail }, "call_withheld");
     }
 
-    /** Clears requests that have run to their end here since endings that are told only now. */
+    /** Clears requests that completed here after the crashes that are reported only now. */
     private clearCompleted(endings: readonly EndingNews[]): void {
         const now = this.deps.clock.now();
         for (const { agoMs, requests } of endings) {
             for (const { fingerprint, cleared } of requests) {
-                const completedAt = this.completedAt.get(fingerprint);
-                if (!cleared && completedAt !== undefined && completedAt >= now - agoMs) {
-                    this.clear(fingerprint, "whole");
-                }
+                const doneAt = this.completedAt.get(fingerprint);
+                if (!cleared && doneAt !== undefined && doneAt >= now - agoMs) this.clear(fingerprint, "whole");
             }
         }
     }
--- a/packages/host/src/endpoints/restart-suspicions.ts
+++ b/packages/host/src/endpoints/restart-suspicions.ts
@@ -1,6 +1,6 @@
 /**
- * An endpoint whose connections end by themselves may have begun a later life, which is cold. Until that is known it is sent no more
- * than a cold one bears: its registration may be told late.
+ * Suspects that an endpoint has restarted when it closes connections by itself. A restarted endpoint is cold, and its new
+ * registration may arrive late; so until a probe settles the question, the scheduler sends it no more than a cold endpoint can take.
  *
  * @module
  */
@@ -10,27 +10,30 @@
 import type { LifeSign } from "./endpoint-probe.js";
 import type { Placement } from "./placement.js";
 
-/** What doubts need of the gateway. */
+/** Dependencies of {@link LifeDoubts}. */
 export interface RestartSuspicionsDeps {
     readonly log: Log;
-    /** Decisions that know of endpoints; each endpoint is known to one of them. */
+    /** The schedulers; each endpoint is known to one of them. */
     readonly placements: readonly Placement[];
-    /** Asks an endpoint whether its life is still there. */
+    /** Asks an endpoint whether this incarnation is still alive. */
     probe(endpoint: WatchedEndpoint): Promise<LifeSign>;
-    /** Takes in a later life, and tells the hall. */
+    /** Records a later incarnation and tells the hall. */
     meetLife(life: Life): void;
 }
 
-/** An endpoint that does not answer the question has written its registration anew by then. */
+/** How long a suspicion holds without an answer: a restarted endpoint has registered again by then. */
 const SUSPICION_MS = 2_000;
 
-/** The endpoints that one host doubts. */
+/** Suspects and probes endpoints that may have restarted. */
 export class LifeDoubts {
     private readonly probing = new Set<string>();
 
     constructor(private readonly deps: RestartSuspicionsDeps) {}
 
-    /** A connection to an endpoint has ended by itself. One that says nothing of its lives cannot be told from a later one. */
+    /**
+     * Called when the endpoint closed a connection by itself. Ignores endpoints that do not report when their incarnation began,
+     * because a probe cannot tell their incarnations apart.
+     */
     raise(endpoint: WatchedEndpoint): void {
         const { incarnation, born } = endpoint;
         const placement = this.deps.placements.find(known => known.limitsWhileCold(incarnation));
--- a/packages/host/src/endpoints/speed-watch.ts
+++ b/packages/host/src/endpoints/speed-watch.ts
@@ -1,5 +1,5 @@
 /**
- * Tells operators how far endpoints of one kind differ in speed, and which of them is clearly slower or faster than the others.
+ * Reports to operators how far endpoints of one kind differ in speed, and which of them are clearly slower or faster than the rest.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 import type { Metrics } from "../runtime/metrics.js";
 import { repeat } from "../runtime/repeat.js";
 
-/** An endpoint is looked at this often, in milliseconds: known within its first second, it is told of within its second. */
+/** Milliseconds between checks. A speed is known within an endpoint's first second, so it is reported within its second one. */
 const CHECK_INTERVAL_MS = 1_000;
-/** It is clearly slower or faster where an error of so many deviations would leave it so. */
+/** An endpoint is clearly slower or faster if it differs from its kind by more than this many standard deviations of its estimate. */
 const OUTLIER_DEVIATIONS = 3;
 
-/** What the watch needs. */
+/** Dependencies of {@link watchSpeeds}. */
 export interface SpeedWatchDeps {
     readonly clock: Clock;
     readonly log: Log;
@@ -23,7 +23,7 @@
     readonly signal: AbortSignal;
 }
 
-/** Starts to watch; ends with the signal. */
+/** Starts the checks; stops when the signal aborts. */
 export function watchSpeeds({ clock, log, metrics, view, signal }: SpeedWatchDeps): void {
     let reported: ReadonlySet<string> = new Set();
     repeat(
@@ -42,12 +42,15 @@
     );
 }
 
-/** The largest spread of a kind: a standard deviation of natural logarithms; 0 where all endpoints may be alike. */
+/**
+ * The largest spread of speeds within a kind, as the standard deviation of their natural logarithms; 0 if all endpoints may be
+ * equally fast.
+ */
 export function spreadOf({ speeds }: SchedulerState): number {
     return Math.sqrt(Math.max(0, ...[...speeds.values()].map(({ variance }) => variance)));
 }
 
-/** Endpoints that are clearly slower or faster than their kind; one host tells of each, its owner. */
+/** Endpoints that are clearly slower or faster than their kind. Each is reported by one host, its owner. */
 export function speedOutliers(
     state: SchedulerState,
     now: number,
@@ -58,7 +61,7 @@
         .filter(({ speed }) => speed.log !== 0 && Math.abs(speed.log) > OUTLIER_DEVIATIONS * speed.deviation);
 }
 
-/** Endpoints that were told of and are still declared: each is told of once. */
+/** Endpoints that have been reported and are still declared; they are not reported again. */
 function stillDeclared(
     state: SchedulerState,
     reported: ReadonlySet<string>,
@@ -67,7 +70,7 @@
     return new Set([...reported, ...outliers].filter(endpoint => state.endpoints.get(endpoint) !== undefined));
 }
 
-/** A speed as log lines tell it: times of the mean endpoint, the relative error, and when it was last seen. */
+/** Log fields of a speed: the factor on the mean endpoint's time, its relative error, and the age of the last observation. */
 function speedFields({ log, deviation, ageMs }: KnownSpeed): object {
     return {
         slowness: Number(Math.exp(log).toFixed(2)),
--- a/packages/host/src/peers/notice-sharing.ts
+++ b/packages/host/src/peers/notice-sharing.ts
@@ -1,7 +1,7 @@
 /**
- * How hosts of all halls tell each other what endpoints say of themselves: a change at once to a few hosts, each of which
- * passes on what it had not known; all of it again and again to a few, so that it reaches those that were cut off; and all to a
- * host that starts. What it costs a host does not grow with their number.
+ * Shares the notices of endpoints (leaving, limits) among the hosts of all halls. A change goes at once to a few hosts, each of which
+ * passes on what is new to it. Each host also repeats all notices periodically to a few others, so that they reach hosts that were
+ * partitioned, and sends them to a starting host that asks. The cost per host does not grow with the number of hosts.
  *
  * @module
  */
@@ -12,27 +12,30 @@
 import { MAX_ITEMS, type NoticePeerMessage } from "./peer-messages.js";
 import { StartupQuery } from "./startup-query.js";
 
-/** What sharing needs of the peers. */
+/** Dependencies of {@link NoticeSharing}. */
 export interface NoticeSharingDeps {
     readonly name: string;
     readonly clock: Clock;
     readonly signal: AbortSignal;
-    /** Live hosts of the scope, itself included. */
+    /** Live hosts of the scope, including this one. */
     live(): readonly string[];
     send(names: readonly string[], message: NoticePeerMessage): void;
-    /** Takes in what a peer tells; returns what had not been known. */
+    /** Applies notices from a peer; returns those that are new here. */
     learn(words: readonly EndpointWord[]): readonly EndpointWord[];
-    /** All that is worth telling. */
+    /** All notices worth sharing. */
     all(): readonly EndpointWord[];
 }
 
-/** By each to six others, a change is at all but one of 400 hosts after four passes; that one hears it with what is told again. */
+/**
+ * Number of hosts that each host sends a change to. With six, a change reaches all but one of 400 hosts in four hops; the remaining
+ * one learns it from the periodic repeat.
+ */
 const FANOUT = 6;
-/** All is told again this often, to so many hosts. */
+/** All notices are repeated at this interval, to this many hosts. */
 const REPEAT_MS = 1_000;
 const REPEAT_FANOUT = 3;
 
-/** One host's part in sharing them. */
+/** Sends and receives the notices of this host. */
 export class NoticeSharing {
     private readonly startupQuery: StartupQuery;
 
@@ -42,17 +45,17 @@
         repeat(() => this.sendToSome(REPEAT_FANOUT, deps.all()), () => REPEAT_MS, signal);
     }
 
-    /** Whether a peer has told all that it knows, or none is there that could. */
+    /** Whether a peer has sent all its notices, or the host has waited long enough for one. */
     get isReady(): boolean {
         return this.startupQuery.isReady;
     }
 
-    /** Tells a few hosts of a change. */
+    /** Sends changed notices to a few hosts. */
     share(words: readonly EndpointWord[]): void {
         this.sendToSome(FANOUT, words);
     }
 
-    /** Takes in a peer's message. */
+    /** Handles a message of a peer. */
     receive(from: string, message: NoticePeerMessage): void {
         if (message.kind === "saidAsk") return this.send([from], this.deps.all(), true);
         if (message.isAll) this.startupQuery.onAnswer();
--- a/packages/host/src/peers/ownership-log.ts
+++ b/packages/host/src/peers/ownership-log.ts
@@ -1,5 +1,6 @@
 /**
- * Tells operators when a host begins or ceases to own endpoints: who owns them advises all others where their requests go.
+ * Reports to operators when this host begins or ceases to own endpoints. An endpoint's owner advises all other hosts on sending
+ * requests there.
  *
  * @module
  */
@@ -7,13 +8,13 @@
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
 
-/** What a host owned when it was last looked at. */
+/** Logs changes of ownership, and counts the owned endpoints. */
 export class OwnershipLog {
     private ownedCount = 0;
 
     constructor(private readonly log: Log, private readonly metrics: Pick<Metrics, "ownedEndpoints">) {}
 
-    /** Takes in what a round has found this host to own. */
+    /** Reads the owned endpoints from the events of a sharing round. */
     update(events: readonly SchedulerEvent[]): void {
         const ownsEvent = events.find(event => event.kind === "owns");
         if (!ownsEvent) return;
@@ -21,7 +22,7 @@
         this.metrics.ownedEndpoints.set(owned);
         const before = this.ownedCount;
         this.ownedCount = owned;
-        // How many there are changes with every endpoint that comes or goes.
+        // The count alone is not logged: it changes with every endpoint that comes or goes.
         if ((owned > 0) !== (before > 0)) this.log.info({ owned, before }, "endpoints_owned");
     }
 }
--- a/packages/host/src/peers/peer-messages.ts
+++ b/packages/host/src/peers/peer-messages.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between hosts: their types, and the shapes that are checked before any of them is taken.
+ * Messages between hosts: their types, and the schemas against which received messages are validated.
  *
  * @module
  */
@@ -25,7 +25,7 @@
     scope: Type.String(),
     address: Type.String(),
     start: Type.Number(),
-    // Any number: one host's wrong word must not cost the news of others that travels with it.
+    // Any number is valid: one host's implausible capacity must not discard the news of other hosts in the same message.
     capacity: Type.Optional(Type.Number()),
     incarnation: Type.Integer({ minimum: 0 }),
     status: Type.Union([Type.Literal("alive"), Type.Literal("suspect"), Type.Literal("dead")]),
@@ -40,11 +40,11 @@
     leaving: Type.Optional(Type.Literal(true)),
 });
 const Revision = Type.Integer({ minimum: 0 });
-/** A point in the store's history. */
+/** A position in the store's history. */
 const PositionFields = { epoch: Type.Integer({ minimum: 0 }), revision: Revision };
-/** How far a host is with what the store tells; below 0 where it knows nothing. */
+/** The store position and deployment version that a host has reached; negative if it knows none. */
 const StoreProgressFields = { epoch: Type.Integer(), revision: Type.Integer(), version: Type.Integer() };
-/** How far the sender is: its settings' version, or what it knows by the store's word. */
+/** Schema fields of {@link Progress}. */
 const Progress = {
     settings: Type.Optional(Type.Object({ version: Type.Integer(), hash: Type.String() })),
     store: Type.Optional(
@@ -77,7 +77,7 @@
     modRevision: Revision,
     unreadable: Type.Optional(Type.String()),
 });
-/** Names of requests, lives and attempts, as a peer may write them. */
+/** Names of requests, endpoints and their incarnations, software and attempts. */
 const Name = Type.String({ minLength: 1, maxLength: 256 });
 const Age = Type.Number({ minimum: 0 });
 const EndingShape = Type.Object({
@@ -95,11 +95,11 @@
     leaves: Type.Boolean(),
     limit: Type.Optional(Type.Object({ perS: Type.Optional(Type.Number({ minimum: 0 })), agoMs: Age })),
 });
-/** Endings, and as many suspects that run, or words of endpoints, that one message may tell of. */
+/** Most entries that one list of crashes, trials or notices in a message may have. */
 export const MAX_ITEMS = 256;
 const TextRecord = Type.Record(Type.String(), Type.String());
 
-/** Shape of each message; one that is not so is dropped and counted. */
+/** Schema of each message, by kind. A message that does not match is dropped and logged. */
 const SHAPES = {
     probe: ProbeShape,
     ack: ProbeShape,
@@ -180,11 +180,11 @@
     unreached: Type.Object({ endpoint: Name, agoMs: Age }),
 } as const;
 
-/** Compiled once: messages come by the hundred each second. */
+/** Compiled once, because hundreds of messages arrive each second. */
 const CHECKS = Object.fromEntries(Object.entries(SHAPES).map(([kind, shape]) => [kind, TypeCompiler.Compile(shape)]));
 
 /**
- * Whether a frame is a message of a known kind and shape.
+ * Whether a frame is a message of a known kind that matches its schema.
  *
  * @example
  * ```ts
@@ -206,31 +206,34 @@
     | ReachPeerMessage
     | ShareMessage;
 
-/** Told within a hall: no connection to an endpoint of another hall came up. */
+/** Sent within a hall: a connection to an endpoint of another hall could not be established. */
 export interface ReachPeerMessage {
     readonly kind: "unreached";
     readonly endpoint: string;
     readonly agoMs: number;
 }
 
-/** Messages by which hosts share what endpoints say of themselves. */
+/** Messages by which hosts share the notices of endpoints. */
 export type NoticePeerMessage =
-    /** `isAll`: the answer to a question for all that the sender knows. */
+    /** `isAll`: the answer to `saidAsk`, with all notices that the sender knows. */
     | { readonly kind: "said"; readonly words: readonly EndpointWord[]; readonly isAll: boolean }
-    /** Asks for all that a peer knows. */
+    /** Asks a peer for all notices that it knows. */
     | { readonly kind: "saidAsk" };
 
-/** Messages by which hosts share which requests end endpoints. */
+/** Messages by which hosts share which requests crash endpoints. */
 export type QuarantinePeerMessage =
-    /** `isAll`: all that the sender knows, and not only what is new. */
+    /** `isAll`: everything that the sender knows, not only news. */
     | { readonly kind: "quarantine"; readonly isAll: boolean } & QuarantineNews
-    /** Asks for all that a peer knows. */
+    /** Asks a peer for everything that it knows. */
     | { readonly kind: "quarantineAsk" };
 
-/** How far the sender of a message of the failure detector is. */
+/**
+ * How far the sender's knowledge has got, added to messages of the failure detector: its position in the store if it learns
+ * settings from there, otherwise its settings' version.
+ */
 export interface Progress {
     readonly settings?: VersionNews;
     readonly store?: StoreStamp;
-    /** A number by which hosts see whether they know of the same endings. */
+    /** A digest by which hosts see whether they know the same crashes. */
     readonly quarantine?: number;
 }
--- a/packages/host/src/peers/peers.ts
+++ b/packages/host/src/peers/peers.ts
@@ -1,6 +1,7 @@
 /**
- * What this host exchanges with its peers: signs of life, versions of the settings, and what each holds on shared endpoints.
- * The decisions are those of the package `hall`; this is the shell that sends, receives and keeps time.
+ * Exchanges with peers: heartbeats of the failure detector, settings, changes of the store, and the load that each host has on shared
+ * endpoints. The package `hall` decides what to send, as pure functions; this module holds their state, sends and receives, and runs
+ * the timers.
  *
  * @module
  */
@@ -66,61 +67,61 @@
     readonly [K in PeerMessage["kind"]]: (from: PeerName, message: Extract<PeerMessage, { kind: K }>) => void;
 };
 
-/** What peers need of a daemon. */
+/** Dependencies of {@link Peers}. */
 export interface PeersDeps {
     readonly cfg: HostCfg;
     readonly clock: Clock;
     readonly log: Log;
     readonly metrics: Metrics;
     readonly engines: Placement;
-    /** Decisions that hosts do not share, but that depend on how many hosts there are. */
+    /** The scheduler of plain services: hosts share no load for it, but it depends on the number of hosts. */
     readonly plain: Placement;
     readonly spread: Spread;
-    /** Where it is given, two hosts of a hall watch the store for all. */
+    /** If given, two hosts of each hall watch the store on behalf of all. */
     readonly follower?: StoreFollower;
-    /** Where it is given, hosts share which requests end endpoints. */
+    /** If given, hosts share which requests crash endpoints. */
     readonly guard?: Pick<RequestGuard, "all" | "digest" | "receive">;
-    /** Where it is given, hosts share what endpoints say of themselves. */
+    /** If given, hosts share the notices of endpoints. */
     readonly words?: Pick<EndpointWords, "all" | "receive">;
-    /** Where it is given, what waits for peers is a part of its budget. */
+    /** If given, messages that wait to be sent to peers count against its budget. */
     readonly memory?: HostMemory;
     readonly signal: AbortSignal;
 }
 
-/** Many peers tell of a new version at once: another of them is asked only after this. */
+/** Many peers announce a new version at once; the host asks a second one for it only after this time. */
 const SETTINGS_RETRY_MS = 500;
-/** Starts of a host are told apart by a number of this range. */
+/** Range of the random number that tells one start of a host from another. */
 const START_RANGE = 2 ** 32;
 
-/** This host's part in its hall. */
+/** This host as a member of its hall. */
 export class Peers {
     private detector: Detector;
     private shareState: ShareState;
     private readonly storeSharing: StoreSharing | undefined;
     private readonly quarantineSharing: QuarantineSharing | undefined;
     private readonly noticeSharing: NoticeSharing | undefined;
-    /** Which other halls can be reached. */
+    /** Tracks which other halls can be reached. */
     readonly reach: ReachSharing;
     private readonly ownershipLog: OwnershipLog;
-    /** The live hosts that the log last told of. */
+    /** The live hosts at the last log line about them. */
     private loggedLive: readonly string[] = [];
-    /** The version that a peer was asked for last, and when. */
+    /** The settings version that a peer was last asked for, and when. */
     private requestedVersion = { version: -Infinity, at: -Infinity };
 
-    private constructor(private readonly host: PeersDeps, private readonly mesh: PeerMesh, seeds: readonly string[]) {
-        const { "host.name": name, "host.hall": hall, "peers.scope": scope = hall } = host.cfg;
+    private constructor(private readonly deps: PeersDeps, private readonly mesh: PeerMesh, seeds: readonly string[]) {
+        const { "host.name": name, "host.hall": hall, "peers.scope": scope = hall } = deps.cfg;
         this.shareState = createShare(name);
-        this.ownershipLog = new OwnershipLog(host.log, host.metrics);
+        this.ownershipLog = new OwnershipLog(deps.log, deps.metrics);
         const start = randomInt(START_RANGE);
-        const capacity = ownCapacity(host.cfg);
+        const capacity = ownCapacity(deps.cfg);
         const told = capacity === undefined ? {} : { capacity };
         this.detector = createDetector({ name, hall, scope, address: mesh.at, start, ...told }, seeds);
-        this.storeSharing = host.follower && new StoreSharing({
+        this.storeSharing = deps.follower && new StoreSharing({
             name,
-            clock: host.clock,
-            signal: host.signal,
-            follower: host.follower,
-            inHall: () => liveInHall(this.membership, this.host.clock.now()),
+            clock: deps.clock,
+            signal: deps.signal,
+            follower: deps.follower,
+            inHall: () => liveInHall(this.membership, this.deps.clock.now()),
             weights: () => this.weights,
             live: () => this.live,
             seeking: () => unheardCandidates(this.membership).length > 0,
@@ -129,32 +130,32 @@
         this.reach = new ReachSharing({
             name,
             hall,
-            clock: host.clock,
-            log: host.log,
-            metrics: host.metrics,
-            inHall: () => liveInHall(this.membership, this.host.clock.now()),
-            otherHalls: () => otherHalls(this.membership, this.host.clock.now()),
+            clock: deps.clock,
+            log: deps.log,
+            metrics: deps.metrics,
+            inHall: () => liveInHall(this.membership, this.deps.clock.now()),
+            otherHalls: () => otherHalls(this.membership, this.deps.clock.now()),
             send: (names, message) => this.sendAll(names, message),
             applyEvent: event => {
-                for (const placement of [host.engines, host.plain]) placement.applyEvents([event]);
+                for (const placement of [deps.engines, deps.plain]) placement.applyEvents([event]);
             },
         });
-        const { guard } = host;
+        const { guard } = deps;
         this.quarantineSharing = guard && new QuarantineSharing({
             name,
-            clock: host.clock,
-            signal: host.signal,
+            clock: deps.clock,
+            signal: deps.signal,
             live: () => this.live,
             send: (names, message) => this.sendAll(names, message),
             learn: news => guard.receive(news),
             all: () => guard.all(),
             digest: () => guard.digest,
         });
-        const { words } = host;
+        const { words } = deps;
         this.noticeSharing = words && new NoticeSharing({
             name,
-            clock: host.clock,
-            signal: host.signal,
+            clock: deps.clock,
+            signal: deps.signal,
             live: () => this.live,
             send: (names, message) => this.sendAll(names, message),
             learn: told => words.receive(told),
@@ -167,12 +168,12 @@
     }
 
     private get env(): DetectorEnv {
-        return { now: this.host.clock.now(), everyMs: this.host.cfg["control.heartbeat"], random: Math.random };
+        return { now: this.deps.clock.now(), everyMs: this.deps.cfg["control.heartbeat"], random: Math.random };
     }
 
-    /** Starts to listen and to probe other hosts; ends with the host's signal. */
-    static async start(host: PeersDeps): Promise<Peers> {
-        const { cfg, clock, log, metrics, memory, signal } = host;
+    /** Listens for peers and starts probing them; stops when the signal aborts. */
+    static async start(deps: PeersDeps): Promise<Peers> {
+        const { cfg, clock, log, metrics, memory, signal } = deps;
         const listen = cfg["peers.listen"];
         const at = listen.lastIndexOf(":");
         const started: { peers?: Peers } = {};
@@ -193,79 +194,79 @@
             signal,
         });
         if (memory) memory.onCutLink = link => mesh.cutOff(link);
-        const peers = new Peers(host, mesh, cfg["peers.seeds"]);
+        const peers = new Peers(deps, mesh, cfg["peers.seeds"]);
         started.peers = peers;
         peers.startTimers();
         return peers;
     }
 
     private startTimers(): void {
-        const { cfg, signal } = this.host;
-        this.host.engines.setOwnerQuery(action =>
-            this.applyShareStep(shareAsk(this.shareState, action, this.endpoints, this.live, this.host.clock.now()))
+        const { cfg, signal } = this.deps;
+        this.deps.engines.setOwnerQuery(action =>
+            this.applyShareStep(shareAsk(this.shareState, action, this.endpoints, this.live, this.deps.clock.now()))
         );
         repeat(() => this.heartbeat(), () => cfg["control.heartbeat"], signal);
         repeat(() => this.sendDueRound(), () => Math.min(tellEvery(this.live.length), TELL_OWNERS_MS), signal);
     }
 
-    /** Where peers reach this host. */
+    /** The address at which peers reach this host. */
     get address(): string {
         return this.mesh.at;
     }
 
-    /** What this host can carry, in cores; undefined where its settings do not say. */
+    /** Capacity of this host, in cores; undefined if its settings do not state it. */
     get capacity(): number | undefined {
         return this.membership.self.capacity;
     }
 
-    /** Open connections to peers. */
+    /** Number of open connections to peers. */
     get connections(): number {
         return this.mesh.size;
     }
 
-    /** Names of the live hosts of this hall, in order. */
+    /** Sorted names of the live hosts of this host's scope. */
     get live(): readonly string[] {
-        return liveHosts(this.membership, this.host.clock.now());
+        return liveHosts(this.membership, this.deps.clock.now());
     }
 
-    /** By what hosts can carry. */
+    /** Weights of the hosts in rendezvous hashing, by their capacities. */
     private get weights(): Weights {
-        return weightsOf(ratedHosts(this.membership, this.host.clock.now()));
+        return weightsOf(ratedHosts(this.membership, this.deps.clock.now()));
     }
 
-    /** Addresses that the platform's host list names. */
+    /** Sets the peer addresses from the platform's host list. */
     setListed(addresses: readonly string[]): void {
-        const membership = listHosts(this.membership, [...addresses, ...this.host.cfg["peers.seeds"]]);
+        const membership = listHosts(this.membership, [...addresses, ...this.deps.cfg["peers.seeds"]]);
         this.detector = { ...this.detector, membership };
     }
 
-    /** Whether this host asks an endpoint for its load, as its owner. */
+    /** Whether this host owns an endpoint, and so asks it for its load. */
     owns(endpoint: string): boolean {
         const owner = endpointOwner(endpoint, this.endpoints.values().length, this.live, this.shareState.weights);
-        return owner === this.host.cfg["host.name"];
+        return owner === this.deps.cfg["host.name"];
     }
 
-    /** Whether this host has heard what its peers know of endpoints and of requests that end them, as far as one can tell. */
+    /** Whether this host has received its peers' notices and quarantines since it started, or has waited long enough for them. */
     get isInformed(): boolean {
         return (this.quarantineSharing?.isReady ?? true) && (this.noticeSharing?.isReady ?? true);
     }
 
-    /** Tells peers of requests that end endpoints. */
+    /** Shares news of requests that crash endpoints. */
     tellQuarantine(news: QuarantineNews): void {
         this.quarantineSharing?.share(news);
     }
 
-    /** Tells peers of a change in what endpoints say of themselves. */
+    /** Shares changed notices of endpoints. */
     tellWords(words: readonly EndpointWord[]): void {
         this.noticeSharing?.share(words);
     }
 
-    /** Takes in which life of an endpoint has answered this host. */
+    /** Records, and shares, which incarnation of an endpoint has answered this host. */
     meetLife(life: Life): void {
         this.storeSharing?.meetLife(life);
     }
 
-    /** The host was suspended, or may have been: asks its peers at once who they take it for, and tells them what it holds. */
+    /** Called when the host may have been suspended: probes peers at once, to learn whether they took it for dead, and shares its load. */
     woke(): void {
         this.heartbeat();
         this.tellNow();
@@ -276,25 +277,25 @@
         this.applyDetectorStep(leaveHall(this.detector, this.env));
     }
 
-    /** Tells all live peers of the version in force, at once; called when this host has a new one. */
+    /** Announces the settings version in force to all live peers at once; called when this host has a new one. */
     announce(): void {
         const message: PeerMessage = { kind: "gossip", news: [], ...this.progress };
-        for (const { address } of aliveMembers(this.membership, this.host.clock.now())) this.send(address, message);
+        for (const { address } of aliveMembers(this.membership, this.deps.clock.now())) this.send(address, message);
     }
 
-    /** How far this host is, as its messages say. */
+    /** What this host's messages say about its own progress. */
     private get progress(): Progress {
-        const { guard } = this.host;
+        const { guard } = this.deps;
         const quarantine = guard ? { quarantine: guard.digest } : {};
-        // What is learnt from the store is told by its revision.
-        if (!this.storeSharing) return { settings: this.host.spread.news(), ...quarantine };
+        // A host that learns settings from the store reports its store position instead of a settings version.
+        if (!this.storeSharing) return { settings: this.deps.spread.news(), ...quarantine };
         const store = this.storeSharing.stamp();
         return { ...(store ? { store } : {}), ...quarantine };
     }
 
     private heartbeat(): void {
         this.applyDetectorStep(tick(this.detector, this.env));
-        const { metrics, follower, spread, cfg } = this.host;
+        const { metrics, follower, spread, cfg } = this.deps;
         const { live } = this;
         metrics.liveHosts.set(live.length);
         this.logChanges(live);
@@ -314,7 +315,7 @@
         this.loggedLive = live;
         const joined = live.filter(name => !before.includes(name));
         const gone = before.filter(name => !live.includes(name));
-        this.host.log.debug({ live: live.length, joined: joined.join(","), gone: gone.join(",") }, "hosts_changed");
+        this.deps.log.debug({ live: live.length, joined: joined.join(","), gone: gone.join(",") }, "hosts_changed");
     }
 
     private send(address: string, message: PeerMessage): void {
@@ -328,7 +329,7 @@
 
     private receive(from: PeerName, message: FrameMessage): void {
         if (!isPeerMessage(message)) {
-            this.host.log.warn({ peer: from.name, message: message.kind }, "peer_message_refused");
+            this.deps.log.warn({ peer: from.name, message: message.kind }, "peer_message_refused");
             return;
         }
         const hall = this.membership.members.get(from.name)?.hall;
@@ -349,10 +350,10 @@
         sync: (from, message) => this.receiveDetector(from, message),
         members: (from, message) => this.receiveDetector(from, message),
         ask: (from, ask) => {
-            const given = this.host.spread.give(ask);
+            const given = this.deps.spread.give(ask);
             if (given) this.send(from.address, { kind: "give", ...given });
         },
-        give: (_from, given) => this.host.spread.take(given),
+        give: (_from, given) => this.deps.spread.take(given),
         held: (from, message) => this.receiveShare(from, message),
         others: (from, message) => this.receiveShare(from, message),
         question: (from, message) => this.receiveShare(from, message),
@@ -373,7 +374,7 @@
         const { settings, store, quarantine } = message;
         if (store) this.storeSharing?.hearStamp(from.name, store);
         if (quarantine !== undefined) this.quarantineSharing?.receiveDigest(from.name, quarantine);
-        const ask = settings && this.host.spread.ask(settings);
+        const ask = settings && this.deps.spread.ask(settings);
         if (ask && this.shouldRequestSettings(settings.version)) this.send(from.address, { kind: "ask", ...ask });
     }
 
@@ -381,9 +382,9 @@
         this.storeSharing?.receive(from.name, message);
     }
 
-    /** Whether a version is asked for now: not again from every peer that tells of it. */
+    /** Whether to ask for a settings version now. A version is not requested from every peer that announces it. */
     private shouldRequestSettings(version: number): boolean {
-        const now = this.host.clock.now();
+        const now = this.deps.clock.now();
         const asked = this.requestedVersion;
         if (version <= asked.version && now - asked.at < SETTINGS_RETRY_MS) return false;
         this.requestedVersion = { version, at: now };
@@ -391,28 +392,28 @@
     }
 
     private get endpoints(): EndpointTable {
-        return this.host.engines.view.endpoints;
+        return this.deps.engines.view.endpoints;
     }
 
     private receiveShare(from: PeerName, message: ShareMessage): void {
         this.applyShareStep(
-            shareHear(this.shareState, from.name, message, this.host.engines.view, this.host.clock.now()),
+            shareHear(this.shareState, from.name, message, this.deps.engines.view, this.deps.clock.now()),
         );
     }
 
-    /** Carries out what follows from a step of what hosts know of each other's streams. */
+    /** Applies a step of the load sharing: stores its state, sends its messages, passes its events to the scheduler. */
     private applyShareStep({ state, send, events }: ShareStep): void {
         this.shareState = state;
         for (const { to, message } of send) this.sendTo(to, message);
-        this.host.engines.applyEvents(events);
+        this.deps.engines.applyEvents(events);
     }
 
-    /** A round of telling, at once and not only when it is due: for news that must not wait, such as leaving. */
+    /** Shares this host's load at once, for urgent news such as a leaving endpoint, instead of in the next due round. */
     tellNow(): void {
         this.sendRound(0);
     }
 
-    /** The round that is due: owners hear each time, other hosts more rarely. */
+    /** Runs a due round: this host reports its load to owners every time, and as an owner informs the other hosts less often. */
     private sendDueRound(): void {
         const every = tellEvery(this.live.length);
         this.sendRound(every <= TELL_OWNERS_MS ? 0 : every);
@@ -421,9 +422,9 @@
     private sendRound(othersEveryMs: number): void {
         const { live } = this;
         const unheard = unheardCandidates(this.membership).length;
-        this.host.plain.applyEvents([hostsEvent(this.host.cfg["host.name"], live, unheard)]);
+        this.deps.plain.applyEvents([hostsEvent(this.deps.cfg["host.name"], live, unheard)]);
         this.shareState = withWeights(this.shareState, this.weights);
-        const step = shareRound(this.shareState, this.endpoints, live, this.host.clock.now(), othersEveryMs, unheard);
+        const step = shareRound(this.shareState, this.endpoints, live, this.deps.clock.now(), othersEveryMs, unheard);
         this.ownershipLog.update(step.events);
         this.applyShareStep(step);
     }
@@ -433,9 +434,9 @@
         if (member) this.send(member.address, message);
     }
 
-    /** Addresses and ages of all members, for operators. */
+    /** All known members, for operators. */
     status(): object {
-        const now = this.host.clock.now();
+        const now = this.deps.clock.now();
         return [...this.membership.members.values()].map(member => ({
             name: member.name,
             hall: member.hall,
@@ -447,7 +448,7 @@
     }
 }
 
-/** What this host can carry, as its settings say; undefined where they do not. */
+/** Capacity of this host according to its settings; undefined if they do not state it. */
 function ownCapacity(cfg: HostCfg): number | undefined {
     return capacityOf({ cores: cfg["host.cores"], share: cfg["host.core-share"], linkMbps: cfg["host.link"] });
 }
--- a/packages/host/src/peers/quarantine-sharing.ts
+++ b/packages/host/src/peers/quarantine-sharing.ts
@@ -1,6 +1,6 @@
 /**
- * How hosts of all halls tell each other of requests that end endpoints: news at once to a few hosts, each of which passes on what it
- * had not known; and all that is known to a host that starts, or that knows other endings.
+ * Shares among the hosts of all halls which requests crash endpoints. News goes by gossip: at once to a few hosts, each of which
+ * passes on what is new to it. A starting host, or one whose digest differs, is sent everything.
  *
  * @module
  */
@@ -10,32 +10,34 @@
 import { MAX_ITEMS, type QuarantinePeerMessage } from "./peer-messages.js";
 import { StartupQuery } from "./startup-query.js";
 
-/** What sharing needs of the peers. */
+/** Dependencies of {@link QuarantineSharing}. */
 export interface QuarantineSharingDeps {
     readonly name: string;
     readonly clock: Clock;
     readonly signal: AbortSignal;
-    /** Live hosts of the scope, itself included. */
+    /** Live hosts of the scope, including this one. */
     live(): readonly string[];
     send(names: readonly string[], message: QuarantinePeerMessage): void;
-    /** Takes in what a peer tells. */
+    /** Merges news from a peer. */
     learn(news: QuarantineNews): void;
+    /** Everything that this host knows. */
     all(): QuarantineNews;
+    /** A digest of the crashes that this host knows. */
     digest(): number;
 }
 
 /**
- * Hosts that are told at once: by each to six others, news is at all but one of 400 hosts (e^-6) after four passes; that one hears it
- * with the next probe.
+ * Number of hosts that each host sends news to. With six, news reaches all but one of 400 hosts (a share of e^-6) in four hops;
+ * the remaining one learns it after the next probe shows that digests differ.
  */
 const FANOUT = 6;
-/** News of one moment is told together: an engine's end breaks up to 24 calls at once. */
+/** News of this period is sent in one message: the crash of an engine interrupts up to 24 calls at once. */
 const BATCH_MS = 2;
-/** Hosts that know other endings are told all of them this often at most. */
+/** Minimum time between full transfers to hosts whose digest differs. */
 const RECONCILE_MS = 1_000;
 const NO_NEWS: QuarantineNews = { endings: [], trials: [] };
 
-/** One host's part in sharing them. */
+/** Sends and receives the quarantine messages of this host. */
 export class QuarantineSharing {
     private reconciledAt = -Infinity;
     private readonly startupQuery: StartupQuery;
@@ -46,16 +48,16 @@
         this.startupQuery = new StartupQuery({ clock, signal, ask: () => this.ask() });
     }
 
-    /** Whether a peer has told what is quarantined, or none is there that could. */
+    /** Whether a peer has sent everything it knows, or the host has waited long enough for one. */
     get isReady(): boolean {
         return this.startupQuery.isReady;
     }
 
-    /** Tells a few hosts what is new here, in a moment. */
+    /** Sends news to a few hosts, together with other news of the next moment. */
     share({ endings, trials }: QuarantineNews): void {
-        const { batch: gathered } = this;
-        this.batch = { endings: [...gathered.endings, ...endings], trials: [...gathered.trials, ...trials] };
-        if (gathered === NO_NEWS) setTimeout(() => this.flush(), BATCH_MS).unref();
+        const { batch } = this;
+        this.batch = { endings: [...batch.endings, ...endings], trials: [...batch.trials, ...trials] };
+        if (batch === NO_NEWS) setTimeout(() => this.flush(), BATCH_MS).unref();
     }
 
     private flush(): void {
@@ -68,7 +70,7 @@
         }
     }
 
-    /** A peer's probe says by a digest what it knows. */
+    /** Compares the digest in a peer's probe with this host's own; sends the peer everything if they differ. */
     receiveDigest(from: string, digest: number): void {
         if (digest === this.deps.digest()) return;
         const now = this.deps.clock.now();
@@ -77,7 +79,7 @@
         this.sendEverything(from);
     }
 
-    /** Takes in a message of a peer. */
+    /** Handles a message of a peer. */
     receive(from: string, message: QuarantinePeerMessage): void {
         if (message.kind === "quarantineAsk") return this.sendEverything(from);
         if (message.isAll) this.startupQuery.onAnswer();
--- a/packages/host/src/peers/reach-sharing.ts
+++ b/packages/host/src/peers/reach-sharing.ts
@@ -1,6 +1,7 @@
 /**
- * How hosts of a hall find out together what of other halls they cannot reach: each takes note of whom it hears, and tells the others of
- * connections to endpoints that failed. What follows is decided in `reach` of the package `hall`.
+ * Finds out, together with the other hosts of the hall, which other halls and endpoints are unreachable. Each host records from
+ * whom it hears, and tells the others of failed connections to endpoints. The rules by which a hall or an endpoint is then in doubt
+ * (probably unreachable) stand in `reach` of the package `hall`.
  *
  * @module
  */
@@ -22,84 +23,88 @@
 import { someOf } from "../runtime/some-of.js";
 import type { ReachPeerMessage } from "./peer-messages.js";
 
-/** An endpoint as far as its hall is concerned. */
+/** An endpoint and the hall where it runs. */
 export interface PlacedEndpoint {
     readonly incarnation: string;
     readonly address: string;
     readonly hall: string;
 }
 
-/** What sharing needs of the peers. */
+/** Dependencies of {@link ReachSharing}. */
 export interface ReachSharingDeps {
     readonly name: string;
-    /** This host's own hall, which is never in doubt. */
+    /** This host's own hall; it is never in doubt. */
     readonly hall: string;
     readonly clock: Clock;
     readonly log: Log;
     readonly metrics: Pick<Metrics, "doubtedHalls">;
-    /** Live hosts of this hall, itself included. */
+    /** Live hosts of this hall, including this one. */
     inHall(): readonly string[];
-    /** Hosts of other halls. */
+    /** The other halls, with the number of their hosts. */
     otherHalls(): readonly HallHosts[];
     send(names: readonly string[], message: ReachPeerMessage): void;
-    /** Tells the decisions. */
+    /** Passes an event to the schedulers. */
     applyEvent(event: SchedulerEvent): void;
-    /** Draws whom news is told; the system's where it is absent. */
+    /** Random numbers in [0, 1) by which receivers are drawn; `Math.random` by default. */
     readonly random?: () => number;
 }
 
-/** By each to six others, news is at all but one of 400 hosts of a hall after four passes. */
+/** Number of hosts that each host sends news to. With six, news reaches all but one of a hall's 400 hosts in four hops. */
 const FANOUT = 6;
 
 const NO_DOUBTS: Doubts = { halls: [], endpoints: [] };
 
-/** One host's part in finding it out. */
+/** Tracks which other halls and endpoints this host can reach. */
 export class ReachSharing {
     private reach: Reach = NOTHING_FOUND;
     private byAddress: ReadonlyMap<string, PlacedEndpoint> = new Map();
     private byName: ReadonlyMap<string, PlacedEndpoint> = new Map();
     private doubts: Doubts = NO_DOUBTS;
-    /** Halls that were in doubt and have not been heard since. */
+    /** Halls that were in doubt and from which nothing was heard since. */
     private readonly awaitingContact = new Set<string>();
 
     constructor(private readonly deps: ReachSharingDeps) {}
 
-    /** Takes in which endpoints there are. */
+    /** Sets the known endpoints; keeps those of other halls. */
     setEndpoints(endpoints: readonly PlacedEndpoint[]): void {
         const others = endpoints.filter(({ hall }) => hall !== this.deps.hall);
         this.byAddress = new Map(others.map(endpoint => [endpoint.address, endpoint]));
         this.byName = new Map(others.map(endpoint => [endpoint.incarnation, endpoint]));
     }
 
-    /** A message came from a host of a hall. */
+    /** Called when a message arrived from a host of the given hall. */
     heardHost(hall: string): void {
         if (hall !== this.deps.hall) this.markHeard(hall);
     }
 
-    /** An endpoint answered, or a connection to it came up. */
+    /** Called when the endpoint at this address answered, or a connection to it was established. */
     answered(address: string): void {
         const endpoint = this.byAddress.get(address);
         if (endpoint) this.markHeard(endpoint.hall);
     }
 
-    /** A connection to an endpoint failed. */
+    /** Called when a connection to the endpoint at this address failed. */
     failed(address: string): void {
         const endpoint = this.byAddress.get(address);
         if (endpoint) this.recordFailure(endpoint, 0);
     }
 
-    /** Takes in what another host of the hall found out. */
+    /** Handles a failed connection that another host of the hall reports. */
     receive({ endpoint: name, agoMs }: ReachPeerMessage): void {
         const endpoint = this.byName.get(name);
         if (endpoint) this.recordFailure(endpoint, agoMs);
     }
 
-    /** Looks anew what is in doubt: silence becomes a doubt as time passes, and time ends one. */
+    /** Evaluates again what is in doubt. Called periodically: silence puts a hall in doubt as time passes, and doubts expire. */
     look(): void {
         this.updateAfter([]);
     }
 
-    /** @param back Halls that were in doubt and have just been heard. */
+    /**
+     * Evaluates what is in doubt, logs changes and informs the schedulers.
+     *
+     * @param back Halls that were in doubt and have just been heard from.
+     */
     private updateAfter(back: readonly string[]): void {
         const { clock, log, metrics } = this.deps;
         const before = this.doubts;
@@ -113,7 +118,7 @@
         }
         const over = before.halls.filter(({ hall }) => !isHallInDoubt(found, hall));
         for (const { hall } of over) log.info({ hall, heard: back.includes(hall) }, "hall_no_longer_in_doubt");
-        // Told again while it lasts, for endpoints that are declared meanwhile.
+        // Repeat the event while the doubt lasts, so that it also covers endpoints that have been declared in the meantime.
         const doubted = { halls: found.halls.map(({ hall }) => hall), endpoints: found.endpoints };
         this.deps.applyEvent({ kind: "reach", doubted, back });
     }
@@ -139,7 +144,7 @@
         const { state, isNews } = loseEndpoint(this.reach, incarnation, hall, now - agoMs, now);
         this.reach = state;
         if (!isNews) return;
-        // Once the hall is in doubt the others know enough.
+        // Once the hall is in doubt, further failures tell the other hosts nothing.
         if (!isHallInDoubt(this.doubts, hall)) this.passOn({ kind: "unreached", endpoint: incarnation, agoMs });
         this.look();
     }
--- a/packages/host/src/peers/startup-query.ts
+++ b/packages/host/src/peers/startup-query.ts
@@ -1,30 +1,30 @@
 /**
- * A host that has just started asks its peers for what they know, before it says that it is ready.
+ * A starting host asks its peers for what they know, before it reports that it is ready.
  *
  * @module
  */
 import type { Clock } from "@drumpaddle/protocol";
 import { repeat } from "../runtime/repeat.js";
 
-/** What asking needs. */
+/** Dependencies of {@link StartupQuery}. */
 export interface StartupQueryDeps {
     readonly clock: Clock;
     readonly signal: AbortSignal;
-    /** Asks one peer, if there is any. */
+    /** Sends the query to one peer, if there is one. */
     ask(): void;
 }
 
-/** A host that starts asks this often, */
+/** Interval between queries until a peer answers. */
 const RETRY_MS = 50;
-/** and is ready without an answer after this: its peers may all have started with it. */
+/** The host is ready without an answer after this time: all its peers may be starting too. */
 const MAX_WAIT_MS = 400;
 
 /**
- * The questions of one start.
+ * Queries one peer after another until one has answered, or until the wait is over.
  *
  * @example
  * ```ts
- * const asking = new AskAtStart({ clock, signal, ask: () => send(someOf(others(), 1), { kind: "saidAsk" }) });
+ * const query = new StartupQuery({ clock, signal, ask: () => send(someOf(others(), 1), { kind: "saidAsk" }) });
  * ```
  */
 export class StartupQuery {
@@ -37,12 +37,12 @@
         repeat(() => this.askAgain(), () => RETRY_MS, AbortSignal.any([deps.signal, this.stopAsking.signal]));
     }
 
-    /** Whether a peer has answered, or none is there that could. */
+    /** Whether a peer has answered, or the host has waited long enough. */
     get isReady(): boolean {
         return this.isAnswered || this.deps.clock.now() - this.startedAt >= MAX_WAIT_MS;
     }
 
-    /** A peer has answered. */
+    /** Called when a peer has answered. */
     onAnswer(): void {
         this.isAnswered = true;
     }
