--- a/packages/host/src/peers/reach-sharing.ts
+++ b/packages/host/src/peers/reach-sharing.ts
@@ -24,7 +24,7 @@
 import type { ReachPeerMessage } from "./peer-messages.js";
 
 /** An endpoint and the hall where it runs. */
-export interface PlacedEndpoint {
+export interface HallEndpoint {
     readonly incarnation: string;
     readonly address: string;
     readonly hall: string;
@@ -57,8 +57,8 @@
 /** Tracks which other halls and endpoints this host can reach. */
 export class ReachSharing {
     private reach: Reach = NOTHING_FOUND;
-    private byAddress: ReadonlyMap<string, PlacedEndpoint> = new Map();
-    private byName: ReadonlyMap<string, PlacedEndpoint> = new Map();
+    private byAddress: ReadonlyMap<string, HallEndpoint> = new Map();
+    private byIncarnation: ReadonlyMap<string, HallEndpoint> = new Map();
     private doubts: Doubts = NO_DOUBTS;
     /** Halls that were in doubt and from which nothing was heard since. */
     private readonly awaitingContact = new Set<string>();
@@ -66,10 +66,10 @@
     constructor(private readonly deps: ReachSharingDeps) {}
 
     /** Sets the known endpoints; keeps those of other halls. */
-    setEndpoints(endpoints: readonly PlacedEndpoint[]): void {
+    setEndpoints(endpoints: readonly HallEndpoint[]): void {
         const others = endpoints.filter(({ hall }) => hall !== this.deps.hall);
         this.byAddress = new Map(others.map(endpoint => [endpoint.address, endpoint]));
-        this.byName = new Map(others.map(endpoint => [endpoint.incarnation, endpoint]));
+        this.byIncarnation = new Map(others.map(endpoint => [endpoint.incarnation, endpoint]));
     }
 
     /** Called when a message arrived from a host of the given hall. */
@@ -91,7 +91,7 @@
 
     /** Handles a failed connection that another host of the hall reports. */
     receive({ endpoint: name, agoMs }: ReachPeerMessage): void {
-        const endpoint = this.byName.get(name);
+        const endpoint = this.byIncarnation.get(name);
         if (endpoint) this.recordFailure(endpoint, agoMs);
     }
 
@@ -128,7 +128,7 @@
     }
 
     private endpointsIn(hall: string): number {
-        return [...this.byName.values()].filter(endpoint => endpoint.hall === hall).length;
+        return [...this.byIncarnation.values()].filter(endpoint => endpoint.hall === hall).length;
     }
 
     private markHeard(hall: string): void {
@@ -138,7 +138,7 @@
         if (hadLost || isRestored) this.updateAfter(isRestored ? [hall] : []);
     }
 
-    private recordFailure(endpoint: PlacedEndpoint, agoMs: number): void {
+    private recordFailure(endpoint: HallEndpoint, agoMs: number): void {
         const { incarnation, hall } = endpoint;
         const now = this.deps.clock.now();
         const { state, isNews } = loseEndpoint(this.reach, incarnation, hall, now - agoMs, now);
--- a/packages/host/test/endpoint-connections.test.ts
+++ b/packages/host/test/endpoint-connections.test.ts
@@ -8,8 +8,8 @@
     readonly sockets: Socket[];
 }
 
-/** An endpoint that never reads; closing it with bytes unread resets the connection. */
-async function deafEndpoint(t: ExecutionContext, onSocket: (socket: Socket) => void): Promise<Endpoint> {
+/** An endpoint that reads nothing by itself. Destroying a socket with unread bytes resets its connection. */
+async function startEndpoint(t: ExecutionContext, onSocket: (socket: Socket) => void): Promise<Endpoint> {
     const sockets: Socket[] = [];
     const server = createServer({ pauseOnConnect: true }, socket => {
         sockets.push(socket);
@@ -24,13 +24,13 @@
     return { address: `127.0.0.1:${(server.address() as AddressInfo).port}`, sockets };
 }
 
-type Ended = "orderly" | "reset" | "broken";
+type CallEnd = "orderly" | "reset" | "broken";
 
-interface Sent {
+interface SentCall {
     readonly exchange: Exchange;
-    readonly ended: Promise<Ended>;
+    readonly ended: Promise<CallEnd>;
     readonly sent: () => boolean;
-    /** Resolves when the first byte is about to leave. */
+    /** Resolves when the first byte is about to be sent. */
     readonly sending: Promise<void>;
     /** Resolves with the first bytes of the body. */
     readonly data: Promise<void>;
@@ -44,10 +44,10 @@
     return { connections, opened: () => opened };
 }
 
-function send(connections: EndpointConnections, address: string): Sent {
+function send(connections: EndpointConnections, address: string): SentCall {
     let sent = false;
-    let end: (ended: Ended) => void = () => undefined;
-    const ended = new Promise<Ended>(resolve => end = resolve);
+    let end: (ended: CallEnd) => void = () => undefined;
+    const ended = new Promise<CallEnd>(resolve => end = resolve);
     let onSending: () => void = () => undefined;
     const sending = new Promise<void>(resolve => onSending = resolve);
     let onData: () => void = () => undefined;
@@ -65,62 +65,65 @@
     return { exchange, ended, sent: () => sent, sending, data };
 }
 
-const UNFRAMED = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart of it";
-const WHOLE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-const AFTER_DATA_MS = 50;
+const ANSWER_WITHOUT_LENGTH = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart of it";
+const COMPLETE_ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const SETTLE_MS = 50;
 const SLICES = 4;
 
-/** Waits for a time in which the process could read: Node runs timers first, so that of a delay of its own one slice counts at most. */
-async function awakeFor(ms: number): Promise<void> {
+/**
+ * Waits, leaving the process time to read its sockets. Node runs timers before I/O, so after a delay of the process itself one long
+ * timer could end before anything was read; of several short ones, only one can.
+ */
+async function waitAwake(ms: number): Promise<void> {
     for (let slice = 0; slice < SLICES; slice++) await new Promise(resolve => setTimeout(resolve, ms / SLICES));
 }
 
-test("an answer without a length that ends with an orderly close ends orderly", async t => {
+test("an answer without a length ends orderly if its connection is closed", async t => {
     const { connections } = connectionsOf(t);
-    const { address } = await deafEndpoint(t, socket => {
+    const { address } = await startEndpoint(t, socket => {
         socket.resume();
-        socket.end(UNFRAMED);
+        socket.end(ANSWER_WITHOUT_LENGTH);
     });
     t.is(await send(connections, address).ended, "orderly");
 });
 
-test("an answer without a length whose connection is reset does not end orderly", async t => {
+test("an answer without a length does not end orderly if its connection is reset", async t => {
     const { connections } = connectionsOf(t);
-    const { address, sockets } = await deafEndpoint(t, () => undefined);
+    const { address, sockets } = await startEndpoint(t, () => undefined);
     const call = send(connections, address);
-    // The request is in the endpoint's buffer before it answers, and the answer with its caller before it closes: with
-    // bytes unread, that resets the connection.
+    // The request must be in the endpoint's buffer before the endpoint answers, and the answer must have arrived before the
+    // endpoint closes: closing a socket with unread bytes resets the connection.
     await call.sending;
     await new Promise(resolve => setImmediate(resolve));
-    sockets[0]!.write(UNFRAMED);
+    sockets[0]!.write(ANSWER_WITHOUT_LENGTH);
     await call.data;
     sockets[0]!.destroy();
     t.not(await call.ended, "orderly");
 });
 
-test("an answer with a length that stops short is broken", async t => {
+test("an answer shorter than its length is broken", async t => {
     const { connections } = connectionsOf(t);
-    const { address } = await deafEndpoint(t, socket => {
+    const { address } = await startEndpoint(t, socket => {
         socket.resume();
         socket.end("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
     });
     t.is(await send(connections, address).ended, "broken");
 });
 
-test("a call to an address where nothing listens never left", async t => {
+test("a call to an address where nothing listens is never sent", async t => {
     const { connections } = connectionsOf(t);
-    const { address, sockets } = await deafEndpoint(t, () => undefined);
+    const { address, sockets } = await startEndpoint(t, () => undefined);
     t.is(sockets.length, 0);
     const call = send(connections, address.replace(/:\d+$/, ":1"));
     t.is(await call.ended, "broken");
     t.false(call.sent());
 });
 
-test("a connection is used again after a whole answer, and not once it was closed or spoke unasked", async t => {
+test("a connection is reused after a complete answer, but not after it was closed or sent unexpected bytes", async t => {
     const { connections, opened } = connectionsOf(t);
-    const { address, sockets } = await deafEndpoint(t, socket => {
+    const { address, sockets } = await startEndpoint(t, socket => {
         socket.resume();
-        socket.on("data", () => socket.write(WHOLE));
+        socket.on("data", () => socket.write(COMPLETE_ANSWER));
     });
     const answered = async (): Promise<void> => {
         const { exchange, ended } = send(connections, address);
@@ -131,42 +134,46 @@
     await answered();
     t.is(opened(), 1);
     sockets[0]!.write("bytes that belong to no call");
-    await awakeFor(AFTER_DATA_MS);
+    await waitAwake(SETTLE_MS);
     await answered();
     t.is(opened(), 2);
     sockets[1]!.destroy();
-    await awakeFor(AFTER_DATA_MS);
+    await waitAwake(SETTLE_MS);
     await answered();
     t.is(opened(), 3);
 });
 
-test("a connection that rested too long for its endpoint is not used again", async t => {
+test("a connection is not reused if its endpoint may close it", async t => {
     const { connections, opened } = connectionsOf(t);
-    const { address } = await deafEndpoint(t, socket => {
+    const { address } = await startEndpoint(t, socket => {
         socket.resume();
-        socket.on("data", () => socket.write(WHOLE));
+        socket.on("data", () => socket.write(COMPLETE_ANSWER));
     });
     for (let at = 0; at < 2; at++) {
         const { exchange, ended } = send(connections, address);
         await ended;
-        // The endpoint keeps idle connections for as long as the margin: none is left.
+        // The endpoint's keep-alive time equals the margin, so that no time for reuse is left.
         exchange.release(1_000);
     }
     t.is(opened(), 2);
 });
 
-/** What ends a connection at rest, and whether its endpoint ended it early. */
-const ENDS_AT_REST: Readonly<
+/** Ways in which an idle connection is closed, and whether its endpoint closed it early. */
+const IDLE_CLOSES: Readonly<
     Record<string, {
-        /** How long the endpoint says that it keeps a connection, in milliseconds. */
+        /** The keep-alive time that the endpoint announces, in milliseconds. */
         readonly keepMs: number | undefined;
         readonly end: (sockets: readonly Socket[], connections: EndpointConnections, address: string) => void;
         readonly isEarly: boolean;
     }>
 > = {
-    "its endpoint, before its time": { keepMs: 5_000, end: ([socket]) => void socket!.end(), isEarly: true },
-    "a reset, before its time": { keepMs: 5_000, end: ([socket]) => void socket!.resetAndDestroy(), isEarly: true },
-    "its endpoint, which did not say when": {
+    "its endpoint, before the announced time": { keepMs: 5_000, end: ([socket]) => void socket!.end(), isEarly: true },
+    "a reset, before the announced time": {
+        keepMs: 5_000,
+        end: ([socket]) => void socket!.resetAndDestroy(),
+        isEarly: true,
+    },
+    "its endpoint, which announced no time": {
         keepMs: undefined,
         end: ([socket]) => void socket!.end(),
         isEarly: false,
@@ -178,8 +185,8 @@
     },
 };
 
-for (const [name, { keepMs, end, isEarly }] of Object.entries(ENDS_AT_REST)) {
-    test(`a connection at rest that is ended by ${name} is ${isEarly ? "" : "not "}told as ended early`, async t => {
+for (const [name, { keepMs, end, isEarly }] of Object.entries(IDLE_CLOSES)) {
+    test(`an idle connection closed by ${name} is ${isEarly ? "" : "not "}reported as closed early`, async t => {
         const own = new AbortController();
         t.teardown(() => own.abort());
         const early: string[] = [];
@@ -189,23 +196,25 @@
             () => undefined,
             { onEndedAtRest: address => void early.push(address) },
         );
-        const { address, sockets } = await deafEndpoint(t, socket => {
+        const { address, sockets } = await startEndpoint(t, socket => {
             socket.resume();
-            socket.write(WHOLE);
+            socket.write(COMPLETE_ANSWER);
         });
         const call = send(connections, address);
         await call.ended;
         call.exchange.release(keepMs);
         t.is(connections.size, 1);
         end(sockets, connections, address);
-        await awakeFor(AFTER_DATA_MS);
+        await waitAwake(SETTLE_MS);
         t.is(connections.size, 0);
         t.deepEqual(early, isEarly ? [address] : []);
     });
 }
 
-/** What a host is told of the ways to addresses. */
-function signsOf(t: ExecutionContext): { readonly connections: EndpointConnections; readonly told: readonly string[] } {
+/** Connections whose listeners record the reported events. */
+function recordingConnections(
+    t: ExecutionContext,
+): { readonly connections: EndpointConnections; readonly told: readonly string[] } {
     const own = new AbortController();
     t.teardown(() => own.abort());
     const told: string[] = [];
@@ -216,11 +225,11 @@
     return { connections, told };
 }
 
-test("that a connection came up and that an answer began is told, also on a connection that is used again", async t => {
-    const { connections, told } = signsOf(t);
-    const { address } = await deafEndpoint(t, socket => {
+test("established connections and the beginnings of answers are reported, also on reused connections", async t => {
+    const { connections, told } = recordingConnections(t);
+    const { address } = await startEndpoint(t, socket => {
         socket.resume();
-        socket.on("data", () => socket.write(WHOLE));
+        socket.on("data", () => socket.write(COMPLETE_ANSWER));
     });
     for (let times = 0; times < 2; times++) {
         const call = send(connections, address);
@@ -230,8 +239,8 @@
     t.deepEqual(told, [1, 2, 3].map(() => `answered ${address}`));
 });
 
-test("that no connection came up is told", async t => {
-    const { connections, told } = signsOf(t);
+test("a failed connection attempt is reported", async t => {
+    const { connections, told } = recordingConnections(t);
     await send(connections, "127.0.0.1:1").ended;
     t.deepEqual(told, ["unreachable 127.0.0.1:1"]);
 });
--- a/packages/host/test/endpoint-speeds.test.ts
+++ b/packages/host/test/endpoint-speeds.test.ts
@@ -1,6 +1,4 @@
-/**
- * What hosts tell each other and operators of endpoints' speeds.
- */
+/** Tests how endpoints' speeds are reported to operators and to other hosts. */
 import { shownWords, speedWords } from "@drumpaddle/hall";
 import {
     createScheduler,
@@ -18,8 +16,8 @@
 const NAMES = ["e1", "e2", "e3", "e4"];
 const SHOWN: Shown = { firsts: 0, unread: 0, firstMs: 0, stretches: 1, pieces: 16, gapMs: 40, longestMs: 90 };
 
-/** An owner that was told of four endpoints for ten seconds, of which the first takes so many times as long. */
-function told(times: number): SchedulerState {
+/** The state of an owner after ten seconds of reports on four endpoints, the first of which is slower by the factor `times`. */
+function ownerState(times: number): SchedulerState {
     let state = createScheduler(DEFAULT_VARIANT, 1);
     const tell = (event: SchedulerEvent, now: number): void => {
         state = decide(state, event, now).state;
@@ -36,8 +34,8 @@
     return state;
 }
 
-test("an operator sees how slow an endpoint is, how certainly and since when", t => {
-    const state = told(2);
+test("operators see an endpoint's slowness, its error and the age of the last observation", t => {
+    const state = ownerState(2);
     const [slow, plain] = NAMES.map(id => listed(state.endpoints.get(id)!, state, 10_000));
     t.true(slow!.slowness > 1.4 * plain!.slowness, `${slow!.slowness} and ${plain!.slowness}`);
     t.true(slow!.slownessError > 0 && slow!.slownessError < 0.2);
@@ -46,8 +44,8 @@
     t.true(speedOutliers(state, 10_000).some(({ endpoint, speed }) => endpoint === "e1" && speed.log > 0));
 });
 
-test("endpoints that are alike are told as alike, and one that nothing was seen of as not seen", t => {
-    const state = told(1);
+test("equally fast endpoints have slowness 1, and one without observations has no age", t => {
+    const state = ownerState(1);
     t.is(listed(state.endpoints.get("e1")!, state, 10_000).slowness, 1);
     t.is(spreadOf(state), 0);
     t.deepEqual(speedOutliers(state, 10_000), []);
@@ -56,14 +54,14 @@
     t.is(listed(fresh.endpoints.get("e9")!, fresh, 0).slownessAgeMs, undefined);
 });
 
-test("words of speeds are taken in their shape only", t => {
+test("messages with malformed speeds are rejected", t => {
     const nine = Array.from({ length: 9 }, () => 0);
     const held = { endpoint: "e1", streams: 0, unread: 0, stalled: 0, mean: nine, deviation: nine };
     const heldOf = (more: object): boolean => {
         const message = { kind: "held", held: [{ ...held, ...more }] };
         return isPeerMessage(message);
     };
-    t.true(heldOf({}), "a host that shows nothing");
+    t.true(heldOf({}), "a host that reports no speeds");
     const words = shownWords(SHOWN);
     t.true(heldOf({ shown: words }));
     t.false(heldOf({ shown: words.map(word => -word - 1) }));
--- a/packages/host/test/notice-sharing.test.ts
+++ b/packages/host/test/notice-sharing.test.ts
@@ -7,35 +7,35 @@
 const KNOWN: readonly EndpointWord[] = [{ endpoint: "e1", leaves: false, limit: { perS: 2.3, agoMs: 40 } }];
 const NEWS: readonly EndpointWord[] = [{ endpoint: "e2", leaves: true }];
 
-interface Sent {
+interface SentMessage {
     readonly names: readonly string[];
     readonly message: NoticePeerMessage;
 }
 
-/** A host among others that knows something, and what it sends; `hear` says what of a message is news. */
-function sharingOf(
+/** The sharing of host `h0`, which knows some notices, and what it sends. `learn` returns the new notices of a message. */
+function createSharing(
     t: ExecutionContext,
     live: readonly string[],
     known = KNOWN,
-    hear = (words: readonly EndpointWord[]) => words,
-): { readonly sharing: NoticeSharing; readonly sent: Sent[] } {
+    learn = (words: readonly EndpointWord[]) => words,
+): { readonly sharing: NoticeSharing; readonly sent: SentMessage[] } {
     const end = new AbortController();
     t.teardown(() => end.abort());
-    const sent: Sent[] = [];
+    const sent: SentMessage[] = [];
     const sharing = new NoticeSharing({
         name: "h0",
         clock: createClock(),
         signal: end.signal,
         live: () => live,
         send: (names, message) => void sent.push({ names, message }),
-        learn: hear,
+        learn: learn,
         all: () => known,
     });
     return { sharing, sent };
 }
 
-test("a host that starts asks a peer, and is ready with its answer", t => {
-    const { sharing, sent } = sharingOf(t, ["h0", "h1"], []);
+test("a starting host asks a peer, and is ready when the peer has sent all its notices", t => {
+    const { sharing, sent } = createSharing(t, ["h0", "h1"], []);
     t.deepEqual(sent, [{ names: ["h1"], message: { kind: "saidAsk" } }]);
     t.false(sharing.isReady);
     sharing.receive("h1", { kind: "said", words: NEWS, isAll: false });
@@ -44,24 +44,24 @@
     t.true(sharing.isReady);
 });
 
-test("a peer that asks is told everything, also where that is nothing", t => {
+test("a peer that asks is sent all notices, even if there are none", t => {
     for (const known of [KNOWN, []]) {
-        const { sharing, sent } = sharingOf(t, ["h0"], known);
+        const { sharing, sent } = createSharing(t, ["h0"], known);
         sharing.receive("h1", { kind: "saidAsk" });
         t.deepEqual(sent.at(-1), { names: ["h1"], message: { kind: "said", words: known, isAll: true } });
     }
 });
 
-test("what is known is told to three hosts again, however many there are", t => {
-    const { sent } = sharingOf(t, Array.from({ length: 400 }, (_, at) => `h${at}`));
+test("known notices are repeated to three of any number of hosts", t => {
+    const { sent } = createSharing(t, Array.from({ length: 400 }, (_, at) => `h${at}`));
     const again = sent.filter(({ message }) => message.kind === "said");
     t.deepEqual(again.map(({ names }) => names.length), [3]);
     t.deepEqual(again.map(({ message }) => message), [{ kind: "said", words: KNOWN, isAll: false }]);
 });
 
-test("what was not known is passed on to six hosts, the rest is not", t => {
+test("only new notices are passed on, to six hosts", t => {
     const live = Array.from({ length: 400 }, (_, at) => `h${at}`);
-    const { sharing, sent } = sharingOf(t, live, [], words => words.filter(({ endpoint }) => endpoint === "e2"));
+    const { sharing, sent } = createSharing(t, live, [], words => words.filter(({ endpoint }) => endpoint === "e2"));
     const before = sent.length;
     sharing.receive("h1", { kind: "said", words: [...KNOWN, ...NEWS], isAll: false });
     sharing.receive("h1", { kind: "said", words: KNOWN, isAll: false });
--- a/packages/host/test/odd-registrations.test.ts
+++ b/packages/host/test/odd-registrations.test.ts
@@ -11,21 +11,24 @@
 import { Metrics } from "../src/runtime/metrics.js";
 import { DeploymentFeed } from "../src/store/deployment-feed.js";
 
-/** What is done to the registration of one of a few endpoints. */
+/** A write to the registration of one of a few endpoints. */
 interface Write {
     readonly id: string;
-    /** `gone`: it is deleted. */
+    /** Whether the registration is deleted instead. */
     readonly value: unknown;
-    readonly gone: boolean;
-    /** Each endpoint's lives only follow each other: who reads an earlier one alone cannot know of a later one. */
-    readonly begins: boolean;
+    readonly isDeleted: boolean;
+    /**
+     * Whether the endpoint starts a new incarnation. Incarnations only ever increase, because a host that reads an earlier one alone
+     * could not know of a later one.
+     */
+    readonly startsIncarnation: boolean;
 }
 
-const DRAWS = 40;
+const RUNS = 40;
 
 const base64 = (text: string): string => Buffer.from(text).toString("base64");
 
-const goodEntry = fc.tuple(
+const validEntry = fc.tuple(
     fc.constantFrom("app", "engines", "unknown"),
     fc.constantFrom("10.0.0.1:80", "10.0.0.2:8080"),
     fc.record({
@@ -35,10 +38,10 @@
     }),
 ).map(([service, address, parts]) => registrationOf(service, address, parts));
 
-/** A whole number would be a life of its own, that some hosts hear of and others do not. */
-const notWhole = fc.jsonValue().filter(value => !Number.isInteger(value));
+/** No integers: as a value of `born` one would be a new incarnation, which only some of the hosts might learn of. */
+const notInteger = fc.jsonValue().filter(value => !Number.isInteger(value));
 
-const oddFields = fc.oneof(
+const invalidFields = fc.oneof(
     fc.dictionary(
         fc.constantFrom("Service", "Addr", "Zone", "Version", "Slots", "State", "ColdLeftMs", "Seq"),
         fc.jsonValue(),
@@ -46,14 +49,16 @@
             maxKeys: 2,
         },
     ),
-    fc.record({ born: notWhole }),
+    fc.record({ born: notInteger }),
 );
 
-const drawnValue: fc.Arbitrary<unknown> = fc.oneof(
-    { weight: 4, arbitrary: goodEntry },
+const anyValue: fc.Arbitrary<unknown> = fc.oneof(
+    { weight: 4, arbitrary: validEntry },
     {
         weight: 3,
-        arbitrary: fc.tuple(goodEntry, oddFields).map(([good, odd]) => base64(JSON.stringify({ ...good, ...odd }))),
+        arbitrary: fc.tuple(validEntry, invalidFields).map(([good, odd]) =>
+            base64(JSON.stringify({ ...good, ...odd }))
+        ),
     },
     { weight: 1, arbitrary: fc.json().map(base64) },
     { weight: 1, arbitrary: fc.uint8Array({ maxLength: 20 }).map(bytes => Buffer.from(bytes).toString("base64")) },
@@ -61,14 +66,14 @@
     { weight: 1, arbitrary: fc.constant(undefined) },
 );
 
-const drawnWrite: fc.Arbitrary<Write> = fc.record({
+const anyWrite: fc.Arbitrary<Write> = fc.record({
     id: fc.constantFrom("i-1", "i-2", "i-3"),
-    value: drawnValue,
-    gone: fc.boolean(),
-    begins: fc.boolean(),
+    value: anyValue,
+    isDeleted: fc.boolean(),
+    startsIncarnation: fc.boolean(),
 });
 
-function feedOf(url: string, signal: AbortSignal): DeploymentFeed {
+function createFeed(url: string, signal: AbortSignal): DeploymentFeed {
     return new DeploymentFeed({
         clock: createClock(),
         kv: createPlatformStore({ url, timeoutMs: 1_000, watchMs: 500, watchMarginMs: 500 }),
@@ -79,49 +84,53 @@
     });
 }
 
-/** How far a host is that knows nothing. */
-const NOTHING = { ...NO_POSITION, version: -1 };
+/** The store progress of a host that knows nothing. */
+const NO_PROGRESS = { ...NO_POSITION, version: -1 };
 
-/** What a host believes: which endpoints there are, by id, and how each is used. */
-function believed(feed: DeploymentFeed): readonly string[] {
-    const entries = JSON.parse(feed.follower.state(NOTHING)?.endpoints ?? "[]") as EndpointEntry[];
+/** The endpoints that a host knows, sorted, with the fields by which it uses them. */
+function endpointsKnownTo(feed: DeploymentFeed): readonly string[] {
+    const entries = JSON.parse(feed.follower.state(NO_PROGRESS)?.endpoints ?? "[]") as EndpointEntry[];
     return entries.map(({ id, service, address, hall, slots, state }) =>
         JSON.stringify([id, service, address, hall, slots, state])
     ).sort();
 }
 
-function write(store: StandInStore, { id, value, gone, begins }: Write, lives: Map<string, number>): void {
-    if (gone) return store.remove(`servers/${id}`);
-    if (begins) lives.set(id, (lives.get(id) ?? 1_000) + 1);
+function write(
+    store: StandInStore,
+    { id, value, isDeleted, startsIncarnation }: Write,
+    births: Map<string, number>,
+): void {
+    if (isDeleted) return store.remove(`servers/${id}`);
+    if (startsIncarnation) births.set(id, (births.get(id) ?? 1_000) + 1);
     const isEntry = typeof value === "object" && value !== null && "Addr" in value;
-    if (isEntry) store.put(`servers/${id}`, { ...value, born: lives.get(id) });
+    if (isEntry) store.put(`servers/${id}`, { ...value, born: births.get(id) });
     else store.putOdd(`servers/${id}`, value);
 }
 
-test("hosts that heard of registrations by a watch, a read or a peer believe the same, whatever was written", async t => {
+test("hosts that learn of registrations by a watch, a read or a peer know the same endpoints, whatever was written", async t => {
     await fc.assert(
-        fc.asyncProperty(fc.array(drawnWrite, { minLength: 1, maxLength: 12 }), async writes => {
+        fc.asyncProperty(fc.array(anyWrite, { minLength: 1, maxLength: 12 }), async writes => {
             const own = new AbortController();
             const store = await StandInStore.start();
             store.put("op/config", configOf(1));
-            const watching = feedOf(store.url, own.signal);
+            const watching = createFeed(store.url, own.signal);
             watching.follower.setWatching("alone");
             await until(() => watching.isReady);
-            const lives = new Map<string, number>();
-            for (const each of writes) write(store, each, lives);
-            // A last good registration shows that the others did not stop the watch.
+            const births = new Map<string, number>();
+            for (const each of writes) write(store, each, births);
+            // A last, valid registration shows that the others did not stop the watch.
             store.put("servers/last", registrationOf("app", "10.0.0.9:80"));
-            await until(() => believed(watching).some(text => text.includes('"last"')));
-            const reading = feedOf(store.url, own.signal);
+            await until(() => endpointsKnownTo(watching).some(text => text.includes('"last"')));
+            const reading = createFeed(store.url, own.signal);
             reading.start();
             await until(() => reading.isReady);
-            const told = feedOf(store.url, own.signal);
-            told.follower.take(watching.follower.state(NOTHING)!);
-            t.deepEqual(believed(reading), believed(watching));
-            t.deepEqual(believed(told), believed(watching));
+            const told = createFeed(store.url, own.signal);
+            told.follower.take(watching.follower.state(NO_PROGRESS)!);
+            t.deepEqual(endpointsKnownTo(reading), endpointsKnownTo(watching));
+            t.deepEqual(endpointsKnownTo(told), endpointsKnownTo(watching));
             own.abort();
             await store.stop();
         }),
-        { numRuns: DRAWS },
+        { numRuns: RUNS },
     );
 });
--- a/packages/host/test/ownership-log.test.ts
+++ b/packages/host/test/ownership-log.test.ts
@@ -6,7 +6,7 @@
     return [{ kind: "owns", endpoints }];
 }
 
-test("a line tells that a host begins or ceases to own endpoints, and none that there are more; the gauge tells all", t => {
+test("the log reports only when a host begins or ceases to own endpoints, the gauge every change of their number", t => {
     const lines: [string, object][] = [];
     const gauge: number[] = [];
     const log = { info: (fields: object, event: string) => void lines.push([event, fields]) } as never;
--- a/packages/host/test/partition-fleet.ts
+++ b/packages/host/test/partition-fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Hosts of three halls that forward plain calls, one of which is cut off for a while: what their calls meet, with what the hosts
- * find out together and without. The failure detector, the decisions and what hosts of a hall tell each other are those that run;
- * links, endpoints and callers are played.
+ * Simulates hosts of three halls that forward plain calls, while a partition separates one hall from the others: what happens to the
+ * calls, with and without shared findings about reachability. The failure detector, the scheduler and the sharing among the hosts of a
+ * hall are the real ones; links, endpoints and callers are simulated.
  *
  * @module
  */
@@ -19,39 +19,41 @@
 import type { ReachPeerMessage } from "../src/peers/peer-messages.js";
 import { ReachSharing } from "../src/peers/reach-sharing.js";
 
-/** How a fleet is set up and what befalls it. */
-export interface Cut {
+/** The fleet, and the faults that it meets. */
+export interface PartitionScenario {
     readonly hosts: number;
     readonly seed: number;
-    /** Whether hosts find out together which halls they can reach. */
+    /** Whether hosts share their findings on which halls are reachable. */
     readonly isShared: boolean;
-    /** For how long the first hall is cut off from the others. */
-    readonly cutMs: number;
-    /** How a connection across the cut ends: after the time for it, or at once. */
+    /** How long the first hall is partitioned from the others. */
+    readonly partitionMs: number;
+    /** How a connection attempt across the partition fails: by timeout, or at once. */
     readonly how: "silent" | "refused";
-    /** Halls whose application takes nothing new, so that its calls go to other halls. */
+    /** Halls whose application takes no new calls, so that its calls go to other halls. */
     readonly closed?: readonly string[];
-    /** Share of the engines that die as the cut begins. */
+    /** Share of the engines that crash when the partition begins. */
     readonly crashed?: number;
 }
 
-/** What became of the calls. */
-export interface CutDay {
-    /** Connections that failed, by the time since the cut began at which they were tried. */
+/** What happened to the calls. */
+export interface PartitionResult {
+    /** Failed connections: when each was attempted, in milliseconds since the partition began. */
     readonly failed: readonly number[];
-    /** Calls that were answered within their time, those that were not, and those answered after one failed connection at least. */
+    /** Calls that were answered. */
     readonly served: number;
+    /** Calls that were not answered before their deadline, or had too many failed connections. */
     readonly lost: number;
+    /** Calls that were answered after at least one failed connection. */
     readonly delayed: number;
-    /** Messages by which hosts told each other of failed connections. */
+    /** Messages by which hosts reported failed connections to each other. */
     readonly messages: number;
-    /** For how long hosts held a hall in doubt in all, in host-seconds. */
-    readonly doubtS: number;
+    /** Total time that hosts held a hall in doubt, in host-seconds. */
+    readonly hostSecondsInDoubt: number;
 }
 
 const HALLS = 3;
-const CUT_HALL = "h0";
-/** Calls a second at each host: of the application with one endpoint a hall, and of engines with ten. */
+const PARTITIONED_HALL = "h0";
+/** Calls per second at each host: for the application, with one endpoint per hall, and for engines, with ten per hall. */
 const APP_PER_S = 1;
 const ENGINE_PER_S = 0.4;
 const ENGINES_PER_HALL = 10;
@@ -59,20 +61,20 @@
 const CONNECT_MS = 500;
 const REFUSED_MS = 3;
 const MESSAGE_MS = 1;
-const BEAT_MS = 250;
-const CALL_MS = 1_500;
-/** Connections that one call may try in vain. */
-const MOST_NEVER_SENT = 4;
-const CALM_MS = 3_000;
+const HEARTBEAT_MS = 250;
+const CALL_DEADLINE_MS = 1_500;
+/** Failed connections after which a call is given up. */
+const MAX_FAILED_CONNECTIONS = 4;
+const WARM_UP_MS = 3_000;
 const AFTER_MS = 3_000;
 const STEP_MS = 5;
-const DRAWN_APART = 1_000;
+const RECEIVER_SEED_OFFSET = 1_000;
 
 interface CallingHost {
     readonly sim: SimHost;
     readonly reach: ReachSharing;
     state: SchedulerState;
-    doubted: number;
+    doubtedHalls: number;
 }
 
 interface Call {
@@ -82,19 +84,19 @@
     readonly avoid: readonly string[];
 }
 
-const NO_LOG = { info: () => undefined } as never;
+const SILENT_LOG = { info: () => undefined } as never;
 const NO_METRICS = { doubtedHalls: { set: () => undefined } } as never;
 
-/** Plays one cut. */
-export function playCut(cut: Cut): CutDay {
-    return new CutFleet(cut).play();
+/** Simulates one partition. */
+export function simulatePartition(cut: PartitionScenario): PartitionResult {
+    return new PartitionFleet(cut).play();
 }
 
-class CutFleet {
+class PartitionFleet {
     private readonly fleet: Fleet;
     private readonly random: () => number;
-    /** Of its own, so that calls are the same whatever hosts tell each other. */
-    private readonly drawn: () => number;
+    /** A separate generator for the receivers of messages, so that the drawn calls do not depend on the messages sent. */
+    private readonly receiverRandom: () => number;
     private readonly hosts: readonly CallingHost[];
     private readonly byName: ReadonlyMap<string, CallingHost>;
     private readonly hallOf: ReadonlyMap<string, string>;
@@ -106,11 +108,11 @@
     private doubtMs = 0;
     private messages = 0;
     private calls = 0;
-    private isCut = false;
+    private isPartitioned = false;
 
-    constructor(private readonly cut: Cut) {
+    constructor(private readonly cut: PartitionScenario) {
         this.random = seeded(cut.seed);
-        this.drawn = seeded(cut.seed + DRAWN_APART);
+        this.receiverRandom = seeded(cut.seed + RECEIVER_SEED_OFFSET);
         this.fleet = new Fleet({ hosts: cut.hosts, halls: HALLS, seed: cut.seed });
         this.fleet.passes = (from, to) => this.passes(from.hall, to.hall);
         const endpoints = endpointsOf(cut.closed ?? []);
@@ -122,31 +124,31 @@
 
     private startHost(sim: SimHost, endpoints: readonly EndpointCfg[]): CallingHost {
         const variant = { ...DEFAULT_VARIANT, admission: "none", choice: "leastOutstanding" } as const;
-        const begun = createScheduler(variant, 1 + Math.floor(this.random() * 1e6), { hall: sim.hall });
+        const emptyState = createScheduler(variant, 1 + Math.floor(this.random() * 1e6), { hall: sim.hall });
         const reach = new ReachSharing({
             name: sim.name,
             hall: sim.hall,
             clock: { now: () => this.fleet.now, onWake: () => undefined } as never,
-            log: NO_LOG,
+            log: SILENT_LOG,
             metrics: NO_METRICS,
             inHall: () => liveInHall(sim.state.membership, this.fleet.now),
             otherHalls: () => otherHalls(sim.state.membership, this.fleet.now),
             send: (names, message) => this.tell(names, message),
             applyEvent: event => this.doubt(host, event),
-            random: this.drawn,
+            random: this.receiverRandom,
         });
         const host: CallingHost = {
             sim,
             reach,
-            doubted: 0,
-            state: decide(begun, { kind: "endpoints", endpoints }, 0).state,
+            doubtedHalls: 0,
+            state: decide(emptyState, { kind: "endpoints", endpoints }, 0).state,
         };
         reach.setEndpoints(endpoints.map(({ id, hall }) => ({ incarnation: id, address: id, hall })));
         return host;
     }
 
     private doubt(host: CallingHost, event: SchedulerEvent): void {
-        if (event.kind === "reach") host.doubted = event.doubted.halls.length;
+        if (event.kind === "reach") host.doubtedHalls = event.doubted.halls.length;
         if (this.cut.isShared) host.state = decide(host.state, event, this.fleet.now).state;
     }
 
@@ -162,41 +164,41 @@
     }
 
     private passes(from: string, to: string): boolean {
-        return !this.isCut || (from === CUT_HALL) === (to === CUT_HALL);
+        return !this.isPartitioned || (from === PARTITIONED_HALL) === (to === PARTITIONED_HALL);
     }
 
-    play(): CutDay {
+    play(): PartitionResult {
         for (const host of this.hosts) this.beat(host);
-        this.fleet.run(CALM_MS);
-        this.isCut = this.cut.cutMs > 0;
+        this.fleet.run(WARM_UP_MS);
+        this.isPartitioned = this.cut.partitionMs > 0;
         for (const id of this.hallOf.keys()) {
             if (id.includes("engine") && this.random() < (this.cut.crashed ?? 0)) this.dead.add(id);
         }
         const from = this.fleet.now;
-        const runMs = this.cut.cutMs + AFTER_MS;
+        const runMs = this.cut.partitionMs + AFTER_MS;
         for (let at = 0; at < runMs; at += STEP_MS) {
-            if (at >= this.cut.cutMs) this.isCut = false;
+            if (at >= this.cut.partitionMs) this.isPartitioned = false;
             for (const host of this.hosts) this.step(host, from);
             this.fleet.run(STEP_MS);
         }
-        this.fleet.run(CALL_MS);
+        this.fleet.run(CALL_DEADLINE_MS);
         const { failed, served, lost, delayed, messages } = this;
-        return { failed, served, lost, delayed, messages, doubtS: this.doubtMs / 1_000 };
+        return { failed, served, lost, delayed, messages, hostSecondsInDoubt: this.doubtMs / 1_000 };
     }
 
     private beat(host: CallingHost): void {
         host.reach.look();
-        this.after(BEAT_MS, () => this.beat(host));
+        this.after(HEARTBEAT_MS, () => this.beat(host));
     }
 
-    /** Calls come to a host, as many as a step has in the mean. */
+    /** Simulates the calls that arrive at a host in one step. */
     private step(host: CallingHost, from: number): void {
-        this.doubtMs += host.doubted * STEP_MS;
+        this.doubtMs += host.doubtedHalls * STEP_MS;
         for (const [model, perS] of [["app", APP_PER_S], ["engine", ENGINE_PER_S]] as const) {
             if (this.random() >= perS * STEP_MS / 1_000) continue;
             this.calls += 1;
             const id = `c${this.calls}`;
-            this.send(host, { id, model, endsAt: this.fleet.now + CALL_MS, avoid: [] }, from);
+            this.send(host, { id, model, endsAt: this.fleet.now + CALL_DEADLINE_MS, avoid: [] }, from);
         }
     }
 
@@ -212,8 +214,8 @@
 
     private connect(host: CallingHost, call: Call, endpoint: string, from: number): void {
         const startedAt = this.fleet.now;
-        const isThere = this.passes(host.sim.hall, this.hallOf.get(endpoint)!) && !this.dead.has(endpoint);
-        if (isThere) {
+        const isReachable = this.passes(host.sim.hall, this.hallOf.get(endpoint)!) && !this.dead.has(endpoint);
+        if (isReachable) {
             this.after(WORK_MS, () => this.answered(host, call, endpoint));
             return;
         }
@@ -222,7 +224,7 @@
             this.end(host, call, "unreachable");
             host.reach.failed(endpoint);
             const avoid = [...call.avoid, endpoint];
-            const isOver = this.fleet.now >= call.endsAt || avoid.length >= MOST_NEVER_SENT;
+            const isOver = this.fleet.now >= call.endsAt || avoid.length >= MAX_FAILED_CONNECTIONS;
             if (isOver) this.lost += 1;
             else this.send(host, { ...call, avoid }, from);
         });
--- a/packages/host/test/partitioned-hall.test.ts
+++ b/packages/host/test/partitioned-hall.test.ts
@@ -1,70 +1,77 @@
 import { LOST_VALID_MS } from "@drumpaddle/hall";
 import test from "ava";
-import { type Cut, type CutDay, playCut } from "./partition-fleet.js";
+import { type PartitionResult, type PartitionScenario, simulatePartition } from "./partition-fleet.js";
 
-/** Sizes of fleets, and how many days are played of each. */
+/** Fleet sizes, and the number of simulations of each. */
 const SIZES = [{ hosts: 6, days: 3 }, { hosts: 30, days: 3 }, { hosts: 90, days: 1 }];
-const CUT_MS = 5_500;
+const PARTITION_MS = 5_500;
 const HALLS = 3;
-/** A connection that does not come up takes half a second, and a hall is silent for a second before it is in doubt. */
-const KNOWN_MS = 2_000;
-/** A hall finds out by two endpoints, and anew as often as what it found out lapses. */
-const MOST_FOUND_OUT = 2 * HALLS * Math.ceil(CUT_MS / LOST_VALID_MS);
+/** Time to detect a partition: a connection attempt times out after 0.5 s, and a hall must be silent for 1 s to be in doubt. */
+const DETECTED_MS = 2_000;
+/** Each hall needs two failed connections to put another in doubt, and two more each time that this finding expires. */
+const MAX_LATE_FAILURES = 2 * HALLS * Math.ceil(PARTITION_MS / LOST_VALID_MS);
 
-/** Each host passes on what it had not known to six others, once for each endpoint by which the hall finds out. */
-const MOST_MESSAGES = 6 * 2 * Math.ceil(CUT_MS / LOST_VALID_MS);
+/** Each host sends a new finding to six others, once for each of the two endpoints, and again after the finding expires. */
+const MAX_MESSAGES = 6 * 2 * Math.ceil(PARTITION_MS / LOST_VALID_MS);
 
-function failedFrom({ failed }: CutDay, ms: number): number {
+function failuresSince({ failed }: PartitionResult, ms: number): number {
     return failed.filter(at => at >= ms).length;
 }
 
-function sum(days: readonly CutDay[], of: (day: CutDay) => number): number {
+function sum(days: readonly PartitionResult[], of: (day: PartitionResult) => number): number {
     return days.reduce((total, day) => total + of(day), 0);
 }
 
-/** The same days with what hosts find out together, and without. */
-function both(
+/** Runs the same simulations with shared findings, and with each host on its own. */
+function runBoth(
     days: number,
-    cut: Omit<Cut, "seed" | "isShared">,
-): { readonly shared: readonly CutDay[]; readonly alone: readonly CutDay[] } {
-    const play = (isShared: boolean): readonly CutDay[] =>
-        Array.from({ length: days }, (_, at) => playCut({ ...cut, seed: at + 1, isShared }));
-    return { shared: play(true), alone: play(false) };
+    cut: Omit<PartitionScenario, "seed" | "isShared">,
+): { readonly shared: readonly PartitionResult[]; readonly independent: readonly PartitionResult[] } {
+    const play = (isShared: boolean): readonly PartitionResult[] =>
+        Array.from({ length: days }, (_, at) => simulatePartition({ ...cut, seed: at + 1, isShared }));
+    return { shared: play(true), independent: play(false) };
 }
 
 for (const { hosts, days } of SIZES) {
     for (const how of ["silent", "refused"] as const) {
-        test(`of ${hosts} hosts a hall finds out once that another is cut off (${how}), and not host by host`, t => {
-            const { shared, alone } = both(days, { hosts, cutMs: CUT_MS, how, closed: ["h1"] });
-            for (const day of shared) t.true(failedFrom(day, KNOWN_MS) <= MOST_FOUND_OUT);
-            const [after, before] = [shared, alone].map(played => sum(played, ({ failed }) => failed.length));
-            const delayed = [shared, alone].map(played => sum(played, day => day.delayed)).join(" and ");
-            t.log(`connections that failed: ${after}, each host alone ${before}; calls delayed: ${delayed}`);
+        test(`${hosts} hosts detect a partitioned hall once per hall, not once per host (${how})`, t => {
+            const { shared, independent } = runBoth(days, { hosts, partitionMs: PARTITION_MS, how, closed: ["h1"] });
+            for (const day of shared) t.true(failuresSince(day, DETECTED_MS) <= MAX_LATE_FAILURES);
+            const [after, before] = [shared, independent].map(played => sum(played, ({ failed }) => failed.length));
+            const delayed = [shared, independent].map(played => sum(played, day => day.delayed)).join(" and ");
+            t.log(`failed connections: ${after}, without sharing ${before}; delayed calls: ${delayed}`);
             t.true(after! <= before!);
-            t.true(sum(shared, ({ served }) => served) >= sum(alone, ({ served }) => served));
+            t.true(sum(shared, ({ served }) => served) >= sum(independent, ({ served }) => served));
         });
     }
 }
 
-test("300 hosts find out together as well", t => {
-    const day = playCut({ hosts: 300, seed: 1, isShared: true, cutMs: 2 * KNOWN_MS, how: "silent", closed: ["h1"] });
-    t.log(`connections that failed: ${day.failed.length}, after ${KNOWN_MS} ms ${failedFrom(day, KNOWN_MS)}`);
-    t.true(failedFrom(day, KNOWN_MS) <= MOST_FOUND_OUT);
-    t.log(`messages a host: ${(day.messages / 300).toFixed(1)}`);
-    t.true(day.messages / 300 <= MOST_MESSAGES);
+test("sharing also works with 300 hosts", t => {
+    const day = simulatePartition({
+        hosts: 300,
+        seed: 1,
+        isShared: true,
+        partitionMs: 2 * DETECTED_MS,
+        how: "silent",
+        closed: ["h1"],
+    });
+    t.log(`failed connections: ${day.failed.length}, after ${DETECTED_MS} ms ${failuresSince(day, DETECTED_MS)}`);
+    t.true(failuresSince(day, DETECTED_MS) <= MAX_LATE_FAILURES);
+    t.log(`messages per host: ${(day.messages / 300).toFixed(1)}`);
+    t.true(day.messages / 300 <= MAX_MESSAGES);
 });
 
-test("where nothing but halls in doubt is left, calls go there as before", t => {
-    const { shared, alone } = both(2, { hosts: 30, cutMs: CUT_MS, how: "silent", closed: ["h0"] });
-    t.is(sum(shared, ({ lost }) => lost), sum(alone, ({ lost }) => lost));
-    t.is(sum(shared, ({ served }) => served), sum(alone, ({ served }) => served));
+test("calls still go to halls in doubt if there are no others", t => {
+    const { shared, independent } = runBoth(2, { hosts: 30, partitionMs: PARTITION_MS, how: "silent", closed: ["h0"] });
+    t.is(sum(shared, ({ lost }) => lost), sum(independent, ({ lost }) => lost));
+    t.is(sum(shared, ({ served }) => served), sum(independent, ({ served }) => served));
 });
 
 for (const { hosts, days } of SIZES) {
-    test(`${hosts} hosts hold no hall in doubt where none is cut off, though a third of the engines die`, t => {
-        const { shared, alone } = both(days, { hosts, cutMs: 0, how: "silent", crashed: 0.33 });
-        t.is(sum(shared, ({ doubtS }) => doubtS), 0);
-        t.true(sum(shared, ({ failed }) => failed.length) <= sum(alone, ({ failed }) => failed.length));
-        t.true(sum(shared, ({ lost }) => lost) <= sum(alone, ({ lost }) => lost));
+    test(`${hosts} hosts hold no hall in doubt without a partition, even if a third of the engines crash`, t => {
+        const { shared, independent } = runBoth(days, { hosts, partitionMs: 0, how: "silent", crashed: 0.33 });
+        t.is(sum(shared, ({ hostSecondsInDoubt }) => hostSecondsInDoubt), 0);
+        t.true(sum(shared, ({ failed }) => failed.length) <= sum(independent, ({ failed }) => failed.length));
+        t.true(sum(shared, ({ lost }) => lost) <= sum(independent, ({ lost }) => lost));
     });
 }
--- a/packages/host/test/peer-messages.test.ts
+++ b/packages/host/test/peer-messages.test.ts
@@ -17,15 +17,21 @@
 }
 
 for (const capacity of [undefined, 0.324, 16, 0, -4, 1e300]) {
-    test(`news of hosts is taken with a capacity of ${capacity}`, t => {
+    test(`news of hosts is accepted with a capacity of ${capacity}`, t => {
         t.true(isPeerMessage(gossipOf(capacity)));
     });
 }
 
-const NO_NUMBERS = { "a text": "2", "null": null, "an object": {}, "not a number": NaN, "infinite": Infinity };
+const INVALID_CAPACITIES = {
+    "a string": "2",
+    "null": null,
+    "an object": {},
+    "not a number": NaN,
+    "infinite": Infinity,
+};
 
-for (const [what, capacity] of Object.entries(NO_NUMBERS)) {
-    test(`news of hosts is refused with a capacity that is ${what}`, t => {
+for (const [what, capacity] of Object.entries(INVALID_CAPACITIES)) {
+    test(`news of hosts is rejected with a capacity that is ${what}`, t => {
         t.false(isPeerMessage(gossipOf(capacity)));
     });
 }
--- a/packages/host/test/quarantine-sharing.test.ts
+++ b/packages/host/test/quarantine-sharing.test.ts
@@ -10,19 +10,19 @@
     trials: [],
 };
 
-interface Sent {
+interface SentMessage {
     readonly names: readonly string[];
     readonly message: QuarantinePeerMessage;
 }
 
-/** A host among others, and what it sends. */
-function sharingOf(
+/** The sharing of host `h0`, what it sends and what it learns. */
+function createSharing(
     t: ExecutionContext,
     live: readonly string[],
-): { readonly sharing: QuarantineSharing; readonly sent: Sent[]; readonly heard: QuarantineNews[] } {
+): { readonly sharing: QuarantineSharing; readonly sent: SentMessage[]; readonly heard: QuarantineNews[] } {
     const end = new AbortController();
     t.teardown(() => end.abort());
-    const sent: Sent[] = [];
+    const sent: SentMessage[] = [];
     const heard: QuarantineNews[] = [];
     const sharing = new QuarantineSharing({
         name: "h0",
@@ -41,8 +41,8 @@
     return new Promise(resolve => setTimeout(resolve, ms));
 }
 
-test("a host that starts asks a peer, and is ready with its answer", t => {
-    const { sharing, sent, heard } = sharingOf(t, ["h0", "h1"]);
+test("a starting host asks a peer, and is ready when the peer has sent everything", t => {
+    const { sharing, sent, heard } = createSharing(t, ["h0", "h1"]);
     t.deepEqual(sent, [{ names: ["h1"], message: { kind: "quarantineAsk" } }]);
     t.false(sharing.isReady);
     sharing.receive("h1", { kind: "quarantine", isAll: false, ...NOTHING });
@@ -52,29 +52,29 @@
     t.is(heard.length, 2);
 });
 
-test("a host that hears of no peer is ready all the same", async t => {
-    const { sharing } = sharingOf(t, ["h0"]);
+test("a host without peers becomes ready after a wait", async t => {
+    const { sharing } = createSharing(t, ["h0"]);
     t.false(sharing.isReady);
     await pause(600);
     t.true(sharing.isReady);
 });
 
-test("a peer that asks, or that knows other endings, is told everything; one that knows the same is told nothing", t => {
-    const { sharing, sent } = sharingOf(t, ["h0"]);
+test("a peer that asks, or whose digest differs, is sent everything; one with the same digest is sent nothing", t => {
+    const { sharing, sent } = createSharing(t, ["h0"]);
     sharing.receive("h1", { kind: "quarantineAsk" });
     t.like(sent.at(-1), { names: ["h1"], message: { kind: "quarantine", isAll: true } });
     sharing.receiveDigest("h2", 7);
     t.is(sent.length, 1);
     sharing.receiveDigest("h2", 8);
     t.like(sent.at(-1), { names: ["h2"], message: { kind: "quarantine", isAll: true } });
-    // At once again it would be the same news.
+    // Full transfers are rate-limited.
     sharing.receiveDigest("h3", 8);
     t.is(sent.length, 2);
 });
 
-test("news of one moment goes to six hosts in one message, however many there are", async t => {
+test("news of the same moment goes to six of any number of hosts in one message", async t => {
     const live = Array.from({ length: 400 }, (_, at) => `h${at}`);
-    const { sharing, sent } = sharingOf(t, live);
+    const { sharing, sent } = createSharing(t, live);
     const before = sent.length;
     sharing.share(NEWS);
     sharing.share(NEWS);
--- a/packages/host/test/reach-sharing.test.ts
+++ b/packages/host/test/reach-sharing.test.ts
@@ -12,19 +12,19 @@
 ];
 const ADDRESS = Object.fromEntries(ENDPOINTS.map(({ incarnation, address }) => [incarnation.slice(0, -2), address]));
 
-interface Stage {
+interface Fixture {
     readonly sharing: ReachSharing;
     readonly sent: { readonly names: readonly string[]; readonly message: ReachPeerMessage }[];
     readonly events: SchedulerEvent[];
     readonly log: [string, object][];
     readonly gauge: number[];
-    readonly pass: (ms: number) => void;
+    readonly advance: (ms: number) => void;
 }
 
-/** A host of k1 that knows endpoints and hosts of k2. */
-function stageOf(inHall: readonly string[] = ["k1-a", "k1-b"]): Stage {
+/** The sharing of a host of hall k1 that knows endpoints and hosts of hall k2. */
+function createSharing(inHall: readonly string[] = ["k1-a", "k1-b"]): Fixture {
     let now = 50_000;
-    const sent: Stage["sent"] = [];
+    const sent: Fixture["sent"] = [];
     const events: SchedulerEvent[] = [];
     const log: [string, object][] = [];
     const gauge: number[] = [];
@@ -41,27 +41,27 @@
     });
     sharing.setEndpoints(ENDPOINTS);
     sharing.heardHost("k2");
-    return { sharing, sent, events, log, gauge, pass: ms => now += ms };
+    return { sharing, sent, events, log, gauge, advance: ms => now += ms };
 }
 
-function reachOf(event: SchedulerEvent | undefined): Extract<SchedulerEvent, { kind: "reach" }> {
-    if (event?.kind !== "reach") throw new Error("no such event");
+function asReachEvent(event: SchedulerEvent | undefined): Extract<SchedulerEvent, { kind: "reach" }> {
+    if (event?.kind !== "reach") throw new Error("not an event about reachability");
     return event;
 }
 
-test("a connection that failed is told to the hall, and the endpoint is in doubt at once", t => {
-    const { sharing, sent, events, pass } = stageOf();
-    pass(300);
+test("a failed connection is reported to the hall and puts its endpoint in doubt at once", t => {
+    const { sharing, sent, events, advance } = createSharing();
+    advance(300);
     sharing.failed(ADDRESS["a"]!);
     t.deepEqual(sent, [{ names: ["k1-b"], message: { kind: "unreached", endpoint: "a@1", agoMs: 0 } }]);
     t.true(isPeerMessage({ ...sent[0]!.message }));
-    t.deepEqual(reachOf(events.at(-1)).doubted, { halls: [], endpoints: ["a@1"] });
+    t.deepEqual(asReachEvent(events.at(-1)).doubted, { halls: [], endpoints: ["a@1"] });
 });
 
-test("what another host of the hall has told is passed on once, to six at most", t => {
+test("a failure reported by another host is passed on once, to at most six hosts", t => {
     const names = Array.from({ length: 40 }, (_, at) => `k1-${at}`);
-    const { sharing, sent, pass } = stageOf(["k1-a", ...names]);
-    pass(300);
+    const { sharing, sent, advance } = createSharing(["k1-a", ...names]);
+    advance(300);
     for (let times = 0; times < 3; times++) sharing.receive({ kind: "unreached", endpoint: "a@1", agoMs: 40 });
     t.is(sent.length, 1);
     t.is(sent[0]!.names.length, 6);
@@ -69,20 +69,24 @@
     t.deepEqual(sent[0]!.message, { kind: "unreached", endpoint: "a@1", agoMs: 40 });
 });
 
-test("a silent hall is in doubt by what two hosts found out, with a line; what is heard of it ends that, with another", t => {
+test("failures seen by two hosts put a silent hall in doubt, a message or answer from it ends the doubt, and both are logged", t => {
     for (const end of ["host", "endpoint"] as const) {
-        const { sharing, sent, events, log, gauge, pass } = stageOf();
-        pass(QUIET_MS);
+        const { sharing, sent, events, log, gauge, advance } = createSharing();
+        advance(QUIET_MS);
         sharing.failed(ADDRESS["a"]!);
         sharing.receive({ kind: "unreached", endpoint: "b@1", agoMs: 10 });
-        t.deepEqual(reachOf(events.at(-1)).doubted, { halls: ["k2"], endpoints: ["a@1", "b@1"] });
+        t.deepEqual(asReachEvent(events.at(-1)).doubted, { halls: ["k2"], endpoints: ["a@1", "b@1"] });
         t.is(gauge.at(-1), 1);
         sharing.failed(ADDRESS["c"]!);
-        t.is(sent.length, 2, "the others know enough by then");
-        pass(700);
+        t.is(sent.length, 2, "further failures are not passed on");
+        advance(700);
         if (end === "host") sharing.heardHost("k2");
         else sharing.answered(ADDRESS["c"]!);
-        t.deepEqual(reachOf(events.at(-1)), { kind: "reach", doubted: { halls: [], endpoints: [] }, back: ["k2"] });
+        t.deepEqual(asReachEvent(events.at(-1)), {
+            kind: "reach",
+            doubted: { halls: [], endpoints: [] },
+            back: ["k2"],
+        });
         t.is(gauge.at(-1), 0);
         t.deepEqual(log, [
             ["hall_in_doubt", { hall: "k2", lost_endpoints: 2, hosts_relied_on: true, silent_ms: QUIET_MS }],
@@ -91,36 +95,36 @@
     }
 });
 
-test("silence that lasts makes a doubt of what has failed before, and time ends it without a sign", t => {
-    const { sharing, events, log, pass } = stageOf();
-    pass(QUIET_MS - 100);
+test("lasting silence after failures puts a hall in doubt, and the doubt expires", t => {
+    const { sharing, events, log, advance } = createSharing();
+    advance(QUIET_MS - 100);
     for (const name of ["a", "b"]) sharing.failed(ADDRESS[name]!);
-    t.deepEqual(reachOf(events.at(-1)).doubted.halls, []);
-    pass(100);
+    t.deepEqual(asReachEvent(events.at(-1)).doubted.halls, []);
+    advance(100);
     sharing.look();
-    t.deepEqual(reachOf(events.at(-1)).doubted.halls, ["k2"]);
-    pass(10_000);
+    t.deepEqual(asReachEvent(events.at(-1)).doubted.halls, ["k2"]);
+    advance(10_000);
     sharing.look();
-    t.deepEqual(reachOf(events.at(-1)), { kind: "reach", doubted: { halls: [], endpoints: [] }, back: [] });
+    t.deepEqual(asReachEvent(events.at(-1)), { kind: "reach", doubted: { halls: [], endpoints: [] }, back: [] });
     t.deepEqual(log.at(-1), ["hall_no_longer_in_doubt", { hall: "k2", heard: false }]);
     sharing.heardHost("k2");
-    t.deepEqual(reachOf(events.at(-1)).back, ["k2"], "what could not be reached may be tried at once, also then");
+    t.deepEqual(asReachEvent(events.at(-1)).back, ["k2"], "the hall is reported as back even after the doubt expired");
     const told = events.length;
     sharing.heardHost("k2");
     t.is(events.length, told, "once");
 });
 
-test("a hall that was heard after one endpoint failed is not told as back: that endpoint may have died by itself", t => {
-    const { sharing, events, pass } = stageOf();
-    pass(300);
+test("a hall that answers after a single endpoint failed is not reported as back: the endpoint may have crashed", t => {
+    const { sharing, events, advance } = createSharing();
+    advance(300);
     sharing.failed(ADDRESS["a"]!);
     sharing.heardHost("k2");
-    t.deepEqual(reachOf(events.at(-1)), { kind: "reach", doubted: { halls: [], endpoints: [] }, back: [] });
+    t.deepEqual(asReachEvent(events.at(-1)), { kind: "reach", doubted: { halls: [], endpoints: [] }, back: [] });
 });
 
-test("the own hall, unknown endpoints and a look without news change nothing", t => {
-    const { sharing, sent, events, pass } = stageOf();
-    pass(QUIET_MS);
+test("failures in the own hall, unknown endpoints and updates without news have no effect", t => {
+    const { sharing, sent, events, advance } = createSharing();
+    advance(QUIET_MS);
     sharing.failed(ADDRESS["own"]!);
     sharing.failed("10.9.9.9:80");
     sharing.receive({ kind: "unreached", endpoint: "own@1", agoMs: 0 });
--- a/packages/host/test/request-guard.test.ts
+++ b/packages/host/test/request-guard.test.ts
@@ -7,14 +7,14 @@
 import { createLog } from "../src/runtime/log.js";
 import { Metrics } from "../src/runtime/metrics.js";
 
-interface Guarded {
+interface Fixture {
     readonly guard: RequestGuard;
-    /** A run of a request breaks off at an endpoint. */
-    readonly broke: (fingerprint: string, id: string) => void;
+    /** Interrupts a run of a request at an endpoint. */
+    readonly interrupt: (fingerprint: string, id: string) => void;
 }
 
-/** A guard whose endpoints answer as given when they are asked. */
-function guardOf(t: ExecutionContext, sign: LifeSign): Guarded {
+/** A guard whose probes of endpoints all have the given result. */
+function createGuard(t: ExecutionContext, sign: LifeSign): Fixture {
     const end = new AbortController();
     t.teardown(() => end.abort());
     const clock = createClock();
@@ -38,7 +38,7 @@
         onNotEnded: runs => guard.notEnded(runs),
         meetLife: () => undefined,
     });
-    const broke = (fingerprint: string, id: string): void => {
+    const interrupt = (fingerprint: string, id: string): void => {
         const endpoint: WatchedEndpoint = { id, incarnation: id, born: undefined, address: "", software: undefined };
         guard.broke(endpoint, {
             req: "r",
@@ -49,42 +49,42 @@
             wasSuspect: guard.isSuspect(fingerprint),
         });
     };
-    return { guard, broke };
+    return { guard, interrupt };
 }
 
-function soon(): Promise<void> {
+function probesDone(): Promise<void> {
     return new Promise(resolve => setTimeout(resolve, 20));
 }
 
-test("a request whose runs break off at endpoints that cannot be asked is begun as before", async t => {
-    const { guard, broke } = guardOf(t, { kind: "unknown", detail: "cut" });
-    for (const id of ["e1", "e2", "e3", "e4"]) broke("f", id);
-    await soon();
+test("a request interrupted at endpoints that cannot be probed may start as before", async t => {
+    const { guard, interrupt } = createGuard(t, { kind: "unknown", detail: "cut" });
+    for (const id of ["e1", "e2", "e3", "e4"]) interrupt("f", id);
+    await probesDone();
     t.is(guard.withhold("f"), undefined);
     t.false(guard.isSuspect("f"));
 });
 
-test("several runs at one endpoint that is being asked are one ending", t => {
-    const { guard, broke } = guardOf(t, { kind: "lives", reportsBirth: true });
-    for (let at = 0; at < 5; at++) broke("f", "e1");
+test("several interrupted runs at one endpoint under investigation count as one crash", t => {
+    const { guard, interrupt } = createGuard(t, { kind: "lives", reportsBirth: true });
+    for (let at = 0; at < 5; at++) interrupt("f", "e1");
     t.is(guard.withhold("f"), undefined);
-    for (const id of ["e2", "e3"]) broke("f", id);
+    for (const id of ["e2", "e3"]) interrupt("f", id);
     t.like(guard.withhold("f"), { code: "request_quarantined", sureMs: 50 });
 });
 
-test("a request whose runs break off at endpoints that live on is begun as before", async t => {
-    const { guard, broke } = guardOf(t, { kind: "lives", reportsBirth: true });
-    for (const id of ["e1", "e2", "e3", "e4"]) broke("f", id);
-    await soon();
+test("a request interrupted at endpoints that are alive may start as before", async t => {
+    const { guard, interrupt } = createGuard(t, { kind: "lives", reportsBirth: true });
+    for (const id of ["e1", "e2", "e3", "e4"]) interrupt("f", id);
+    await probesDone();
     t.is(guard.withhold("f"), undefined);
 });
 
-test("a request whose endpoints refuse connections one after another is withheld after the third", async t => {
-    const { guard, broke } = guardOf(t, { kind: "refused" });
+test("a request is withheld after three endpoints in turn refused connections", async t => {
+    const { guard, interrupt } = createGuard(t, { kind: "refused" });
     for (const id of ["e1", "e2", "e3"]) {
         t.is(guard.withhold("f"), undefined);
-        broke("f", id);
-        await soon();
+        interrupt("f", id);
+        await probesDone();
     }
     t.is(guard.withhold("f")?.code, "request_quarantined");
     t.is(guard.withhold("g"), undefined);
--- a/packages/host/test/response-ends.test.ts
+++ b/packages/host/test/response-ends.test.ts
@@ -3,13 +3,13 @@
 import { type AddressInfo, createServer, type Socket } from "node:net";
 import { EndpointConnections } from "../src/endpoints/endpoint-connections.js";
 
-/** How an answer's end is told, and how its connection ends. */
+/** `framed`: whether the answer is chunked; `end`: how its connection ends. */
 interface Ending {
     readonly framed: boolean;
     readonly end: "fin" | "reset";
 }
 
-interface Seen {
+interface Outcome {
     readonly bytes: string;
     readonly end: "orderly" | "cut" | "broken";
 }
@@ -20,8 +20,8 @@
     return framed ? `${text.length.toString(16)}\r\n${text}\r\n` : text;
 }
 
-/** Answers the one call of a connection that is closed behind the answer. */
-function answerOn(socket: Socket, ending: Ending, pauseMs: number, onEnded: () => void): void {
+/** Answers the call on a connection, then closes the connection. */
+function answerCall(socket: Socket, ending: Ending, pauseMs: number, onEnded: () => void): void {
     socket.on("error", () => undefined);
     const coding = ending.framed ? "Transfer-Encoding: chunked\r\n" : "";
     const texts = [
@@ -42,11 +42,11 @@
     socket.once("data", next);
 }
 
-/** What a call sees of an answer; `held`: its reader takes no more behind the first piece until the end has come. */
-async function callTo(t: ExecutionContext, ending: Ending, held: boolean): Promise<Seen> {
+/** How a call sees an answer. `held`: its reader pauses after the first piece until the connection has ended. */
+async function outcomeOf(t: ExecutionContext, ending: Ending, held: boolean): Promise<Outcome> {
     let resume = (): void => undefined;
     const server = createServer(socket =>
-        answerOn(socket, ending, held ? 20 : 0, () => setTimeout(() => resume(), 50))
+        answerCall(socket, ending, held ? 20 : 0, () => setTimeout(() => resume(), 50))
     );
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     t.teardown(() => server.close());
@@ -73,9 +73,9 @@
 for (const framed of [false, true]) {
     for (const end of ["fin", "reset"] as const) {
         for (const held of [false, true]) {
-            const how = `${framed ? "with" : "without"} chunks, ${end}, ${held ? "held back" : "at once"}`;
-            test(`how an answer ends is told: ${how}`, async t => {
-                const seen = await callTo(t, { framed, end }, held);
+            const how = `${framed ? "with" : "without"} chunks, ${end}, ${held ? "paused reader" : "unpaused reader"}`;
+            test(`the end of an answer is reported: ${how}`, async t => {
+                const seen = await outcomeOf(t, { framed, end }, held);
                 const orderly = end === "fin" && !framed;
                 t.is(seen.end === "orderly", orderly);
                 if (orderly) t.is(seen.bytes, PIECES.join(""));
