--- a/packages/host/src/endpoints/crash-detector.ts
+++ b/packages/host/src/endpoints/crash-detector.ts
@@ -91,7 +91,10 @@
 
     constructor(private readonly deps: CrashDetectorDeps) {}
 
-    /** Takes up an interrupted call. `onEnded` or `onNotEnded` reports the finding, at once or later. */
+    /**
+     * Investigates an interrupted call. {@link CrashDetectorDeps.onEnded} or {@link CrashDetectorDeps.onNotEnded} receives the finding,
+     * at once or later.
+     */
     broke(endpoint: WatchedEndpoint, run: InterruptedRun): void {
         const { incarnation } = endpoint;
         const now = this.deps.clock.now();
--- a/packages/host/src/endpoints/endpoint-connections.ts
+++ b/packages/host/src/endpoints/endpoint-connections.ts
@@ -40,9 +40,9 @@
     /**
      * Keeps the connection for another call, once the answer is complete.
      *
-     * @param keepMs For how long the endpoint said that it keeps idle connections open.
+     * @param keepAliveMs For how long the endpoint said that it keeps idle connections open.
      */
-    release(keepMs: number | undefined): void;
+    release(keepAliveMs: number | undefined): void;
     /** Closes the connection, also in the middle of a call. */
     destroy(): void;
 }
@@ -159,7 +159,7 @@
             get unsentBytes() {
                 return connection.socket?.writableLength ?? 0;
             },
-            release: keepMs => this.keepIdle(address, connection, keepMs),
+            release: keepAliveMs => this.keepIdle(address, connection, keepAliveMs),
             destroy: drop,
         };
     }
@@ -229,12 +229,12 @@
         this.listeners.onAnswered?.(address);
     }
 
-    private keepIdle(address: string, connection: Connection, keepMs: number | undefined): void {
-        const idleMs = Math.min(MAX_IDLE_MS, (keepMs ?? Infinity) - IDLE_MARGIN_MS);
+    private keepIdle(address: string, connection: Connection, keepAliveMs: number | undefined): void {
+        const idleMs = Math.min(MAX_IDLE_MS, (keepAliveMs ?? Infinity) - IDLE_MARGIN_MS);
         if (idleMs <= 0 || connection.failed || !this.all.has(connection)) return this.close(address, connection);
         const now = this.clock.now();
         connection.usableUntil = now + idleMs;
-        connection.keepAliveUntil = keepMs === undefined ? -Infinity : now + keepMs - IDLE_MARGIN_MS;
+        connection.keepAliveUntil = keepAliveMs === undefined ? -Infinity : now + keepAliveMs - IDLE_MARGIN_MS;
         const idle = this.idle.get(address);
         if (idle) idle.push(connection);
         else this.idle.set(address, [connection]);
--- a/packages/host/src/endpoints/endpoint-probe.ts
+++ b/packages/host/src/endpoints/endpoint-probe.ts
@@ -30,7 +30,7 @@
  *
  * @example
  * ```ts
- * (await probeByReport(wire, "10.0.0.9:8080", { id: "i-7", born: 1700 }, signal)).kind; // "lives"
+ * (await probeByStatusCall(wire, "10.0.0.9:8080", { id: "i-7", born: 1700 }, signal)).kind; // "lives"
  * ```
  */
 export async function probeByReport(
--- a/packages/host/src/endpoints/incarnation-signals.ts
+++ b/packages/host/src/endpoints/incarnation-signals.ts
@@ -16,7 +16,7 @@
      *
      * @example
      * ```ts
-     * lives.of(endpoint.incarnation).addEventListener("abort", () => lose("reset"), { once: true });
+     * signals.signalOf(endpoint.incarnation).addEventListener("abort", () => lose("reset"), { once: true });
      * ```
      */
     of(incarnation: string): AbortSignal {
--- a/packages/host/src/endpoints/placement.ts
+++ b/packages/host/src/endpoints/placement.ts
@@ -30,6 +30,7 @@
 
 /** Receives the decision on one request. */
 export interface Placed {
+    /** @param backUp Endpoint that is to keep a copy of the request, if there is one. */
     onDispatch(endpoint: string, priority: number, backUp: string | undefined): void;
     onRefuse(reason: RefuseReason, detail: string, retryAfterMs: number): void;
 }
@@ -46,8 +47,10 @@
 /** The scheduler of one host for one kind of service, with its timers and listeners. */
 export class Placement {
     private state: SchedulerState;
+    /** Listeners of the jobs that await a decision, by job. */
     private readonly listeners = new Map<string, Placed>();
     private readonly timer: NodeJS.Timeout;
+    /** Resolvers of the evacuations that await a plan, by job. */
     private readonly pendingEvacuations = new Map<string, (plan: CopyAction | undefined) => void>();
     private queryOwner: (action: OwnerQueryAction) => void = () => undefined;
     private onLeaving: () => void = () => undefined;
--- a/packages/host/src/endpoints/request-guard.ts
+++ b/packages/host/src/endpoints/request-guard.ts
@@ -47,7 +47,10 @@
     readonly signal: AbortSignal;
     /** Shares news with the peers. */
     tell(news: QuarantineNews): void;
-    /** Finds out whether the endpoint of an interrupted run crashed; reports by `ended` or `notEnded`. */
+    /**
+     * Finds out whether the endpoint of an interrupted run crashed, and reports by {@link RequestGuard.ended} or
+     * {@link RequestGuard.notEnded}.
+     */
     broke(endpoint: WatchedEndpoint, run: InterruptedRun): void;
 }
 
@@ -117,8 +120,8 @@
 
     private describe({ fingerprint, endings }: Charge): ListedRequest {
         const now = this.deps.clock.now();
-        const seen = endings.map(({ life }) => this.crashedCalls.get(`${life} ${fingerprint}`));
-        const first = seen.find(sighting => sighting !== undefined);
+        const crashed = endings.map(({ life }) => this.crashedCalls.get(`${life} ${fingerprint}`));
+        const first = crashed.find(sighting => sighting !== undefined);
         return {
             fingerprint,
             quarantined: verdictOf(this.state, fingerprint, now).kind === "quarantined",
@@ -127,7 +130,7 @@
             endings: endings.map(({ life, at }, index) => ({
                 endpoint: life,
                 ageMs: Math.round(now - at),
-                req: seen[index]?.req,
+                req: crashed[index]?.req,
             })),
         };
     }
@@ -170,8 +173,8 @@
 
     /** Called when an attempt was interrupted while it ran. */
     broke(endpoint: WatchedEndpoint, run: InterruptedRun): void {
-        const known = this.unresolved.get(run.fingerprint) ?? new Map<InterruptedRun, string>();
-        this.unresolved.set(run.fingerprint, known.set(run, endpoint.incarnation));
+        const runs = this.unresolved.get(run.fingerprint) ?? new Map<InterruptedRun, string>();
+        this.unresolved.set(run.fingerprint, runs.set(run, endpoint.incarnation));
         this.deps.broke(endpoint, run);
     }
 
@@ -222,7 +225,10 @@
         this.clearCompleted([ending]);
     }
 
-    /** Called when the endpoint of interrupted runs is alive, or cannot be probed; `ended` may still follow in the latter case. */
+    /**
+     * Called when the endpoint of interrupted runs is alive, or cannot be probed; in the latter case {@link RequestGuard.ended} may
+     * still follow.
+     */
     notEnded(runs: readonly InterruptedRun[]): void {
         this.removeUnresolved(runs);
     }
@@ -306,7 +312,7 @@
 }
 
 function withheldAsQuarantined(endings: number, sureMs: number): Withheld {
-    const detail = `this request was running at ${endings} endpoints when they ended; do not send it again`;
+    const detail = `this request was running at ${endings} endpoints when they crashed; do not send it again`;
     return { code: FailCode.Quarantined, detail, sureMs };
 }
 
@@ -317,7 +323,7 @@
     suspect: () => undefined,
     onTrial: ({ againMs }) => ({
         code: FailCode.OnTrial,
-        detail: "this request was running at an endpoint when that ended, and runs once more now",
+        detail: "this request was running at an endpoint that crashed, and another attempt of it is running now",
         retryAfterMs: againMs,
     }),
     quarantined: ({ endings, sureMs }) => withheldAsQuarantined(endings, sureMs),
--- a/packages/host/src/peers/peers.ts
+++ b/packages/host/src/peers/peers.ts
@@ -96,7 +96,7 @@
 /** This host as a member of its hall. */
 export class Peers {
     private detector: Detector;
-    private shareState: ShareState;
+    private loadShare: ShareState;
     private readonly storeSharing: StoreSharing | undefined;
     private readonly quarantineSharing: QuarantineSharing | undefined;
     private readonly noticeSharing: NoticeSharing | undefined;
@@ -110,12 +110,12 @@
 
     private constructor(private readonly deps: PeersDeps, private readonly mesh: PeerMesh, seeds: readonly string[]) {
         const { "host.name": name, "host.hall": hall, "peers.scope": scope = hall } = deps.cfg;
-        this.shareState = createShare(name);
+        this.loadShare = createShare(name);
         this.ownershipLog = new OwnershipLog(deps.log, deps.metrics);
         const start = randomInt(START_RANGE);
         const capacity = ownCapacity(deps.cfg);
-        const told = capacity === undefined ? {} : { capacity };
-        this.detector = createDetector({ name, hall, scope, address: mesh.at, start, ...told }, seeds);
+        const capacityField = capacity === undefined ? {} : { capacity };
+        this.detector = createDetector({ name, hall, scope, address: mesh.at, start, ...capacityField }, seeds);
         this.storeSharing = deps.follower && new StoreSharing({
             name,
             clock: deps.clock,
@@ -158,7 +158,7 @@
             signal: deps.signal,
             live: () => this.live,
             send: (names, message) => this.sendAll(names, message),
-            learn: told => words.receive(told),
+            learn: notices => words.receive(notices),
             all: () => words.all(),
         });
     }
@@ -167,7 +167,7 @@
         return this.detector.membership;
     }
 
-    private get env(): DetectorEnv {
+    private get detectorEnv(): DetectorEnv {
         return { now: this.deps.clock.now(), everyMs: this.deps.cfg["control.heartbeat"], random: Math.random };
     }
 
@@ -176,6 +176,7 @@
         const { cfg, clock, log, metrics, memory, signal } = deps;
         const listen = cfg["peers.listen"];
         const at = listen.lastIndexOf(":");
+        // Messages can arrive before the instance exists; they are dropped.
         const started: { peers?: Peers } = {};
         const mesh = await PeerMesh.listen({
             name: cfg["host.name"],
@@ -196,17 +197,17 @@
         if (memory) memory.onCutLink = link => mesh.cutOff(link);
         const peers = new Peers(deps, mesh, cfg["peers.seeds"]);
         started.peers = peers;
-        peers.startTimers();
+        peers.activate();
         return peers;
     }
 
-    private startTimers(): void {
+    private activate(): void {
         const { cfg, signal } = this.deps;
         this.deps.engines.setOwnerQuery(action =>
-            this.applyShareStep(shareAsk(this.shareState, action, this.endpoints, this.live, this.deps.clock.now()))
+            this.applyLoadStep(shareAsk(this.loadShare, action, this.endpoints, this.live, this.deps.clock.now()))
         );
         repeat(() => this.heartbeat(), () => cfg["control.heartbeat"], signal);
-        repeat(() => this.sendDueRound(), () => Math.min(tellEvery(this.live.length), TELL_OWNERS_MS), signal);
+        repeat(() => this.sendDueLoadRound(), () => Math.min(tellEvery(this.live.length), TELL_OWNERS_MS), signal);
     }
 
     /** The address at which peers reach this host. */
@@ -242,7 +243,7 @@
 
     /** Whether this host owns an endpoint, and so asks it for its load. */
     owns(endpoint: string): boolean {
-        const owner = endpointOwner(endpoint, this.endpoints.values().length, this.live, this.shareState.weights);
+        const owner = endpointOwner(endpoint, this.endpoints.values().length, this.live, this.loadShare.weights);
         return owner === this.deps.cfg["host.name"];
     }
 
@@ -274,7 +275,7 @@
 
     /** Tells peers at once that this host is leaving. */
     leave(): void {
-        this.applyDetectorStep(leaveHall(this.detector, this.env));
+        this.applyDetectorStep(leaveHall(this.detector, this.detectorEnv));
     }
 
     /** Announces the settings version in force to all live peers at once; called when this host has a new one. */
@@ -294,11 +295,11 @@
     }
 
     private heartbeat(): void {
-        this.applyDetectorStep(tick(this.detector, this.env));
+        this.applyDetectorStep(tick(this.detector, this.detectorEnv));
         const { metrics, follower, spread, cfg } = this.deps;
         const { live } = this;
         metrics.liveHosts.set(live.length);
-        this.logChanges(live);
+        this.logHostChanges(live);
         this.reach.look();
         if (!follower) spread.setWatching(watches(cfg["host.name"], live, this.weights));
     }
@@ -309,7 +310,7 @@
         for (const { to, message } of send) this.send(to, { ...message, ...progress });
     }
 
-    private logChanges(live: readonly string[]): void {
+    private logHostChanges(live: readonly string[]): void {
         const before = this.loggedLive;
         if (before.length === live.length && before.every((name, at) => name === live[at])) return;
         this.loggedLive = live;
@@ -354,10 +355,10 @@
             if (given) this.send(from.address, { kind: "give", ...given });
         },
         give: (_from, given) => this.deps.spread.take(given),
-        held: (from, message) => this.receiveShare(from, message),
-        others: (from, message) => this.receiveShare(from, message),
-        question: (from, message) => this.receiveShare(from, message),
-        answer: (from, message) => this.receiveShare(from, message),
+        held: (from, message) => this.receiveLoad(from, message),
+        others: (from, message) => this.receiveLoad(from, message),
+        question: (from, message) => this.receiveLoad(from, message),
+        answer: (from, message) => this.receiveLoad(from, message),
         storeWord: (from, message) => this.receiveStore(from, message),
         storeAsk: (from, message) => this.receiveStore(from, message),
         storeState: (from, message) => this.receiveStore(from, message),
@@ -370,7 +371,7 @@
     };
 
     private receiveDetector(from: PeerName, message: DetectorMessage & Progress): void {
-        this.applyDetectorStep(receive(this.detector, from.address, message, this.env));
+        this.applyDetectorStep(receive(this.detector, from.address, message, this.detectorEnv));
         const { settings, store, quarantine } = message;
         if (store) this.storeSharing?.hearStamp(from.name, store);
         if (quarantine !== undefined) this.quarantineSharing?.receiveDigest(from.name, quarantine);
@@ -385,8 +386,8 @@
     /** Whether to ask for a settings version now. A version is not requested from every peer that announces it. */
     private shouldRequestSettings(version: number): boolean {
         const now = this.deps.clock.now();
-        const asked = this.requestedVersion;
-        if (version <= asked.version && now - asked.at < SETTINGS_RETRY_MS) return false;
+        const lastRequest = this.requestedVersion;
+        if (version <= lastRequest.version && now - lastRequest.at < SETTINGS_RETRY_MS) return false;
         this.requestedVersion = { version, at: now };
         return true;
     }
@@ -395,38 +396,39 @@
         return this.deps.engines.view.endpoints;
     }
 
-    private receiveShare(from: PeerName, message: ShareMessage): void {
-        this.applyShareStep(
-            shareHear(this.shareState, from.name, message, this.deps.engines.view, this.deps.clock.now()),
+    private receiveLoad(from: PeerName, message: ShareMessage): void {
+        this.applyLoadStep(
+            shareHear(this.loadShare, from.name, message, this.deps.engines.view, this.deps.clock.now()),
         );
     }
 
     /** Applies a step of the load sharing: stores its state, sends its messages, passes its events to the scheduler. */
-    private applyShareStep({ state, send, events }: ShareStep): void {
-        this.shareState = state;
+    private applyLoadStep({ state, send, events }: ShareStep): void {
+        this.loadShare = state;
         for (const { to, message } of send) this.sendTo(to, message);
         this.deps.engines.applyEvents(events);
     }
 
     /** Shares this host's load at once, for urgent news such as a leaving endpoint, instead of in the next due round. */
     tellNow(): void {
-        this.sendRound(0);
+        this.sendLoadRound(0);
     }
 
     /** Runs a due round: this host reports its load to owners every time, and as an owner informs the other hosts less often. */
-    private sendDueRound(): void {
+    private sendDueLoadRound(): void {
         const every = tellEvery(this.live.length);
-        this.sendRound(every <= TELL_OWNERS_MS ? 0 : every);
+        this.sendLoadRound(every <= TELL_OWNERS_MS ? 0 : every);
     }
 
-    private sendRound(othersEveryMs: number): void {
+    /** @param othersEveryMs How often this host, as an owner, informs the other hosts; 0 to do so now. */
+    private sendLoadRound(othersEveryMs: number): void {
         const { live } = this;
         const unheard = unheardCandidates(this.membership).length;
         this.deps.plain.applyEvents([hostsEvent(this.deps.cfg["host.name"], live, unheard)]);
-        this.shareState = withWeights(this.shareState, this.weights);
-        const step = shareRound(this.shareState, this.endpoints, live, this.deps.clock.now(), othersEveryMs, unheard);
+        this.loadShare = withWeights(this.loadShare, this.weights);
+        const step = shareRound(this.loadShare, this.endpoints, live, this.deps.clock.now(), othersEveryMs, unheard);
         this.ownershipLog.update(step.events);
-        this.applyShareStep(step);
+        this.applyLoadStep(step);
     }
 
     private sendTo(name: string, message: PeerMessage): void {
