--- a/packages/host/src/endpoints/declare-endpoints.ts
+++ b/packages/host/src/endpoints/declare-endpoints.ts
@@ -1,5 +1,5 @@
 /**
- * Tells the decisions which endpoints there are, by the deployment and the registrations.
+ * Passes the endpoints that deployment and registry name to the schedulers.
  *
  * @module
  */
@@ -16,27 +16,32 @@
 import type { Placement } from "./placement.js";
 import { plainModel } from "./plain-model.js";
 
-/** What a cold endpoint bears beyond what its service declares: a multiple, and requests a second. */
-export interface ColdBounds {
+/** How far a cold endpoint may be loaded beyond the rate that its service declares. */
+export interface ColdLimits {
+    /** Factor on the declared rate. */
     readonly over: number;
+    /** Requests per second that are added to it. */
     readonly slack: number;
 }
 
-function coldOf(
+function coldCfgOf(
     registered: Registered,
     service: ServiceCfg | undefined,
     halls: HallOrders,
-    { over, slack }: ColdBounds,
+    { over, slack }: ColdLimits,
 ): ColdCfg | undefined {
     if (service?.coldPerS === undefined) return undefined;
     return { until: warmAt(registered, service, halls), perS: service.coldPerS * over + slack };
 }
 
-/** Declares engines and plain endpoints, each to its own decisions, and which of them are leaving by their registrations. */
+/**
+ * Declares engines and plain endpoints, each to the scheduler of its kind, and marks those that are leaving according to the
+ * registry.
+ */
 export function declareEndpoints(
     table: RouteTable,
     registry: Registry,
-    bounds: ColdBounds,
+    bounds: ColdLimits,
     engines: Placement,
     plain: Placement,
 ): void {
@@ -50,7 +55,7 @@
             models: [plainModel(entry.service)],
             memoryTokens: service?.engine?.memoryTokens ?? 0,
             isEvacuated: registry.halls.evacuated.has(entry.hall),
-            cold: coldOf(registered, service, registry.halls, bounds),
+            cold: coldCfgOf(registered, service, registry.halls, bounds),
         };
         (service?.engine ? declared.engines : declared.plain).push(endpoint);
     }
--- a/packages/host/src/endpoints/endpoint-connections.ts
+++ b/packages/host/src/endpoints/endpoint-connections.ts
@@ -1,15 +1,15 @@
 /**
- * Connections to endpoints, one call at a time on each, so that what becomes of a call is known from its own connection:
- * whether its first byte left, and whether its end was an orderly one.
+ * Connections to endpoints. Each carries one call at a time, so that the outcome of a call can be read from its own connection:
+ * whether its first byte was sent, and whether its answer ended in an orderly way.
  *
  * @module
  */
 import type { Clock, RawHeaders } from "@drumpaddle/protocol";
 import type { Socket } from "node:net";
 import { buildConnector, Client, type Dispatcher } from "undici";
-import { noteEnds } from "./connector.js";
+import { reportSocketEnds } from "./connector.js";
 
-/** One call as it is written to an endpoint. */
+/** One call as it is sent to an endpoint. */
 export interface OutgoingCall {
     readonly method: string;
     readonly path: string;
@@ -17,72 +17,80 @@
     readonly body: Buffer | undefined;
 }
 
-/** What a call's connection reports, in order; `onEnd` or `onBroken` comes last. */
+/** Receives the progress of one call, in the order of these methods; `onEnd` or `onBroken` is called last. */
 export interface ExchangeSink {
-    /** The first byte is about to leave. */
+    /** The first byte is about to be sent. */
     onSending(): void;
     onHead(status: number, headers: RawHeaders): void;
     onData(chunk: Buffer): void;
-    /** The answer is whole; `orderly` is false where its connection was reset, which ends no answer without a length. */
+    /**
+     * The answer has ended. `orderly` is false if the connection was reset: an answer without a length is then not known to be
+     * complete.
+     */
     onEnd(orderly: boolean): void;
     onBroken(err: Error): void;
 }
 
-/** A call that is on its way. */
+/** A call in progress. */
 export interface Exchange {
     pause(): void;
     resume(): void;
-    /** Bytes of the call that the endpoint has not taken yet, nor the system for it. */
+    /** Bytes of the call that have not been handed to the operating system yet. */
     readonly unsentBytes: number;
-    /** Keeps the connection for another call, once the answer is whole. */
-    release(keepMs: number | undefined): void;
-    /** Closes the connection, whatever is on it. */
+    /**
+     * Keeps the connection for another call, once the answer is complete.
+     *
+     * @param keepAliveMs For how long the endpoint said that it keeps idle connections open.
+     */
+    release(keepAliveMs: number | undefined): void;
+    /** Closes the connection, also in the middle of a call. */
     destroy(): void;
 }
 
-/** Told what becomes of connections to an address. */
-export interface ConnectionSigns {
-    /** A connection came up, or an answer began. */
+/** Listeners for events of connections, by the endpoint's address. */
+export interface ConnectionListeners {
+    /** A connection was established, or an answer began. */
     readonly onAnswered?: (address: string) => void;
-    /** No connection came up. */
+    /** A connection could not be established. */
     readonly onUnreachable?: (address: string) => void;
-    /** An endpoint ended a connection at rest before the time for which it said it would keep it. */
+    /** An endpoint closed an idle connection before the keep-alive time that it had announced. */
     readonly onEndedAtRest?: (address: string) => void;
 }
 
-/** Time for a connection to come up: the networks of a region answer within milliseconds. */
+/** Connections within a region are established within milliseconds. */
 const CONNECT_TIMEOUT_MS = 500;
-/** A connection that rested longer is not used again: endpoints may have forgotten it. */
-const LONGEST_REST_MS = 3_000;
-/** A connection is given up this long before the endpoint would close it. */
-const REST_MARGIN_MS = 1_000;
-/** Probes on silent connections begin after this. */
-const PROBE_AFTER_MS = 1_000;
-/** Undici's own limits on silence are off: a call's deadline ends it. */
+/** A connection that was idle for longer is not reused: the endpoint may have dropped it. */
+const MAX_IDLE_MS = 3_000;
+/** A connection is not reused within this time of the moment when the endpoint would close it. */
+const IDLE_MARGIN_MS = 1_000;
+/** TCP keep-alive probes begin after this much silence. */
+const TCP_PROBE_DELAY_MS = 1_000;
+/** Turns off undici's own timeouts for headers and body: the caller of {@link EndpointConnections.send} enforces the deadline. */
 const NO_TIMEOUT = 0;
 
 interface Connection {
     readonly client: Client;
-    /** Undefined until the connection is up. */
+    /** Undefined until the connection is established. */
     socket: Socket | undefined;
-    /** Whether its socket was reset or failed, as opposed to an orderly end. */
+    /** Whether its socket was reset or failed. */
     failed: boolean;
-    /** Whether its socket has ended: what is left of an answer is taken at once. */
+    /** Whether its socket has ended; the rest of an answer is then read at once, and `pause` has no effect. */
     ended: boolean;
+    /** Until when it may be reused, on the monotonic clock. */
     usableUntil: number;
-    /** Until when its endpoint said that it keeps the connection at rest; -Infinity where it did not say. */
-    keptUntil: number;
-    /** Reads on, where a call is on its way. */
-    readOn: () => void;
+    /** Until when the endpoint promised to keep it open while idle, less the margin; -Infinity if it made no promise. */
+    keepAliveUntil: number;
+    /** Resumes reading the answer of the call in progress, if there is one. */
+    resumeReading: () => void;
 }
 
 const connector = buildConnector({
     timeout: CONNECT_TIMEOUT_MS,
     keepAlive: true,
-    keepAliveInitialDelay: PROBE_AFTER_MS,
+    keepAliveInitialDelay: TCP_PROBE_DELAY_MS,
 });
 
-/** Connections of one host to all endpoints. */
+/** All connections of this host to endpoints. */
 export class EndpointConnections {
     private readonly idle = new Map<string, Connection[]>();
     private readonly all = new Set<Connection>();
@@ -91,20 +99,20 @@
         signal: AbortSignal,
         private readonly clock: Clock,
         private readonly onOpened: () => void,
-        private readonly signs: ConnectionSigns = {},
+        private readonly listeners: ConnectionListeners = {},
     ) {
         signal.addEventListener("abort", () => {
             for (const { client } of this.all) void client.destroy();
         }, { once: true });
     }
 
-    /** Open connections, used and idle. */
+    /** Number of connections, in use or idle. */
     get size(): number {
         return this.all.size;
     }
 
     /**
-     * Sends a call to an address.
+     * Sends a call to an endpoint's address, on an idle connection or a new one.
      *
      * @example
      * ```ts
@@ -114,7 +122,7 @@
     send(address: string, call: OutgoingCall, sink: ExchangeSink): Exchange {
         const connection = this.takeIdle(address) ?? this.open(address);
         const state: { controller?: Dispatcher.DispatchController; done: boolean } = { done: false };
-        const drop = (): void => this.drop(address, connection);
+        const drop = (): void => this.close(address, connection);
         connection.client.dispatch({
             method: call.method,
             path: call.path,
@@ -125,12 +133,12 @@
         }, {
             onRequestStart: controller => {
                 state.controller = controller;
-                connection.readOn = () => controller.resume();
+                connection.resumeReading = () => controller.resume();
                 sink.onSending();
             },
             onResponseStart: (controller, status) => {
-                this.signs.onAnswered?.(address);
-                sink.onHead(status, textOf(controller.rawHeaders));
+                this.listeners.onAnswered?.(address);
+                sink.onHead(status, headerTexts(controller.rawHeaders));
             },
             onResponseData: (_controller, chunk) => sink.onData(chunk),
             onResponseEnd: () => {
@@ -151,14 +159,14 @@
             get unsentBytes() {
                 return connection.socket?.writableLength ?? 0;
             },
-            release: keepMs => this.rest(address, connection, keepMs),
+            release: keepAliveMs => this.keepIdle(address, connection, keepAliveMs),
             destroy: drop,
         };
     }
 
     /** Closes all idle connections to an address. */
     forget(address: string): void {
-        for (const connection of this.idle.get(address) ?? []) this.drop(address, connection);
+        for (const connection of this.idle.get(address) ?? []) this.close(address, connection);
         this.idle.delete(address);
     }
 
@@ -168,80 +176,80 @@
     }
 
     private takeIdle(address: string): Connection | undefined {
-        const resting = this.idle.get(address);
+        const idle = this.idle.get(address);
         const now = this.clock.now();
         for (;;) {
-            const connection = resting?.pop();
+            const connection = idle?.pop();
             if (!connection) return undefined;
             if (!connection.client.destroyed && !connection.failed && now < connection.usableUntil) return connection;
-            this.drop(address, connection);
+            this.close(address, connection);
         }
     }
 
     private open(address: string): Connection {
-        const connectNotingEnds = noteEnds(connector, failed => {
+        const connectReportingEnds = reportSocketEnds(connector, failed => {
             connection.failed ||= failed;
             connection.ended = true;
-            // Undici's parser throws where it ends while it is paused, which nothing catches.
-            connection.readOn();
+            // Undici's parser throws an uncaught exception if the socket ends while the parser is paused.
+            connection.resumeReading();
         });
         const connection: Connection = {
             socket: undefined,
             failed: false,
             ended: false,
             usableUntil: 0,
-            keptUntil: -Infinity,
-            readOn: () => undefined,
+            keepAliveUntil: -Infinity,
+            resumeReading: () => undefined,
             client: new Client(`http://${address}`, {
                 pipelining: 1,
                 connect: (options, callback) =>
-                    connectNotingEnds(options, (...result) => {
+                    connectReportingEnds(options, (...result) => {
                         const [, socket] = result;
                         if (socket) {
                             connection.socket = socket;
-                            this.opened(address);
+                            this.reportConnected(address);
                         }
-                        // A call that was given up says nothing of the way.
-                        else if (!connection.client.destroyed) this.signs.onUnreachable?.(address);
+                        // If the call was cancelled, the failure says nothing about the network.
+                        else if (!connection.client.destroyed) this.listeners.onUnreachable?.(address);
                         callback(...result);
                     }),
             }),
         };
         connection.client.on("disconnect", () => {
-            const isAtRest = this.idle.get(address)?.includes(connection) === true;
-            if (isAtRest && this.clock.now() < connection.keptUntil) this.signs.onEndedAtRest?.(address);
-            this.drop(address, connection);
+            const isIdle = this.idle.get(address)?.includes(connection) === true;
+            if (isIdle && this.clock.now() < connection.keepAliveUntil) this.listeners.onEndedAtRest?.(address);
+            this.close(address, connection);
         });
         this.all.add(connection);
         return connection;
     }
 
-    private opened(address: string): void {
+    private reportConnected(address: string): void {
         this.onOpened();
-        this.signs.onAnswered?.(address);
+        this.listeners.onAnswered?.(address);
     }
 
-    private rest(address: string, connection: Connection, keepMs: number | undefined): void {
-        const restMs = Math.min(LONGEST_REST_MS, (keepMs ?? Infinity) - REST_MARGIN_MS);
-        if (restMs <= 0 || connection.failed || !this.all.has(connection)) return this.drop(address, connection);
+    private keepIdle(address: string, connection: Connection, keepAliveMs: number | undefined): void {
+        const idleMs = Math.min(MAX_IDLE_MS, (keepAliveMs ?? Infinity) - IDLE_MARGIN_MS);
+        if (idleMs <= 0 || connection.failed || !this.all.has(connection)) return this.close(address, connection);
         const now = this.clock.now();
-        connection.usableUntil = now + restMs;
-        connection.keptUntil = keepMs === undefined ? -Infinity : now + keepMs - REST_MARGIN_MS;
-        const resting = this.idle.get(address);
-        if (resting) resting.push(connection);
+        connection.usableUntil = now + idleMs;
+        connection.keepAliveUntil = keepAliveMs === undefined ? -Infinity : now + keepAliveMs - IDLE_MARGIN_MS;
+        const idle = this.idle.get(address);
+        if (idle) idle.push(connection);
         else this.idle.set(address, [connection]);
     }
 
-    private drop(address: string, connection: Connection): void {
+    private close(address: string, connection: Connection): void {
         if (!this.all.delete(connection)) return;
-        const resting = this.idle.get(address);
-        if (resting?.includes(connection)) this.idle.set(address, resting.filter(other => other !== connection));
+        const idle = this.idle.get(address);
+        if (idle?.includes(connection)) this.idle.set(address, idle.filter(other => other !== connection));
         void connection.client.destroy();
     }
 }
 
-/** Headers as they came; the table form is never used for HTTP/1.1. */
-function textOf(headers: Dispatcher.DispatchController["rawHeaders"]): string[] {
+/** Raw headers as strings. Undici's object form of raw headers does not occur with HTTP/1.1. */
+function headerTexts(headers: Dispatcher.DispatchController["rawHeaders"]): string[] {
     if (!Array.isArray(headers)) return [];
     return headers.map(text => typeof text === "string" ? text : text.toString("latin1"));
 }
--- a/packages/host/src/endpoints/life-probe.ts
+++ b/packages/host/src/endpoints/endpoint-probe.ts
@@ -1,5 +1,5 @@
 /**
- * Asks an endpoint whether the life that ran a call is still there.
+ * Probes an endpoint: is the incarnation that ran a call still alive?
  *
  * @module
  */
@@ -8,27 +8,29 @@
 import { connect } from "node:net";
 import { callEndpoint } from "./call-endpoint.js";
 
-/** What an endpoint's answer shows of a life. */
+/** What a probe shows about an incarnation. */
 export type LifeSign =
-    /** `saysBorn`: it tells when its life began, so that it is surely the one that is known. */
-    | { readonly kind: "lives"; readonly saysBorn: boolean }
+    /** `reportsBirth`: the answer also says when the incarnation began, so that it certainly came from the known one. */
+    | { readonly kind: "lives"; readonly reportsBirth: boolean }
+    /** The connection was refused. */
     | { readonly kind: "refused" }
-    /** A later life answered. */
+    /** A later incarnation answered. */
     | { readonly kind: "laterLife"; readonly life: Life }
+    /** The probe got no usable answer. */
     | { readonly kind: "unknown"; readonly detail: string };
 
-/** Endpoints of a region refuse a connection within 10 ms; a cut one is not waited for. */
-const ANSWER_MS = 250;
-const REFUSED = "ECONNREFUSED";
+/** Endpoints of the same region refuse a connection within 10 ms; the host does not wait for one behind a partition. */
+const PROBE_TIMEOUT_MS = 250;
+const REFUSED_CODE = "ECONNREFUSED";
 
 /**
- * Asks by the endpoint's own report, which may tell when its life began.
+ * Probes by the endpoint's status call, whose answer may say when its incarnation began.
  *
  * @param address `ip:port`
  *
  * @example
  * ```ts
- * (await probeByReport(wire, "10.0.0.9:8080", { id: "i-7", born: 1700 }, signal)).kind; // "lives"
+ * (await probeByStatusCall(wire, "10.0.0.9:8080", { id: "i-7", born: 1700 }, signal)).kind; // "lives"
  * ```
  */
 export async function probeByReport(
@@ -38,25 +40,26 @@
     signal: AbortSignal,
 ): Promise<LifeSign> {
     try {
-        const { status, body } = await callEndpoint(address, wire.stayCall(), ANSWER_MS, signal);
+        const { status, body } = await callEndpoint(address, wire.stayCall(), PROBE_TIMEOUT_MS, signal);
         const stay = wire.readStay(status, body);
         const life = { id: known.id, born: stay.kind === "told" ? stay.born : undefined };
         if (compareLives(life, known) === LifeOrder.Later) return { kind: "laterLife", life };
-        return { kind: "lives", saysBorn: life.born !== undefined };
+        return { kind: "lives", reportsBirth: life.born !== undefined };
     }
     catch (err) {
-        return signOf(err);
+        return resultOfError(err);
     }
 }
 
 /**
- * Asks by a connection alone, where endpoints tell nothing of their lives: one that has started again meanwhile passes for the same.
+ * Probes by opening a connection, for endpoints that do not report their incarnations. An endpoint that has restarted in the
+ * meantime passes as alive.
  *
- * @param url Where the endpoint is reached.
+ * @param url URL of the endpoint.
  *
  * @example
  * ```ts
- * (await probeByConnecting("http://10.0.0.9:8080")).kind; // "refused" where nobody listens
+ * (await probeByConnecting("http://10.0.0.9:8080")).kind; // "refused" if nothing listens there
  * ```
  */
 export function probeByConnecting(url: string): Promise<LifeSign> {
@@ -65,19 +68,19 @@
         const socket = connect({
             host: hostname.replace(/^\[|\]$/g, ""),
             port: Number(port || (protocol === "https:" ? 443 : 80)),
-            timeout: ANSWER_MS,
+            timeout: PROBE_TIMEOUT_MS,
         });
-        const end = (sign: LifeSign): void => {
+        const finish = (sign: LifeSign): void => {
             socket.destroy();
             resolve(sign);
         };
-        socket.once("connect", () => end({ kind: "lives", saysBorn: false }));
-        socket.once("timeout", () => end({ kind: "unknown", detail: `no connection in ${ANSWER_MS} ms` }));
-        socket.once("error", err => end(signOf(err)));
+        socket.once("connect", () => finish({ kind: "lives", reportsBirth: false }));
+        socket.once("timeout", () => finish({ kind: "unknown", detail: `no connection in ${PROBE_TIMEOUT_MS} ms` }));
+        socket.once("error", err => finish(resultOfError(err)));
     });
 }
 
-function signOf(err: unknown): LifeSign {
-    const isRefused = err instanceof Error && "code" in err && err.code === REFUSED;
+function resultOfError(err: unknown): LifeSign {
+    const isRefused = err instanceof Error && "code" in err && err.code === REFUSED_CODE;
     return isRefused ? { kind: "refused" } : { kind: "unknown", detail: errText(err) };
 }
--- a/packages/host/src/endpoints/placement.ts
+++ b/packages/host/src/endpoints/placement.ts
@@ -1,5 +1,6 @@
 /**
- * The shell around the decisions on where requests run: keeps their state, hands in time, carries out what they ask.
+ * Drives the scheduler, which decides where requests run. The scheduler is a pure function; a {@link Placement} holds its state,
+ * passes it events and the time, and carries out its actions.
  *
  * @module
  */
@@ -27,28 +28,31 @@
 } from "@drumpaddle/policy";
 import type { Clock } from "@drumpaddle/protocol";
 
-/** Told what was decided for a request. */
+/** Receives the decision on one request. */
 export interface Placed {
+    /** @param backUp Endpoint that is to keep a copy of the request, if there is one. */
     onDispatch(endpoint: string, priority: number, backUp: string | undefined): void;
     onRefuse(reason: RefuseReason, detail: string, retryAfterMs: number): void;
 }
 
-/** A question to an endpoint's owner. */
-export type AskAction = Extract<SchedulerAction, { kind: "ask" }>;
+/** The scheduler's action that asks an endpoint's owner for advice. */
+export type OwnerQueryAction = Extract<SchedulerAction, { kind: "ask" }>;
 
-/** A copy to be made. */
+/** The scheduler's action that copies a running request to another endpoint. */
 export type CopyAction = Extract<SchedulerAction, { kind: "copy" }>;
 
-/** Waiting requests are looked at this often even when nothing happens. */
+/** Interval of the scheduler's ticks while requests wait. */
 const TICK_MS = 50;
 
-/** Decisions of one host for one kind of service. */
+/** The scheduler of one host for one kind of service, with its timers and listeners. */
 export class Placement {
     private state: SchedulerState;
-    private readonly asking = new Map<string, Placed>();
+    /** Listeners of the jobs that await a decision, by job. */
+    private readonly listeners = new Map<string, Placed>();
     private readonly timer: NodeJS.Timeout;
-    private readonly evacuations = new Map<string, (plan: CopyAction | undefined) => void>();
-    private onAsk: (action: AskAction) => void = () => undefined;
+    /** Resolvers of the evacuations that await a plan, by job. */
+    private readonly pendingEvacuations = new Map<string, (plan: CopyAction | undefined) => void>();
+    private queryOwner: (action: OwnerQueryAction) => void = () => undefined;
     private onLeaving: () => void = () => undefined;
 
     constructor(
@@ -66,7 +70,7 @@
         signal.addEventListener("abort", () => clearInterval(this.timer), { once: true });
     }
 
-    /** The decisions' state, to be read only. */
+    /** The scheduler's state, read-only. */
     get view(): SchedulerState {
         return this.state;
     }
@@ -75,7 +79,7 @@
         this.handle({ kind: "endpoints", endpoints });
     }
 
-    /** Takes in a source's word on whether an endpoint is leaving; true if it was news. */
+    /** Records whether an endpoint is leaving according to one source; returns whether that source's statement changed. */
     setLeaving(endpoint: string, source: LeavingSource, leaving: boolean): boolean {
         const known = this.state.endpoints.get(endpoint);
         if (!known || known.leavingBy.includes(source) === leaving) return false;
@@ -87,46 +91,55 @@
         this.handle({ kind: "report", endpoint, report });
     }
 
-    /** Who carries questions to owners; until then they go unanswered and are decided alone. */
-    setAsker(onAsk: (action: AskAction) => void): void {
-        this.onAsk = onAsk;
+    /** Sets the function that sends queries to owners. Without it queries stay unanswered, and the scheduler decides alone. */
+    setOwnerQuery(onAsk: (action: OwnerQueryAction) => void): void {
+        this.queryOwner = onAsk;
     }
 
-    /** Who is told when an endpoint is leaving, by whatever source. */
+    /** Sets the function that is called when an endpoint is found to be leaving, by any source. */
     setLeavingListener(onLeaving: () => void): void {
         this.onLeaving = onLeaving;
     }
 
-    /** Asks for an endpoint; the answer comes at once or later, once. */
+    /**
+     * Requests an endpoint for a job. The listener is called exactly once, at once or later.
+     *
+     * @param avoid Endpoints that must not be chosen.
+     * @param retry Whether an earlier attempt of the job has failed.
+     */
     submit(job: Job, avoid: readonly string[], retry: boolean, placed: Placed): void {
-        this.asking.set(job.id, placed);
+        this.listeners.set(job.id, placed);
         this.handle({ kind: "arrive", job, avoid, retry });
     }
 
-    /** Asks for the endpoint that keeps a request's copy; the answer comes at once. */
+    /**
+     * Requests the endpoint that holds the request's copy, to continue there. The listener is called at once.
+     *
+     * @param failed Whether the loss of the running attempt is held against its endpoint.
+     */
     continueOn(job: string, failed: boolean, placed: Placed): void {
-        // Its endpoint has ended: there is nothing left to copy from.
+        // Its endpoint is gone, so there is nothing left to copy from.
         this.resolveEvacuation(job, undefined);
-        this.asking.set(job, placed);
+        this.listeners.set(job, placed);
         this.handle({ kind: "continue", job, failed });
     }
 
-    /** Where a request whose endpoint is leaving is to be copied to; undefined where no endpoint has room. */
+    /** Where to copy a request whose endpoint is leaving; undefined if no endpoint has room. */
     planEvacuation(job: string): Promise<CopyAction | undefined> {
         return new Promise(resolve => {
-            this.evacuations.set(job, resolve);
+            this.pendingEvacuations.set(job, resolve);
             this.handle({ kind: "evacuate", job });
         });
     }
 
-    /** Whether a running request could go on from a copy now. */
+    /** Whether a running request could continue from a copy now. */
     canGoOn(job: string): boolean {
         return canGoOn(this.state, job, this.clock.now());
     }
 
     /**
-     * Whether a question of this host's own may go to an endpoint now: not while it wants rest; counted where it names a limit,
-     * which is for all that it is sent.
+     * Whether this host may send a control call to an endpoint now: not while the endpoint asks for a pause. If the endpoint states
+     * a limit, the call counts against it, because the limit covers everything that it is sent.
      */
     mayAsk(endpoint: string): boolean {
         const view = this.state.endpoints.get(endpoint);
@@ -138,52 +151,56 @@
         return true;
     }
 
-    /** How slow an endpoint is taken to be, as a factor of the mean of its kind; undefined where it is not known to differ. */
+    /** Estimated slowness of an endpoint, as a factor of the mean of its kind; undefined if it is not known to differ from it. */
     slownessOf(endpoint: string): number | undefined {
         const view = this.state.endpoints.get(endpoint);
         const log = view ? knownSpeed(this.state, view, this.clock.now()).log : 0;
         return log === 0 ? undefined : Number(Math.exp(log).toFixed(2));
     }
 
-    /** The copy of a request could not be made. */
+    /** The copy of a request failed. */
     copyLost(job: string): void {
         this.handle({ kind: "copyLost", job });
     }
 
-    /** No connection to an endpoint came up. */
+    /** No connection to an endpoint could be established. */
     unreachable(endpoint: string): void {
         this.handle({ kind: "unreachable", endpoint });
     }
 
-    /** An endpoint has said something of itself. */
+    /** An endpoint has stated its limit, or that it has none. */
     said(endpoint: string, said: Said): void {
         this.handle({ kind: "said", endpoint, said });
     }
 
-    /** An endpoint wants nothing from this host for a while. */
-    rest(endpoint: string, forMs: number): void {
+    /** An endpoint asked this host to send it nothing for a while. */
+    pauseFor(endpoint: string, forMs: number): void {
         this.handle({ kind: "rest", endpoint, until: this.clock.now() + forMs });
     }
 
-    /** An endpoint may have begun a later life, for so long; not any more where nothing is given. */
-    doubt(endpoint: string, forMs: number | undefined): void {
+    /**
+     * Treats an endpoint as possibly restarted, and therefore as cold.
+     *
+     * @param forMs How long the suspicion holds; `undefined` withdraws it.
+     */
+    suspectRestart(endpoint: string, forMs: number | undefined): void {
         const until = forMs === undefined ? undefined : this.clock.now() + forMs;
         this.handle({ kind: "doubt", endpoint, until });
     }
 
-    /** Whether an endpoint is bounded while it is cold. */
-    boundsCold(endpoint: string): boolean {
+    /** Whether the load of an endpoint is limited while it is cold. */
+    limitsWhileCold(endpoint: string): boolean {
         return this.state.endpoints.get(endpoint)?.cfg.cold !== undefined;
     }
 
-    /** An endpoint's life is over, and its copies with it. */
+    /** An endpoint's incarnation has ended, and its copies with it. */
     endLife(endpoint: string): void {
         this.handle({ kind: "lifeOver", endpoint });
     }
 
-    /** Takes back a request that waits. */
+    /** Withdraws a waiting request. */
     withdraw(job: string): void {
-        this.asking.delete(job);
+        this.listeners.delete(job);
         this.handle({ kind: "withdraw", job });
     }
 
@@ -197,41 +214,41 @@
     }
 
     private resolveEvacuation(job: string, plan: CopyAction | undefined): void {
-        const resolve = this.evacuations.get(job);
-        this.evacuations.delete(job);
+        const resolve = this.pendingEvacuations.get(job);
+        this.pendingEvacuations.delete(job);
         resolve?.(plan);
     }
 
-    /** Takes in what the hall's hosts know of each other. */
-    tell(events: readonly SchedulerEvent[]): void {
+    /** Passes events to the scheduler that follow from what hosts tell each other. */
+    applyEvents(events: readonly SchedulerEvent[]): void {
         for (const event of events) this.handle(event);
     }
 
     private handle(event: SchedulerEvent): void {
         const { state, actions } = decide(this.state, event, this.clock.now());
-        const news = event.kind === "leaving" && event.leaving && state !== this.state;
+        const isLeavingNews = event.kind === "leaving" && event.leaving && state !== this.state;
         this.state = state;
         for (const action of actions) this.carryOut(action);
-        if (news) this.onLeaving();
+        if (isLeavingNews) this.onLeaving();
     }
 
     private carryOut(action: SchedulerAction): void {
         if (action.kind === "ask") {
-            this.onAsk(action);
+            this.queryOwner(action);
             return;
         }
         if (action.kind === "copy" || action.kind === "noCopy") {
             this.resolveEvacuation(action.job, action.kind === "copy" ? action : undefined);
             return;
         }
-        const placed = this.asking.get(action.job);
-        this.asking.delete(action.job);
-        if (action.kind === "dispatch") placed?.onDispatch(action.endpoint, action.priority, action.backUp);
-        else placed?.onRefuse(action.reason, action.detail, action.retryAfterMs);
+        const listener = this.listeners.get(action.job);
+        this.listeners.delete(action.job);
+        if (action.kind === "dispatch") listener?.onDispatch(action.endpoint, action.priority, action.backUp);
+        else listener?.onRefuse(action.reason, action.detail, action.retryAfterMs);
     }
 }
 
-/** Whether an endpoint is known to be leaving, or takes no new work for other reasons that were told. */
+/** Whether an endpoint is leaving, is no longer declared, or is declared without models and so takes no new work. */
 export function isLeaving(incarnation: string, ...placements: readonly Placement[]): boolean {
     const views = placements.flatMap(({ view }) => view.endpoints.get(incarnation) ?? []);
     return views.every(({ leavingBy, cfg }) => leavingBy.length > 0 || cfg.models.length === 0);
--- a/packages/host/src/peers/peer-messages.ts
+++ b/packages/host/src/peers/peer-messages.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between hosts: their types, and the shapes that are checked before any of them is taken.
+ * Messages between hosts: their types, and the schemas against which received messages are validated.
  *
  * @module
  */
@@ -19,32 +19,32 @@
 import { TypeCompiler } from "@sinclair/typebox/compiler";
 import type { StorePeerMessage, StoreStamp } from "../store/store-messages.js";
 
-const News = Type.Object({
+const MemberShape = Type.Object({
     name: Type.String(),
     hall: Type.String(),
     scope: Type.String(),
     address: Type.String(),
     start: Type.Number(),
-    // Any number: one host's wrong word must not cost the news of others that travels with it.
+    // Any number is valid: one host's implausible capacity must not discard the news of other hosts in the same message.
     capacity: Type.Optional(Type.Number()),
     incarnation: Type.Integer({ minimum: 0 }),
     status: Type.Union([Type.Literal("alive"), Type.Literal("suspect"), Type.Literal("dead")]),
     leaving: Type.Boolean(),
     forMs: Type.Number({ minimum: 0 }),
 });
-const ListOfNews = Type.Array(News);
-const Stamp = Type.Object({
+const MemberList = Type.Array(MemberShape);
+const SenderShape = Type.Object({
     name: Type.String(),
     start: Type.Number(),
     incarnation: Type.Integer({ minimum: 0 }),
     leaving: Type.Optional(Type.Literal(true)),
 });
 const Revision = Type.Integer({ minimum: 0 });
-/** A point in the store's history. */
-const Position = { epoch: Type.Integer({ minimum: 0 }), revision: Revision };
-/** How far a host is with what the store tells; below 0 where it knows nothing. */
-const StoreProgress = { epoch: Type.Integer(), revision: Type.Integer(), version: Type.Integer() };
-/** How far the sender is: its settings' version, or what it knows by the store's word. */
+/** A position in the store's history. */
+const PositionFields = { epoch: Type.Integer({ minimum: 0 }), revision: Revision };
+/** The store position and deployment version that a host has reached; negative if it knows none. */
+const StoreProgressFields = { epoch: Type.Integer(), revision: Type.Integer(), version: Type.Integer() };
+/** Schema fields of {@link Progress}. */
 const Progress = {
     settings: Type.Optional(Type.Object({ version: Type.Integer(), hash: Type.String() })),
     store: Type.Optional(
@@ -52,16 +52,16 @@
     ),
     quarantine: Type.Optional(Type.Integer()),
 };
-const SignOfLife = Type.Object({
-    self: Stamp,
-    news: Type.Optional(ListOfNews),
+const ProbeShape = Type.Object({
+    self: SenderShape,
+    news: Type.Optional(MemberList),
     for: Type.Optional(Type.String()),
     ...Progress,
 });
-const Sum = Type.Number({ minimum: 0 });
-const ShownShape = Type.Array(Sum, { minItems: SHOWN_WORDS, maxItems: SHOWN_WORDS });
-const SpeedShape = Type.Tuple([Type.Number(), Sum, Sum]);
-const HeldShape = Type.Object({
+const NonNegative = Type.Number({ minimum: 0 });
+const ShownShape = Type.Array(NonNegative, { minItems: SHOWN_WORDS, maxItems: SHOWN_WORDS });
+const SpeedShape = Type.Tuple([Type.Number(), NonNegative, NonNegative]);
+const LoadShape = Type.Object({
     endpoint: Type.String(),
     streams: Type.Integer({ minimum: 0 }),
     unread: Type.Number({ minimum: 0 }),
@@ -71,13 +71,13 @@
     shown: Type.Optional(ShownShape),
     speed: Type.Optional(SpeedShape),
 });
-const Change = Type.Object({
+const ChangeShape = Type.Object({
     key: Type.String(),
     value: Type.Optional(Type.String()),
     modRevision: Revision,
     unreadable: Type.Optional(Type.String()),
 });
-/** Names of requests, lives and attempts, as a peer may write them. */
+/** Names of requests, endpoints and their incarnations, software and attempts. */
 const Name = Type.String({ minLength: 1, maxLength: 256 });
 const Age = Type.Number({ minimum: 0 });
 const EndingShape = Type.Object({
@@ -90,44 +90,44 @@
     ),
 });
 const TrialShape = Type.Object({ attempt: Name, fingerprint: Name, agoMs: Age, isOver: Type.Boolean() });
-const WordShape = Type.Object({
+const NoticeShape = Type.Object({
     endpoint: Name,
     leaves: Type.Boolean(),
     limit: Type.Optional(Type.Object({ perS: Type.Optional(Type.Number({ minimum: 0 })), agoMs: Age })),
 });
-/** Endings, and as many suspects that run, or words of endpoints, that one message may tell of. */
-export const MOST_TOLD = 256;
-const Texts = Type.Record(Type.String(), Type.String());
+/** Most entries that one list of crashes, trials or notices in a message may have. */
+export const MAX_ITEMS = 256;
+const TextRecord = Type.Record(Type.String(), Type.String());
 
-/** Shape of each message; one that is not so is dropped and counted. */
+/** Schema of each message, by kind. A message that does not match is dropped and logged. */
 const SHAPES = {
-    probe: SignOfLife,
-    ack: SignOfLife,
+    probe: ProbeShape,
+    ack: ProbeShape,
     check: Type.Object({ name: Type.String(), ...Progress }),
     vouch: Type.Object({ name: Type.String(), ...Progress }),
-    gossip: Type.Object({ news: ListOfNews, ...Progress }),
+    gossip: Type.Object({ news: MemberList, ...Progress }),
     sync: Type.Object({
-        self: News,
+        self: MemberShape,
         digest: Type.Number(),
         known: Type.Optional(Type.Array(Type.Number())),
         left: Type.Integer(),
         ...Progress,
     }),
-    members: Type.Object({ news: ListOfNews, ...Progress }),
-    ask: Type.Object({ have: Texts }),
+    members: Type.Object({ news: MemberList, ...Progress }),
+    ask: Type.Object({ have: TextRecord }),
     give: Type.Object({
-        head: Type.Object({ version: Type.Integer(), parts: Texts, hash: Type.String() }),
-        parts: Texts,
+        head: Type.Object({ version: Type.Integer(), parts: TextRecord, hash: Type.String() }),
+        parts: TextRecord,
     }),
-    held: Type.Object({ held: Type.Array(HeldShape) }),
+    held: Type.Object({ held: Type.Array(LoadShape) }),
     others: Type.Object({
-        others: Type.Array(HeldShape),
+        others: Type.Array(LoadShape),
         owned: Type.Array(Type.String()),
         leaving: Type.Array(Type.String()),
     }),
     question: Type.Object({
         job: Type.String(),
-        stream: HeldShape,
+        stream: LoadShape,
         demand: Type.Object({
             model: Type.String(),
             promptTokens: Type.Number({ minimum: 0 }),
@@ -155,15 +155,15 @@
         unread: Type.Optional(Type.Number({ minimum: 0 })),
     }),
     storeWord: Type.Object({
-        ...Position,
+        ...PositionFields,
         hears: Type.Boolean(),
         after: Revision,
-        changes: Type.Array(Change),
+        changes: Type.Array(ChangeShape),
     }),
     lifeMet: Type.Object({ id: Type.String({ minLength: 1 }), born: Type.Integer() }),
-    storeAsk: Type.Object(StoreProgress),
+    storeAsk: Type.Object(StoreProgressFields),
     storeState: Type.Object({
-        ...Position,
+        ...PositionFields,
         ageMs: Type.Number({ minimum: 0 }),
         deployment: Type.Optional(Type.String()),
         endpoints: Type.String(),
@@ -171,20 +171,20 @@
     }),
     quarantine: Type.Object({
         isAll: Type.Boolean(),
-        endings: Type.Array(EndingShape, { maxItems: MOST_TOLD }),
-        trials: Type.Array(TrialShape, { maxItems: MOST_TOLD }),
+        endings: Type.Array(EndingShape, { maxItems: MAX_ITEMS }),
+        trials: Type.Array(TrialShape, { maxItems: MAX_ITEMS }),
     }),
     quarantineAsk: Type.Object({}),
-    said: Type.Object({ words: Type.Array(WordShape, { maxItems: MOST_TOLD }), isAll: Type.Boolean() }),
+    said: Type.Object({ words: Type.Array(NoticeShape, { maxItems: MAX_ITEMS }), isAll: Type.Boolean() }),
     saidAsk: Type.Object({}),
     unreached: Type.Object({ endpoint: Name, agoMs: Age }),
 } as const;
 
-/** Compiled once: messages come by the hundred each second. */
+/** Compiled once, because hundreds of messages arrive each second. */
 const CHECKS = Object.fromEntries(Object.entries(SHAPES).map(([kind, shape]) => [kind, TypeCompiler.Compile(shape)]));
 
 /**
- * Whether a frame is a message of a known kind and shape.
+ * Whether a frame is a message of a known kind that matches its schema.
  *
  * @example
  * ```ts
@@ -202,35 +202,38 @@
     | { readonly kind: "give" } & SettingsGive
     | StorePeerMessage
     | QuarantinePeerMessage
-    | WordPeerMessage
+    | NoticePeerMessage
     | ReachPeerMessage
     | ShareMessage;
 
-/** Told within a hall: no connection to an endpoint of another hall came up. */
+/** Sent within a hall: a connection to an endpoint of another hall could not be established. */
 export interface ReachPeerMessage {
     readonly kind: "unreached";
     readonly endpoint: string;
     readonly agoMs: number;
 }
 
-/** Messages by which hosts share what endpoints say of themselves. */
-export type WordPeerMessage =
-    /** `isAll`: the answer to a question for all that the sender knows. */
+/** Messages by which hosts share the notices of endpoints. */
+export type NoticePeerMessage =
+    /** `isAll`: the answer to `saidAsk`, with all notices that the sender knows. */
     | { readonly kind: "said"; readonly words: readonly EndpointWord[]; readonly isAll: boolean }
-    /** Asks for all that a peer knows. */
+    /** Asks a peer for all notices that it knows. */
     | { readonly kind: "saidAsk" };
 
-/** Messages by which hosts share which requests end endpoints. */
+/** Messages by which hosts share which requests crash endpoints. */
 export type QuarantinePeerMessage =
-    /** `isAll`: all that the sender knows, and not only what is new. */
+    /** `isAll`: everything that the sender knows, not only news. */
     | { readonly kind: "quarantine"; readonly isAll: boolean } & QuarantineNews
-    /** Asks for all that a peer knows. */
+    /** Asks a peer for everything that it knows. */
     | { readonly kind: "quarantineAsk" };
 
-/** How far the sender of a message of the failure detector is. */
+/**
+ * How far the sender's knowledge has got, added to messages of the failure detector: its position in the store if it learns
+ * settings from there, otherwise its settings' version.
+ */
 export interface Progress {
     readonly settings?: VersionNews;
     readonly store?: StoreStamp;
-    /** A number by which hosts see whether they know of the same endings. */
+    /** A digest by which hosts see whether they know the same crashes. */
     readonly quarantine?: number;
 }
--- a/packages/host/src/peers/peers.ts
+++ b/packages/host/src/peers/peers.ts
@@ -1,6 +1,7 @@
 /**
- * What this host exchanges with its peers: signs of life, versions of the settings, and what each holds on shared endpoints.
- * The decisions are those of the package `hall`; this is the shell that sends, receives and keeps time.
+ * Exchanges with peers: heartbeats of the failure detector, settings, changes of the store, and the load that each host has on shared
+ * endpoints. The package `hall` decides what to send, as pure functions; this module holds their state, sends and receives, and runs
+ * the timers.
  *
  * @module
  */
@@ -45,7 +46,7 @@
 import { type Clock, type FrameMessage, type PeerError, PeerMesh, type PeerName } from "@drumpaddle/protocol";
 import type { Life } from "@drumpaddle/routes";
 import { randomInt } from "node:crypto";
-import type { EndpointWords } from "../endpoints/endpoint-words.js";
+import type { EndpointWords } from "../endpoints/endpoint-notices.js";
 import type { Placement } from "../endpoints/placement.js";
 import type { RequestGuard } from "../endpoints/request-guard.js";
 import type { HostCfg } from "../runtime/config.js";
@@ -56,71 +57,71 @@
 import type { StorePeerMessage } from "../store/store-messages.js";
 import { type StoreFollower, StoreSharing } from "../store/store-sharing.js";
 import type { Spread } from "../store/version-exchange.js";
-import { OwnedLog } from "./owned-log.js";
+import { NoticeSharing } from "./notice-sharing.js";
+import { OwnershipLog } from "./ownership-log.js";
 import { isPeerMessage, type PeerMessage, type Progress } from "./peer-messages.js";
 import { QuarantineSharing } from "./quarantine-sharing.js";
 import { ReachSharing } from "./reach-sharing.js";
-import { WordSharing } from "./word-sharing.js";
 
 type Handlers = {
     readonly [K in PeerMessage["kind"]]: (from: PeerName, message: Extract<PeerMessage, { kind: K }>) => void;
 };
 
-/** What peers need of a daemon. */
+/** Dependencies of {@link Peers}. */
 export interface PeersDeps {
     readonly cfg: HostCfg;
     readonly clock: Clock;
     readonly log: Log;
     readonly metrics: Metrics;
     readonly engines: Placement;
-    /** Decisions that hosts do not share, but that depend on how many hosts there are. */
+    /** The scheduler of plain services: hosts share no load for it, but it depends on the number of hosts. */
     readonly plain: Placement;
     readonly spread: Spread;
-    /** Where it is given, two hosts of a hall watch the store for all. */
+    /** If given, two hosts of each hall watch the store on behalf of all. */
     readonly follower?: StoreFollower;
-    /** Where it is given, hosts share which requests end endpoints. */
-    readonly guard?: Pick<RequestGuard, "all" | "digest" | "hear">;
-    /** Where it is given, hosts share what endpoints say of themselves. */
-    readonly words?: Pick<EndpointWords, "all" | "hear">;
-    /** Where it is given, what waits for peers is a part of its budget. */
+    /** If given, hosts share which requests crash endpoints. */
+    readonly guard?: Pick<RequestGuard, "all" | "digest" | "receive">;
+    /** If given, hosts share the notices of endpoints. */
+    readonly words?: Pick<EndpointWords, "all" | "receive">;
+    /** If given, messages that wait to be sent to peers count against its budget. */
     readonly memory?: HostMemory;
     readonly signal: AbortSignal;
 }
 
-/** Many peers tell of a new version at once: another of them is asked only after this. */
-const ASK_AGAIN_MS = 500;
-/** Starts of a host are told apart by a number of this range. */
-const STARTS = 2 ** 32;
+/** Many peers announce a new version at once; the host asks a second one for it only after this time. */
+const SETTINGS_RETRY_MS = 500;
+/** Range of the random number that tells one start of a host from another. */
+const START_RANGE = 2 ** 32;
 
-/** This host's part in its hall. */
+/** This host as a member of its hall. */
 export class Peers {
     private detector: Detector;
-    private share: ShareState;
-    private readonly sharing: StoreSharing | undefined;
-    private readonly quarantine: QuarantineSharing | undefined;
-    private readonly words: WordSharing | undefined;
-    /** Which other halls can be reached. */
+    private loadShare: ShareState;
+    private readonly storeSharing: StoreSharing | undefined;
+    private readonly quarantineSharing: QuarantineSharing | undefined;
+    private readonly noticeSharing: NoticeSharing | undefined;
+    /** Tracks which other halls can be reached. */
     readonly reach: ReachSharing;
-    private readonly ownedLog: OwnedLog;
-    /** The live hosts that the log last told of. */
-    private logged: readonly string[] = [];
-    /** The version that a peer was asked for last, and when. */
-    private askedVersion = { version: -Infinity, at: -Infinity };
-
-    private constructor(private readonly host: PeersDeps, private readonly mesh: PeerMesh, seeds: readonly string[]) {
-        const { "host.name": name, "host.hall": hall, "peers.scope": scope = hall } = host.cfg;
-        this.share = createShare(name);
-        this.ownedLog = new OwnedLog(host.log, host.metrics);
-        const start = randomInt(STARTS);
-        const capacity = ownCapacity(host.cfg);
-        const told = capacity === undefined ? {} : { capacity };
-        this.detector = createDetector({ name, hall, scope, address: mesh.at, start, ...told }, seeds);
-        this.sharing = host.follower && new StoreSharing({
+    private readonly ownershipLog: OwnershipLog;
+    /** The live hosts at the last log line about them. */
+    private loggedLive: readonly string[] = [];
+    /** The settings version that a peer was last asked for, and when. */
+    private requestedVersion = { version: -Infinity, at: -Infinity };
+
+    private constructor(private readonly deps: PeersDeps, private readonly mesh: PeerMesh, seeds: readonly string[]) {
+        const { "host.name": name, "host.hall": hall, "peers.scope": scope = hall } = deps.cfg;
+        this.loadShare = createShare(name);
+        this.ownershipLog = new OwnershipLog(deps.log, deps.metrics);
+        const start = randomInt(START_RANGE);
+        const capacity = ownCapacity(deps.cfg);
+        const capacityField = capacity === undefined ? {} : { capacity };
+        this.detector = createDetector({ name, hall, scope, address: mesh.at, start, ...capacityField }, seeds);
+        this.storeSharing = deps.follower && new StoreSharing({
             name,
-            clock: host.clock,
-            signal: host.signal,
-            follower: host.follower,
-            inHall: () => liveInHall(this.membership, this.host.clock.now()),
+            clock: deps.clock,
+            signal: deps.signal,
+            follower: deps.follower,
+            inHall: () => liveInHall(this.membership, this.deps.clock.now()),
             weights: () => this.weights,
             live: () => this.live,
             seeking: () => unheardCandidates(this.membership).length > 0,
@@ -129,35 +130,35 @@
         this.reach = new ReachSharing({
             name,
             hall,
-            clock: host.clock,
-            log: host.log,
-            metrics: host.metrics,
-            inHall: () => liveInHall(this.membership, this.host.clock.now()),
-            otherHalls: () => otherHalls(this.membership, this.host.clock.now()),
+            clock: deps.clock,
+            log: deps.log,
+            metrics: deps.metrics,
+            inHall: () => liveInHall(this.membership, this.deps.clock.now()),
+            otherHalls: () => otherHalls(this.membership, this.deps.clock.now()),
             send: (names, message) => this.sendAll(names, message),
-            tell: event => {
-                for (const placement of [host.engines, host.plain]) placement.tell([event]);
+            applyEvent: event => {
+                for (const placement of [deps.engines, deps.plain]) placement.applyEvents([event]);
             },
         });
-        const { guard } = host;
-        this.quarantine = guard && new QuarantineSharing({
+        const { guard } = deps;
+        this.quarantineSharing = guard && new QuarantineSharing({
             name,
-            clock: host.clock,
-            signal: host.signal,
+            clock: deps.clock,
+            signal: deps.signal,
             live: () => this.live,
             send: (names, message) => this.sendAll(names, message),
-            hear: news => guard.hear(news),
+            learn: news => guard.receive(news),
             all: () => guard.all(),
             digest: () => guard.digest,
         });
-        const { words } = host;
-        this.words = words && new WordSharing({
+        const { words } = deps;
+        this.noticeSharing = words && new NoticeSharing({
             name,
-            clock: host.clock,
-            signal: host.signal,
+            clock: deps.clock,
+            signal: deps.signal,
             live: () => this.live,
             send: (names, message) => this.sendAll(names, message),
-            hear: told => words.hear(told),
+            learn: notices => words.receive(notices),
             all: () => words.all(),
         });
     }
@@ -166,22 +167,23 @@
         return this.detector.membership;
     }
 
-    private get env(): DetectorEnv {
-        return { now: this.host.clock.now(), everyMs: this.host.cfg["control.heartbeat"], random: Math.random };
+    private get detectorEnv(): DetectorEnv {
+        return { now: this.deps.clock.now(), everyMs: this.deps.cfg["control.heartbeat"], random: Math.random };
     }
 
-    /** Starts to listen and to probe other hosts; ends with the host's signal. */
-    static async start(host: PeersDeps): Promise<Peers> {
-        const { cfg, clock, log, metrics, memory, signal } = host;
+    /** Listens for peers and starts probing them; stops when the signal aborts. */
+    static async start(deps: PeersDeps): Promise<Peers> {
+        const { cfg, clock, log, metrics, memory, signal } = deps;
         const listen = cfg["peers.listen"];
         const at = listen.lastIndexOf(":");
-        const received: { peers?: Peers } = {};
+        // Messages can arrive before the instance exists; they are dropped.
+        const started: { peers?: Peers } = {};
         const mesh = await PeerMesh.listen({
             name: cfg["host.name"],
             listen: { ip: listen.slice(0, at), port: Number(listen.slice(at + 1)) },
             secrets: cfg["peers.secrets"],
             clock,
-            onMessage: (from, message) => received.peers?.receive(from, message),
+            onMessage: (from, message) => started.peers?.receive(from, message),
             onError: (peer: string, err: PeerError) =>
                 log.debug({ peer, err: err.kind, detail: "detail" in err ? err.detail : undefined }, "peer_error"),
             onBytes: (direction, bytes) => metrics.countPeerBytes(direction, bytes),
@@ -193,128 +195,128 @@
             signal,
         });
         if (memory) memory.onCutLink = link => mesh.cutOff(link);
-        const peers = new Peers(host, mesh, cfg["peers.seeds"]);
-        received.peers = peers;
-        peers.run();
+        const peers = new Peers(deps, mesh, cfg["peers.seeds"]);
+        started.peers = peers;
+        peers.activate();
         return peers;
     }
 
-    private run(): void {
-        const { cfg, signal } = this.host;
-        this.host.engines.setAsker(action =>
-            this.follow(shareAsk(this.share, action, this.endpoints, this.live, this.host.clock.now()))
+    private activate(): void {
+        const { cfg, signal } = this.deps;
+        this.deps.engines.setOwnerQuery(action =>
+            this.applyLoadStep(shareAsk(this.loadShare, action, this.endpoints, this.live, this.deps.clock.now()))
         );
-        repeat(() => this.beat(), () => cfg["control.heartbeat"], signal);
-        repeat(() => this.dueRound(), () => Math.min(tellEvery(this.live.length), TELL_OWNERS_MS), signal);
+        repeat(() => this.heartbeat(), () => cfg["control.heartbeat"], signal);
+        repeat(() => this.sendDueLoadRound(), () => Math.min(tellEvery(this.live.length), TELL_OWNERS_MS), signal);
     }
 
-    /** Where peers reach this host. */
+    /** The address at which peers reach this host. */
     get address(): string {
         return this.mesh.at;
     }
 
-    /** What this host can carry, in cores; undefined where its settings do not say. */
+    /** Capacity of this host, in cores; undefined if its settings do not state it. */
     get capacity(): number | undefined {
         return this.membership.self.capacity;
     }
 
-    /** Open connections to peers. */
+    /** Number of open connections to peers. */
     get connections(): number {
         return this.mesh.size;
     }
 
-    /** Names of the live hosts of this hall, in order. */
+    /** Sorted names of the live hosts of this host's scope. */
     get live(): readonly string[] {
-        return liveHosts(this.membership, this.host.clock.now());
+        return liveHosts(this.membership, this.deps.clock.now());
     }
 
-    /** By what hosts can carry. */
+    /** Weights of the hosts in rendezvous hashing, by their capacities. */
     private get weights(): Weights {
-        return weightsOf(ratedHosts(this.membership, this.host.clock.now()));
+        return weightsOf(ratedHosts(this.membership, this.deps.clock.now()));
     }
 
-    /** Addresses that the platform's host list names. */
+    /** Sets the peer addresses from the platform's host list. */
     setListed(addresses: readonly string[]): void {
-        const membership = listHosts(this.membership, [...addresses, ...this.host.cfg["peers.seeds"]]);
+        const membership = listHosts(this.membership, [...addresses, ...this.deps.cfg["peers.seeds"]]);
         this.detector = { ...this.detector, membership };
     }
 
-    /** Whether this host asks an endpoint for its load, as its owner. */
+    /** Whether this host owns an endpoint, and so asks it for its load. */
     owns(endpoint: string): boolean {
-        const owner = endpointOwner(endpoint, this.endpoints.values().length, this.live, this.share.weights);
-        return owner === this.host.cfg["host.name"];
+        const owner = endpointOwner(endpoint, this.endpoints.values().length, this.live, this.loadShare.weights);
+        return owner === this.deps.cfg["host.name"];
     }
 
-    /** Whether this host has heard what its peers know of endpoints and of requests that end them, as far as one can tell. */
+    /** Whether this host has received its peers' notices and quarantines since it started, or has waited long enough for them. */
     get isInformed(): boolean {
-        return (this.quarantine?.isReady ?? true) && (this.words?.isReady ?? true);
+        return (this.quarantineSharing?.isReady ?? true) && (this.noticeSharing?.isReady ?? true);
     }
 
-    /** Tells peers of requests that end endpoints. */
+    /** Shares news of requests that crash endpoints. */
     tellQuarantine(news: QuarantineNews): void {
-        this.quarantine?.tell(news);
+        this.quarantineSharing?.share(news);
     }
 
-    /** Tells peers of a change in what endpoints say of themselves. */
+    /** Shares changed notices of endpoints. */
     tellWords(words: readonly EndpointWord[]): void {
-        this.words?.tell(words);
+        this.noticeSharing?.share(words);
     }
 
-    /** Takes in which life of an endpoint has answered this host. */
+    /** Records, and shares, which incarnation of an endpoint has answered this host. */
     meetLife(life: Life): void {
-        this.sharing?.meetLife(life);
+        this.storeSharing?.meetLife(life);
     }
 
-    /** The host was suspended, or may have been: asks its peers at once who they take it for, and tells them what it holds. */
+    /** Called when the host may have been suspended: probes peers at once, to learn whether they took it for dead, and shares its load. */
     woke(): void {
-        this.beat();
+        this.heartbeat();
         this.tellNow();
     }
 
     /** Tells peers at once that this host is leaving. */
     leave(): void {
-        this.carryOut(leaveHall(this.detector, this.env));
+        this.applyDetectorStep(leaveHall(this.detector, this.detectorEnv));
     }
 
-    /** Tells all live peers of the version in force, at once; called when this host has a new one. */
+    /** Announces the settings version in force to all live peers at once; called when this host has a new one. */
     announce(): void {
         const message: PeerMessage = { kind: "gossip", news: [], ...this.progress };
-        for (const { address } of aliveMembers(this.membership, this.host.clock.now())) this.send(address, message);
+        for (const { address } of aliveMembers(this.membership, this.deps.clock.now())) this.send(address, message);
     }
 
-    /** How far this host is, as its messages say. */
+    /** What this host's messages say about its own progress. */
     private get progress(): Progress {
-        const { guard } = this.host;
+        const { guard } = this.deps;
         const quarantine = guard ? { quarantine: guard.digest } : {};
-        // What is learnt from the store is told by its revision.
-        if (!this.sharing) return { settings: this.host.spread.news(), ...quarantine };
-        const store = this.sharing.stamp();
+        // A host that learns settings from the store reports its store position instead of a settings version.
+        if (!this.storeSharing) return { settings: this.deps.spread.news(), ...quarantine };
+        const store = this.storeSharing.stamp();
         return { ...(store ? { store } : {}), ...quarantine };
     }
 
-    private beat(): void {
-        this.carryOut(tick(this.detector, this.env));
-        const { metrics, follower, spread, cfg } = this.host;
+    private heartbeat(): void {
+        this.applyDetectorStep(tick(this.detector, this.detectorEnv));
+        const { metrics, follower, spread, cfg } = this.deps;
         const { live } = this;
         metrics.liveHosts.set(live.length);
-        this.logChanges(live);
+        this.logHostChanges(live);
         this.reach.look();
         if (!follower) spread.setWatching(watches(cfg["host.name"], live, this.weights));
     }
 
-    private carryOut({ state, send }: DetectorStep): void {
+    private applyDetectorStep({ state, send }: DetectorStep): void {
         this.detector = state;
         const { progress } = this;
         for (const { to, message } of send) this.send(to, { ...message, ...progress });
     }
 
-    private logChanges(live: readonly string[]): void {
-        const before = this.logged;
+    private logHostChanges(live: readonly string[]): void {
+        const before = this.loggedLive;
         if (before.length === live.length && before.every((name, at) => name === live[at])) return;
-        this.logged = live;
+        this.loggedLive = live;
         const joined = live.filter(name => !before.includes(name));
         const gone = before.filter(name => !live.includes(name));
-        this.host.log.debug({ live: live.length, joined: joined.join(","), gone: gone.join(",") }, "hosts_changed");
+        this.deps.log.debug({ live: live.length, joined: joined.join(","), gone: gone.join(",") }, "hosts_changed");
     }
 
     private send(address: string, message: PeerMessage): void {
@@ -328,7 +330,7 @@
 
     private receive(from: PeerName, message: FrameMessage): void {
         if (!isPeerMessage(message)) {
-            this.host.log.warn({ peer: from.name, message: message.kind }, "peer_message_refused");
+            this.deps.log.warn({ peer: from.name, message: message.kind }, "peer_message_refused");
             return;
         }
         const hall = this.membership.members.get(from.name)?.hall;
@@ -341,89 +343,92 @@
     }
 
     private readonly handlers: Handlers = {
-        probe: (from, message) => this.hearDetector(from, message),
-        ack: (from, message) => this.hearDetector(from, message),
-        check: (from, message) => this.hearDetector(from, message),
-        vouch: (from, message) => this.hearDetector(from, message),
-        gossip: (from, message) => this.hearDetector(from, message),
-        sync: (from, message) => this.hearDetector(from, message),
-        members: (from, message) => this.hearDetector(from, message),
+        probe: (from, message) => this.receiveDetector(from, message),
+        ack: (from, message) => this.receiveDetector(from, message),
+        check: (from, message) => this.receiveDetector(from, message),
+        vouch: (from, message) => this.receiveDetector(from, message),
+        gossip: (from, message) => this.receiveDetector(from, message),
+        sync: (from, message) => this.receiveDetector(from, message),
+        members: (from, message) => this.receiveDetector(from, message),
         ask: (from, ask) => {
-            const given = this.host.spread.give(ask);
+            const given = this.deps.spread.give(ask);
             if (given) this.send(from.address, { kind: "give", ...given });
         },
-        give: (_from, given) => this.host.spread.take(given),
-        held: (from, message) => this.hearShare(from, message),
-        others: (from, message) => this.hearShare(from, message),
-        question: (from, message) => this.hearShare(from, message),
-        answer: (from, message) => this.hearShare(from, message),
-        storeWord: (from, message) => this.hearStore(from, message),
-        storeAsk: (from, message) => this.hearStore(from, message),
-        storeState: (from, message) => this.hearStore(from, message),
-        lifeMet: (from, message) => this.hearStore(from, message),
-        quarantine: (from, message) => this.quarantine?.receive(from.name, message),
-        quarantineAsk: (from, message) => this.quarantine?.receive(from.name, message),
-        said: (from, message) => this.words?.receive(from.name, message),
-        saidAsk: (from, message) => this.words?.receive(from.name, message),
+        give: (_from, given) => this.deps.spread.take(given),
+        held: (from, message) => this.receiveLoad(from, message),
+        others: (from, message) => this.receiveLoad(from, message),
+        question: (from, message) => this.receiveLoad(from, message),
+        answer: (from, message) => this.receiveLoad(from, message),
+        storeWord: (from, message) => this.receiveStore(from, message),
+        storeAsk: (from, message) => this.receiveStore(from, message),
+        storeState: (from, message) => this.receiveStore(from, message),
+        lifeMet: (from, message) => this.receiveStore(from, message),
+        quarantine: (from, message) => this.quarantineSharing?.receive(from.name, message),
+        quarantineAsk: (from, message) => this.quarantineSharing?.receive(from.name, message),
+        said: (from, message) => this.noticeSharing?.receive(from.name, message),
+        saidAsk: (from, message) => this.noticeSharing?.receive(from.name, message),
         unreached: (_from, message) => this.reach.receive(message),
     };
 
-    private hearDetector(from: PeerName, message: DetectorMessage & Progress): void {
-        this.carryOut(receive(this.detector, from.address, message, this.env));
+    private receiveDetector(from: PeerName, message: DetectorMessage & Progress): void {
+        this.applyDetectorStep(receive(this.detector, from.address, message, this.detectorEnv));
         const { settings, store, quarantine } = message;
-        if (store) this.sharing?.hearStamp(from.name, store);
-        if (quarantine !== undefined) this.quarantine?.hearDigest(from.name, quarantine);
-        const ask = settings && this.host.spread.ask(settings);
-        if (ask && this.mayAsk(settings.version)) this.send(from.address, { kind: "ask", ...ask });
+        if (store) this.storeSharing?.hearStamp(from.name, store);
+        if (quarantine !== undefined) this.quarantineSharing?.receiveDigest(from.name, quarantine);
+        const ask = settings && this.deps.spread.ask(settings);
+        if (ask && this.shouldRequestSettings(settings.version)) this.send(from.address, { kind: "ask", ...ask });
     }
 
-    private hearStore(from: PeerName, message: StorePeerMessage): void {
-        this.sharing?.receive(from.name, message);
+    private receiveStore(from: PeerName, message: StorePeerMessage): void {
+        this.storeSharing?.receive(from.name, message);
     }
 
-    /** Whether a version is asked for now: not again from every peer that tells of it. */
-    private mayAsk(version: number): boolean {
-        const now = this.host.clock.now();
-        const asked = this.askedVersion;
-        if (version <= asked.version && now - asked.at < ASK_AGAIN_MS) return false;
-        this.askedVersion = { version, at: now };
+    /** Whether to ask for a settings version now. A version is not requested from every peer that announces it. */
+    private shouldRequestSettings(version: number): boolean {
+        const now = this.deps.clock.now();
+        const lastRequest = this.requestedVersion;
+        if (version <= lastRequest.version && now - lastRequest.at < SETTINGS_RETRY_MS) return false;
+        this.requestedVersion = { version, at: now };
         return true;
     }
 
     private get endpoints(): EndpointTable {
-        return this.host.engines.view.endpoints;
+        return this.deps.engines.view.endpoints;
     }
 
-    private hearShare(from: PeerName, message: ShareMessage): void {
-        this.follow(shareHear(this.share, from.name, message, this.host.engines.view, this.host.clock.now()));
+    private receiveLoad(from: PeerName, message: ShareMessage): void {
+        this.applyLoadStep(
+            shareHear(this.loadShare, from.name, message, this.deps.engines.view, this.deps.clock.now()),
+        );
     }
 
-    /** Carries out what follows from a step of what hosts know of each other's streams. */
-    private follow({ state, send, events }: ShareStep): void {
-        this.share = state;
+    /** Applies a step of the load sharing: stores its state, sends its messages, passes its events to the scheduler. */
+    private applyLoadStep({ state, send, events }: ShareStep): void {
+        this.loadShare = state;
         for (const { to, message } of send) this.sendTo(to, message);
-        this.host.engines.tell(events);
+        this.deps.engines.applyEvents(events);
     }
 
-    /** A round of telling, at once and not only when it is due: for news that must not wait, such as leaving. */
+    /** Shares this host's load at once, for urgent news such as a leaving endpoint, instead of in the next due round. */
     tellNow(): void {
-        this.round(0);
+        this.sendLoadRound(0);
     }
 
-    /** The round that is due: owners hear each time, other hosts more rarely. */
-    private dueRound(): void {
+    /** Runs a due round: this host reports its load to owners every time, and as an owner informs the other hosts less often. */
+    private sendDueLoadRound(): void {
         const every = tellEvery(this.live.length);
-        this.round(every <= TELL_OWNERS_MS ? 0 : every);
+        this.sendLoadRound(every <= TELL_OWNERS_MS ? 0 : every);
     }
 
-    private round(othersEveryMs: number): void {
+    /** @param othersEveryMs How often this host, as an owner, informs the other hosts; 0 to do so now. */
+    private sendLoadRound(othersEveryMs: number): void {
         const { live } = this;
         const unheard = unheardCandidates(this.membership).length;
-        this.host.plain.tell([hostsEvent(this.host.cfg["host.name"], live, unheard)]);
-        this.share = withWeights(this.share, this.weights);
-        const step = shareRound(this.share, this.endpoints, live, this.host.clock.now(), othersEveryMs, unheard);
-        this.ownedLog.see(step.events);
-        this.follow(step);
+        this.deps.plain.applyEvents([hostsEvent(this.deps.cfg["host.name"], live, unheard)]);
+        this.loadShare = withWeights(this.loadShare, this.weights);
+        const step = shareRound(this.loadShare, this.endpoints, live, this.deps.clock.now(), othersEveryMs, unheard);
+        this.ownershipLog.update(step.events);
+        this.applyLoadStep(step);
     }
 
     private sendTo(name: string, message: PeerMessage): void {
@@ -431,9 +436,9 @@
         if (member) this.send(member.address, message);
     }
 
-    /** Addresses and ages of all members, for operators. */
+    /** All known members, for operators. */
     status(): object {
-        const now = this.host.clock.now();
+        const now = this.deps.clock.now();
         return [...this.membership.members.values()].map(member => ({
             name: member.name,
             hall: member.hall,
@@ -445,7 +450,7 @@
     }
 }
 
-/** What this host can carry, as its settings say; undefined where they do not. */
+/** Capacity of this host according to its settings; undefined if they do not state it. */
 function ownCapacity(cfg: HostCfg): number | undefined {
     return capacityOf({ cores: cfg["host.cores"], share: cfg["host.core-share"], linkMbps: cfg["host.link"] });
 }
--- a/packages/host/src/peers/reach-sharing.ts
+++ b/packages/host/src/peers/reach-sharing.ts
@@ -1,6 +1,7 @@
 /**
- * How hosts of a hall find out together what of other halls they cannot reach: each takes note of whom it hears, and tells the others of
- * connections to endpoints that failed. What follows is decided in `reach` of the package `hall`.
+ * Finds out, together with the other hosts of the hall, which other halls and endpoints are unreachable. Each host records from
+ * whom it hears, and tells the others of failed connections to endpoints. The rules by which a hall or an endpoint is then in doubt
+ * (probably unreachable) stand in `reach` of the package `hall`.
  *
  * @module
  */
@@ -22,85 +23,89 @@
 import { someOf } from "../runtime/random-sample.js";
 import type { ReachPeerMessage } from "./peer-messages.js";
 
-/** An endpoint as far as its hall is concerned. */
-export interface PlacedEndpoint {
+/** An endpoint and the hall where it runs. */
+export interface HallEndpoint {
     readonly incarnation: string;
     readonly address: string;
     readonly hall: string;
 }
 
-/** What sharing needs of the peers. */
+/** Dependencies of {@link ReachSharing}. */
 export interface ReachSharingDeps {
     readonly name: string;
-    /** This host's own hall, which is never in doubt. */
+    /** This host's own hall; it is never in doubt. */
     readonly hall: string;
     readonly clock: Clock;
     readonly log: Log;
     readonly metrics: Pick<Metrics, "doubtedHalls">;
-    /** Live hosts of this hall, itself included. */
+    /** Live hosts of this hall, including this one. */
     inHall(): readonly string[];
-    /** Hosts of other halls. */
+    /** The other halls, with the number of their hosts. */
     otherHalls(): readonly HallHosts[];
     send(names: readonly string[], message: ReachPeerMessage): void;
-    /** Tells the decisions. */
-    tell(event: SchedulerEvent): void;
-    /** Draws whom news is told; the system's where it is absent. */
+    /** Passes an event to the schedulers. */
+    applyEvent(event: SchedulerEvent): void;
+    /** Random numbers in [0, 1) by which receivers are drawn; `Math.random` by default. */
     readonly random?: () => number;
 }
 
-/** By each to six others, news is at all but one of 400 hosts of a hall after four passes. */
+/** Number of hosts that each host sends news to. With six, news reaches all but one of a hall's 400 hosts in four hops. */
 const FANOUT = 6;
 
 const NO_DOUBTS: Doubts = { halls: [], endpoints: [] };
 
-/** One host's part in finding it out. */
+/** Tracks which other halls and endpoints this host can reach. */
 export class ReachSharing {
     private reach: Reach = NOTHING_FOUND;
-    private byAddress: ReadonlyMap<string, PlacedEndpoint> = new Map();
-    private byName: ReadonlyMap<string, PlacedEndpoint> = new Map();
+    private byAddress: ReadonlyMap<string, HallEndpoint> = new Map();
+    private byIncarnation: ReadonlyMap<string, HallEndpoint> = new Map();
     private doubts: Doubts = NO_DOUBTS;
-    /** Halls that were in doubt and have not been heard since. */
-    private readonly unheard = new Set<string>();
+    /** Halls that were in doubt and from which nothing was heard since. */
+    private readonly awaitingContact = new Set<string>();
 
     constructor(private readonly deps: ReachSharingDeps) {}
 
-    /** Takes in which endpoints there are. */
-    setEndpoints(endpoints: readonly PlacedEndpoint[]): void {
+    /** Sets the known endpoints; keeps those of other halls. */
+    setEndpoints(endpoints: readonly HallEndpoint[]): void {
         const others = endpoints.filter(({ hall }) => hall !== this.deps.hall);
         this.byAddress = new Map(others.map(endpoint => [endpoint.address, endpoint]));
-        this.byName = new Map(others.map(endpoint => [endpoint.incarnation, endpoint]));
+        this.byIncarnation = new Map(others.map(endpoint => [endpoint.incarnation, endpoint]));
     }
 
-    /** A message came from a host of a hall. */
+    /** Called when a message arrived from a host of the given hall. */
     heardHost(hall: string): void {
-        if (hall !== this.deps.hall) this.heard(hall);
+        if (hall !== this.deps.hall) this.markHeard(hall);
     }
 
-    /** An endpoint answered, or a connection to it came up. */
+    /** Called when the endpoint at this address answered, or a connection to it was established. */
     answered(address: string): void {
         const endpoint = this.byAddress.get(address);
-        if (endpoint) this.heard(endpoint.hall);
+        if (endpoint) this.markHeard(endpoint.hall);
     }
 
-    /** A connection to an endpoint failed. */
+    /** Called when a connection to the endpoint at this address failed. */
     failed(address: string): void {
         const endpoint = this.byAddress.get(address);
-        if (endpoint) this.lose(endpoint, 0);
+        if (endpoint) this.recordFailure(endpoint, 0);
     }
 
-    /** Takes in what another host of the hall found out. */
+    /** Handles a failed connection that another host of the hall reports. */
     receive({ endpoint: name, agoMs }: ReachPeerMessage): void {
-        const endpoint = this.byName.get(name);
-        if (endpoint) this.lose(endpoint, agoMs);
+        const endpoint = this.byIncarnation.get(name);
+        if (endpoint) this.recordFailure(endpoint, agoMs);
     }
 
-    /** Looks anew what is in doubt: silence becomes a doubt as time passes, and time ends one. */
+    /** Evaluates again what is in doubt. Called periodically: silence puts a hall in doubt as time passes, and doubts expire. */
     look(): void {
-        this.lookAfter([]);
+        this.updateAfter([]);
     }
 
-    /** @param back Halls that were in doubt and have just been heard. */
-    private lookAfter(back: readonly string[]): void {
+    /**
+     * Evaluates what is in doubt, logs changes and informs the schedulers.
+     *
+     * @param back Halls that were in doubt and have just been heard from.
+     */
+    private updateAfter(back: readonly string[]): void {
         const { clock, log, metrics } = this.deps;
         const before = this.doubts;
         const found = doubtsOf(this.reach, this.otherHalls(), clock.now());
@@ -108,14 +113,14 @@
         if (found.endpoints.length + before.endpoints.length + back.length === 0) return;
         metrics.doubtedHalls.set(found.halls.length);
         for (const item of found.halls) {
-            if (!holds(before, item.hall)) this.logDoubt(item);
-            this.unheard.add(item.hall);
+            if (!isHallInDoubt(before, item.hall)) this.logDoubt(item);
+            this.awaitingContact.add(item.hall);
         }
-        const over = before.halls.filter(({ hall }) => !holds(found, hall));
+        const over = before.halls.filter(({ hall }) => !isHallInDoubt(found, hall));
         for (const { hall } of over) log.info({ hall, heard: back.includes(hall) }, "hall_no_longer_in_doubt");
-        // Told again while it lasts, for endpoints that are declared meanwhile.
+        // Repeat the event while the doubt lasts, so that it also covers endpoints that have been declared in the meantime.
         const doubted = { halls: found.halls.map(({ hall }) => hall), endpoints: found.endpoints };
-        this.deps.tell({ kind: "reach", doubted, back });
+        this.deps.applyEvent({ kind: "reach", doubted, back });
     }
 
     private otherHalls(): readonly HallMembers[] {
@@ -123,28 +128,28 @@
     }
 
     private endpointsIn(hall: string): number {
-        return [...this.byName.values()].filter(endpoint => endpoint.hall === hall).length;
+        return [...this.byIncarnation.values()].filter(endpoint => endpoint.hall === hall).length;
     }
 
-    private heard(hall: string): void {
+    private markHeard(hall: string): void {
         const hadLost = [...this.reach.lost.values()].some(lost => lost.hall === hall);
         this.reach = hearHall(this.reach, hall, this.deps.clock.now());
-        const isBack = this.unheard.delete(hall);
-        if (hadLost || isBack) this.lookAfter(isBack ? [hall] : []);
+        const isRestored = this.awaitingContact.delete(hall);
+        if (hadLost || isRestored) this.updateAfter(isRestored ? [hall] : []);
     }
 
-    private lose(endpoint: PlacedEndpoint, agoMs: number): void {
+    private recordFailure(endpoint: HallEndpoint, agoMs: number): void {
         const { incarnation, hall } = endpoint;
         const now = this.deps.clock.now();
         const { state, isNews } = loseEndpoint(this.reach, incarnation, hall, now - agoMs, now);
         this.reach = state;
         if (!isNews) return;
-        // Once the hall is in doubt the others know enough.
-        if (!holds(this.doubts, hall)) this.pass({ kind: "unreached", endpoint: incarnation, agoMs });
+        // Once the hall is in doubt, further failures tell the other hosts nothing.
+        if (!isHallInDoubt(this.doubts, hall)) this.passOn({ kind: "unreached", endpoint: incarnation, agoMs });
         this.look();
     }
 
-    private pass(message: ReachPeerMessage): void {
+    private passOn(message: ReachPeerMessage): void {
         const others = this.deps.inHall().filter(name => name !== this.deps.name);
         this.deps.send(someOf(others, FANOUT, this.deps.random), message);
     }
@@ -158,6 +163,6 @@
     }
 }
 
-function holds({ halls }: Doubts, hall: string): boolean {
+function isHallInDoubt({ halls }: Doubts, hall: string): boolean {
     return halls.some(item => item.hall === hall);
 }
