--- a/packages/host/src/calls/call-progress.ts
+++ b/packages/host/src/calls/call-progress.ts
@@ -1,57 +1,57 @@
 /**
- * How far a forwarded call has come: what its attempts share, and from where a later attempt may go on.
+ * The progress of a forwarded call: the state that its attempts share, and from where a later attempt may continue.
  *
  * @module
  */
 import type { Continuation } from "@drumpaddle/protocol";
 import type { EndpointEntry } from "@drumpaddle/routes";
 import type { CallMemory } from "../runtime/call-memory.js";
-import type { Copy } from "./copies.js";
 import type { AnswerPiece } from "./forward-attempt.js";
-import { isNext, type SentBefore } from "./judge-answer.js";
-import type { AttemptSink } from "./run.js";
+import type { Copy } from "./generation-copies.js";
+import { isNextId, type SentBefore } from "./judge-answer.js";
+import type { AttemptSink } from "./request-driver.js";
 
-/** What a call's attempts share. */
+/** State that the attempts of a call share. */
 export interface CallProgress {
-    /** Undefined too once no attempt needs it any more. */
+    /** The body to send; also undefined once the call has ended. */
     body: Buffer | undefined;
-    /** When the call is given up, on the monotonic clock. */
+    /** In milliseconds on the monotonic clock. */
     readonly deadline: number;
     /** Id of the latest attempt. */
     attempt: string;
-    /** Endpoint of the latest attempt; undefined where it is no longer registered. */
+    /** Endpoint of the latest attempt; undefined if it is no longer registered. */
     endpoint: EndpointEntry | undefined;
-    /** How slow that endpoint was taken to be when the attempt began, as a factor of the mean of its kind. */
+    /** Estimated slowness of that endpoint when the attempt began, as a factor of the mean of its kind. */
     slowness: number | undefined;
-    /** Endpoint that keeps the copy: its registration may be gone by the time that it is needed. */
+    /** Standby endpoint that receives a copy of the generation as it grows. Kept here, as its registration may be gone when it is needed. */
     standby: EndpointEntry | undefined;
-    /** A copy that was made because the endpoint is leaving; goes before the one that grows with the generation. */
+    /** A copy that was made because the endpoint is leaving; preferred to the one at {@link standby}. */
     copy: Copy | undefined;
-    /** Id of the last event that went to the caller. */
+    /** Id of the last event that was sent to the caller. */
     lastEvent: string | undefined;
-    /** Whether each event's id was one above the id before; undefined while only one was seen. */
+    /** Whether each event's id was one above the id before it; undefined before the second id. */
     idsRiseByOne: boolean | undefined;
-    /** Whether the end of the caller's answer can be seen in its bytes; known with its first piece. */
+    /** Whether a length or chunks mark the end of the caller's answer; set with its first piece. */
     framed: boolean;
-    /** The latest answer of an endpoint. */
-    answered: { readonly status: number; readonly framed: boolean } | undefined;
-    /** What an endpoint had left unread of the body when its attempt was given up, and for how long; undefined where it read all. */
+    /** Status and framing of the latest answer of an endpoint. */
+    lastAnswer: { readonly status: number; readonly framed: boolean } | undefined;
+    /** How much of the body the endpoint had not read when its attempt was abandoned, and for how long; undefined if it read all. */
     bodyUnread: { readonly bytes: number; readonly ms: number } | undefined;
-    /** The latest whole failure of an endpoint; goes to the caller where no attempt after it is answered. */
+    /** The latest complete error answer of an endpoint; sent to the caller if no later attempt is answered. */
     failedAnswer: AnswerPiece | undefined;
 }
 
 /**
- * A call of which nothing has been sent.
+ * Creates the progress of a call of which nothing was sent.
  *
- * @param deadline When it is given up, in milliseconds on the monotonic clock.
+ * @param deadline In milliseconds on the monotonic clock.
  *
  * @example
  * ```ts
- * const progress = beginCall(body, clock.now() + 2_000);
+ * const progress = createProgress(body, clock.now() + 2_000);
  * ```
  */
-export function beginCall(body: Buffer | undefined, deadline: number): CallProgress {
+export function createProgress(body: Buffer | undefined, deadline: number): CallProgress {
     return {
         body,
         deadline,
@@ -63,14 +63,14 @@
         lastEvent: undefined,
         idsRiseByOne: undefined,
         framed: true,
-        answered: undefined,
+        lastAnswer: undefined,
         bodyUnread: undefined,
         failedAnswer: undefined,
     };
 }
 
 /**
- * The endpoint that keeps the call's copy, if it is this one; it is known here also when its registration is gone.
+ * Returns an endpoint that holds a copy of the call, even if its registration is gone.
  *
  * @example
  * ```ts
@@ -82,9 +82,9 @@
 }
 
 /**
- * What of earlier attempts has gone to the caller; undefined where nothing has.
+ * Returns what earlier attempts have sent to the caller; undefined if nothing.
  *
- * @param pieces Index of the next piece, where the call goes on from a copy.
+ * @param pieces Index of the next piece, if the call continues from a copy.
  *
  * @example
  * ```ts
@@ -98,7 +98,7 @@
 }
 
 /**
- * Where a generation goes on from: a copy that its source made, or the one that grew at the endpoint itself.
+ * Returns from which copy an endpoint continues a generation: one that its source made, or the one that it received itself.
  *
  * @example
  * ```ts
@@ -116,7 +116,7 @@
 }
 
 /**
- * A sink that records what later attempts of a call need to know of this one.
+ * Wraps a sink so that it records what later attempts of the call need.
  *
  * @example
  * ```ts
@@ -125,11 +125,11 @@
  */
 export function recordProgress(sink: AttemptSink<AnswerPiece>, progress: CallProgress): AttemptSink<AnswerPiece> {
     return {
-        event: (event, piece) => {
+        report: (event, piece) => {
             if (event.kind === "failedAnswer") progress.failedAnswer = piece;
-            const moved = sink.event(event, piece);
-            if (moved && event.kind === "token" && piece) recordPiece(progress, event.index, piece);
-            return moved;
+            const hasAdvanced = sink.report(event, piece);
+            if (hasAdvanced && event.kind === "token" && piece) recordPiece(progress, event.index, piece);
+            return hasAdvanced;
         },
     };
 }
@@ -138,19 +138,19 @@
     if (index === 0) progress.framed = framed;
     if (event === undefined) return;
     const { lastEvent, idsRiseByOne = true } = progress;
-    if (lastEvent !== undefined) progress.idsRiseByOne = idsRiseByOne && isNext(lastEvent, event);
+    if (lastEvent !== undefined) progress.idsRiseByOne = idsRiseByOne && isNextId(lastEvent, event);
     progress.lastEvent = event;
 }
 
 /**
- * Whose reading a call waited for as it ended, and what had not been read.
+ * Returns the log fields that tell who had not read all its bytes when a call ended: the caller or the endpoint.
  *
  * @example
  * ```ts
- * log.info({ req, ...unreadOf(memory, progress) }, "call_ended"); // unread_by=caller unread=81920
+ * log.info({ req, ...unreadFields(memory, progress) }, "call_ended"); // unread_by=caller unread=81920
  * ```
  */
-export function unreadOf({ held: { unread } }: CallMemory, { bodyUnread }: CallProgress): object {
+export function unreadFields({ held: { unread } }: CallMemory, { bodyUnread }: CallProgress): object {
     if (unread > 0) return { unread_by: "caller", unread };
     return bodyUnread ? { unread_by: "endpoint", unread: bodyUnread.bytes, unread_ms: bodyUnread.ms } : {};
 }
--- a/packages/host/src/calls/answer.ts
+++ b/packages/host/src/calls/caller-answer.ts
@@ -1,24 +1,25 @@
 /**
- * Answers to callers: streamed as server-sent events, or gathered into one body; and errors in the shape that clients of
- * the completions interface parse, with a stable `code` and `ran`.
+ * Writes answers to callers of the completions interface: streamed as server-sent events or collected into one body.
+ * Errors have the shape that clients of that interface parse, with a stable `code` and `ran` in addition.
  *
  * @module
  */
 import type { Ran, RequestError } from "@drumpaddle/request";
 import { FailCode } from "@drumpaddle/request";
 import type { ServerResponse } from "node:http";
-import { type CallerQueue, PIECE_BYTES } from "./caller-queue.js";
-import type { Reply } from "./run.js";
+import { type CallerQueue, PIECE_OVERHEAD_BYTES } from "./caller-queue.js";
+import type { Reply } from "./request-driver.js";
 
-/** An error before a request is taken in. */
+/** An error as it is sent to a caller. */
 export interface ApiError {
     readonly status: number;
     readonly code: string;
     readonly message: string;
     readonly ran: Ran;
     readonly retryAfterMs?: number | undefined;
+    /** JSON pointer to the member of the body that is wrong. */
     readonly field?: string | undefined;
-    /** Further facts, such as the limit that was reached. */
+    /** Further members of the error object, such as the limit that was reached. */
     readonly facts?: Readonly<Record<string, unknown>> | undefined;
 }
 
@@ -38,7 +39,7 @@
     [FailCode.CallerGone]: 499,
     [FailCode.AlreadyClaimed]: 409,
     [FailCode.PlatformAway]: 503,
-    // Neither a promise that invites another try (429, 503) nor the caller's mistake (4xx); client libraries try 500, 502 and 504 again.
+    // Client libraries retry on 429, 500, 502, 503 and 504, and other 4xx would blame the caller.
     [FailCode.Quarantined]: 501,
     [FailCode.OnTrial]: 503,
     [FailCode.MemoryFull]: 503,
@@ -46,17 +47,18 @@
     [FailCode.EndpointUnread]: 504,
 };
 
-/** Statuses by which a caller must take its request for one that may have run. */
-const MAY_HAVE_RUN: ReadonlySet<number> = new Set([502, 504]);
+/** Statuses that tell a caller that its request may have run. */
+const MAY_HAVE_RUN_STATUSES: ReadonlySet<number> = new Set([502, 504]);
 const UNAVAILABLE = 503;
 
+/** Returns the status of an error; a request that did not run gets none of {@link MAY_HAVE_RUN_STATUSES}. */
 function statusOf({ code, ran }: RequestError): number {
     const status = STATUS[code];
-    return ran === "no" && MAY_HAVE_RUN.has(status) ? UNAVAILABLE : status;
+    return ran === "no" && MAY_HAVE_RUN_STATUSES.has(status) ? UNAVAILABLE : status;
 }
 
 /**
- * A request's failure as an error for its caller.
+ * Converts the failure of a request into an error for its caller.
  *
  * @example
  * ```ts
@@ -79,15 +81,15 @@
     return status < 500 ? "invalid_request_error" : "server_error";
 }
 
-/** The body of an error. */
+/** Returns the JSON body of an error. */
 export function errorBody(err: ApiError): object {
     const { status, code, message, ran, field, facts } = err;
     return { error: { message, type: errorType(status), param: field ?? null, code, ran, ...facts } };
 }
 
 /**
- * The headers of an error. A request that may have run must not be sent again by a client library on its own, so
- * `x-should-retry` says false unless it provably did not run.
+ * Returns the headers of an error. `x-should-retry` is true only if the request provably did not run and a delay is given:
+ * client libraries must not repeat a request on their own that may have run.
  */
 export function errorHeaders(err: ApiError): Record<string, string> {
     const headers: Record<string, string> = {
@@ -98,21 +100,21 @@
     return headers;
 }
 
-/** Writes an error as a whole answer. */
+/** Writes an error as the answer, unless an answer was begun. */
 export function writeError(out: ServerResponse, err: ApiError, headers: Readonly<Record<string, string>> = {}): void {
     if (out.headersSent || out.destroyed) return;
     out.writeHead(err.status, { ...headers, ...errorHeaders(err), "content-type": "application/json" });
     out.end(JSON.stringify(errorBody(err)));
 }
 
-/** An event of a stream; the data of an engine may not break the framing. */
-function sse(data: string): string {
+/** Formats a server-sent event; line breaks in the engine's data become further `data:` lines. */
+function sseEvent(data: string): string {
     return `data: ${data.includes("\n") ? data.replace(/\r?\n/g, "\ndata: ") : data}\n\n`;
 }
 
 /**
- * A reply that passes an engine's events on as they come. An error after the first event is an event of its own, and the
- * stream then ends without the closing mark.
+ * Creates a reply that forwards an engine's events as they arrive. An error after the first event is sent as an event, and
+ * the stream then ends without `[DONE]`.
  */
 export function streamReply(
     out: ServerResponse,
@@ -127,23 +129,23 @@
     return {
         forward: data => {
             begin();
-            queue.write(Buffer.from(`id: ${index++}\n${sse(data)}`));
+            queue.write(Buffer.from(`id: ${index++}\n${sseEvent(data)}`));
         },
-        drop: () => undefined,
+        discard: () => undefined,
         finish: last => {
             begin();
-            queue.write(Buffer.from(`${last === undefined ? "" : sse(last)}data: [DONE]\n\n`));
+            queue.write(Buffer.from(`${last === undefined ? "" : sseEvent(last)}data: [DONE]\n\n`));
             queue.end();
         },
         fail: err => {
             if (!out.headersSent) return writeError(out, toApiError(err), headers);
-            // Behind all that it does not read, its caller would never come to read of the error.
+            // The caller does not read the stream, so it would not read an error at its end either.
             if (err.code === FailCode.CallerUnread) {
-                queue.drop();
+                queue.discard();
                 out.destroy();
                 return;
             }
-            queue.write(Buffer.from(sse(JSON.stringify(errorBody(toApiError(err))))));
+            queue.write(Buffer.from(sseEvent(JSON.stringify(errorBody(toApiError(err))))));
             queue.end();
         },
     };
@@ -162,43 +164,43 @@
 }
 
 /**
- * A reply that gathers an engine's events into one body.
+ * Creates a reply that collects an engine's events into one body.
  *
- * @param onHeld Told how much of it is held until it is whole, in bytes.
+ * @param onHeldBytes Called with the number of bytes that are held so far.
  */
 export function wholeReply(
     out: ServerResponse,
-    onHeld: (bytes: number) => void,
+    onHeldBytes: (bytes: number) => void,
     headers: Readonly<Record<string, string>>,
     chat: boolean,
     promptTokens: number,
 ): Reply<string> {
     let texts: string[] = [];
     let bytes = 0;
-    // An engine may give its reason before its last event.
-    let reason: string | undefined;
+    // Some engines send the finish reason before their last event.
+    let finishReason: string | undefined;
     const take = (data: string): Chunk => {
         const chunk = JSON.parse(data) as Chunk;
         const choice = chunk.choices?.[0];
         const text = choice?.delta?.content ?? choice?.text ?? "";
         texts.push(text);
-        bytes += text.length + PIECE_BYTES;
-        onHeld(bytes);
-        reason = choice?.finish_reason ?? reason;
+        bytes += text.length + PIECE_OVERHEAD_BYTES;
+        onHeldBytes(bytes);
+        finishReason = choice?.finish_reason ?? finishReason;
         return chunk;
     };
     return {
         forward: data => void take(data),
-        drop: () => {
+        discard: () => {
             texts = [];
             bytes = 0;
-            onHeld(bytes);
-            reason = undefined;
+            onHeldBytes(bytes);
+            finishReason = undefined;
         },
         finish: (last, tokens) => {
             const chunk: Chunk = last === undefined ? {} : take(last);
             const text = texts.join("");
-            const finish_reason = reason ?? "stop";
+            const finish_reason = finishReason ?? "stop";
             const choice = chat
                 ? { index: 0, message: { role: "assistant", content: text }, finish_reason }
                 : { index: 0, text, finish_reason };
--- a/packages/host/src/calls/caller-queue.ts
+++ b/packages/host/src/calls/caller-queue.ts
@@ -1,117 +1,117 @@
 /**
- * What waits for a caller that does not take its answer as fast as it comes. It is kept here and not in the connection's own
- * buffer, so that what is held is known exactly, and so that each part that the caller takes is noticed.
+ * Queues the part of an answer that a slow caller has not read yet. The queue is kept here rather than in the socket's own
+ * buffer, so that the host knows exactly how many bytes it holds, and sees each part that the caller reads.
  *
  * @module
  */
 import type { ServerResponse } from "node:http";
 import type { CallMemory } from "../runtime/call-memory.js";
 
-/** What a queue writes to. */
-export type QueueOut = Pick<
+/** The response that a queue writes to. */
+export type QueueTarget = Pick<
     ServerResponse,
     "write" | "end" | "on" | "once" | "destroyed" | "writableNeedDrain" | "writableLength"
 >;
 
-/** What a piece costs beside its bytes: the objects of its buffer. */
-export const PIECE_BYTES = 256;
-/** Longer pieces are written in parts of this size, so that a slow caller's progress shows. */
+/** Memory of a piece in addition to its bytes: the objects of its buffer. */
+export const PIECE_OVERHEAD_BYTES = 256;
+/** Pieces are written in parts of at most this size, so that the progress of a slow caller is visible. */
 const PART_BYTES = 65_536;
 
-/** The queue of one answer. */
+/** The write queue of one answer. */
 export class CallerQueue {
     private waiting: Buffer[] = [];
     private waitingBytes = 0;
-    private isEnding = false;
+    private endsWhenEmpty = false;
     private hasEnded = false;
-    private listens = false;
+    private isAwaitingDrain = false;
     private onFlushed: (() => void) | undefined;
 
-    constructor(private readonly out: QueueOut, private readonly memory: CallMemory) {
-        out.on("close", () => this.drop());
+    constructor(private readonly out: QueueTarget, private readonly memory: CallMemory) {
+        out.on("close", () => this.discard());
     }
 
-    /** Whether something waits that the caller has not taken. */
-    get isBehind(): boolean {
+    /** Whether the caller has not yet taken all that was written. */
+    get hasBacklog(): boolean {
         return this.waiting.length > 0 || this.out.writableNeedDrain;
     }
 
-    /** Passes bytes on, or keeps them until the caller takes what came before. */
+    /** Writes bytes, or queues them until the caller has taken what was written before. */
     write(bytes: Buffer): void {
         if (bytes.length === 0 || this.out.destroyed) return;
-        if (!this.isBehind && bytes.length <= PART_BYTES) this.out.write(bytes);
+        if (!this.hasBacklog && bytes.length <= PART_BYTES) this.out.write(bytes);
         else {
-            this.keep(bytes);
-            this.pump();
+            this.enqueue(bytes);
+            this.writeQueued();
         }
-        if (this.isBehind) this.note(false);
+        if (this.hasBacklog) this.updateAccount(false);
     }
 
-    /** Ends the answer once all of it was taken. */
+    /** Ends the answer once the queue is empty. */
     end(): void {
-        if (this.waiting.length > 0) this.isEnding = true;
+        if (this.waiting.length > 0) this.endsWhenEmpty = true;
         else this.finish();
     }
 
     private finish(): void {
-        this.isEnding = false;
+        this.endsWhenEmpty = false;
         this.hasEnded = true;
         this.out.end();
     }
 
-    /** Calls back when nothing waits any more: at once, unless the caller is behind an answer that was to end. */
+    /** Calls back once the queue is empty or discarded; at once if it is empty now. */
     whenFlushed(flushed: () => void): void {
         if (this.waiting.length === 0) flushed();
         else this.onFlushed = flushed;
     }
 
-    /** Forgets what waits: the answer is broken off. */
-    drop(): void {
+    /** Discards the queue, as the answer is aborted. */
+    discard(): void {
         this.waiting = [];
         this.waitingBytes = 0;
-        this.isEnding = false;
+        this.endsWhenEmpty = false;
         this.memory.setUnread(0, false);
-        this.flushed();
+        this.notifyFlushed();
     }
 
-    private keep(bytes: Buffer): void {
+    private enqueue(bytes: Buffer): void {
         for (let at = 0; at < bytes.length; at += PART_BYTES) {
             const part = bytes.subarray(at, at + PART_BYTES);
             this.waiting.push(part);
-            this.waitingBytes += part.length + PIECE_BYTES;
+            this.waitingBytes += part.length + PIECE_OVERHEAD_BYTES;
         }
     }
 
-    private pump(): void {
+    private writeQueued(): void {
         let at = 0;
         while (at < this.waiting.length && !this.out.writableNeedDrain) {
             const part = this.waiting[at]!;
             this.out.write(part);
-            this.waitingBytes -= part.length + PIECE_BYTES;
+            this.waitingBytes -= part.length + PIECE_OVERHEAD_BYTES;
             at += 1;
         }
         if (at > 0) this.waiting = this.waiting.slice(at);
     }
 
-    /** Counts what waits, and listens for the caller to take some of it. */
-    private note(took: boolean): void {
-        // What an ended answer has left in the connection counts until that closes: nothing more is told of it.
+    /** Updates the call's memory account, and waits for the caller to read more. */
+    private updateAccount(hasDrained: boolean): void {
+        // After its end an answer emits no more `drain`: bytes in the socket's buffer count until the connection closes.
         const inSocket = this.out.writableNeedDrain || this.hasEnded ? this.out.writableLength : 0;
-        this.memory.setUnread(this.waitingBytes + inSocket, took);
-        if (this.listens || !this.out.writableNeedDrain) return;
-        this.listens = true;
+        this.memory.setUnread(this.waitingBytes + inSocket, hasDrained);
+        if (this.isAwaitingDrain || !this.out.writableNeedDrain) return;
+        this.isAwaitingDrain = true;
         this.out.once("drain", () => this.onDrain());
     }
 
     private onDrain(): void {
-        this.listens = false;
-        this.pump();
-        if (this.waiting.length === 0 && this.isEnding) this.finish();
-        this.note(true);
-        if (this.waiting.length === 0) this.flushed();
+        this.isAwaitingDrain = false;
+        this.writeQueued();
+        if (this.waiting.length === 0 && this.endsWhenEmpty) this.finish();
+        this.updateAccount(true);
+        if (this.waiting.length === 0) this.notifyFlushed();
     }
 
-    private flushed(): void {
+    private notifyFlushed(): void {
         const { onFlushed } = this;
         this.onFlushed = undefined;
         onFlushed?.();
--- a/packages/host/src/calls/callers.ts
+++ b/packages/host/src/calls/callers-server.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' port: completions, models, and plain services.
+ * The HTTP server for callers: completions, models, and plain services.
  *
  * @module
  */
@@ -9,17 +9,18 @@
 import type { IncomingMessage } from "node:http";
 import type { CallMemory } from "../runtime/call-memory.js";
 import type { Directory } from "../store/directory.js";
-import { type ApiError, errorBody, errorHeaders, writeError } from "./answer.js";
+import { type ApiError, errorBody, errorHeaders, writeError } from "./caller-answer.js";
 import { generate } from "./generate.js";
 import { MEMORY_RETRY_MS } from "./given-up.js";
 import type { Host } from "./host.js";
-import { servePlain } from "./plain.js";
-import { lengthTold } from "./request-body.js";
+import { servePlain } from "./plain-service.js";
+import { declaredLength } from "./request-body.js";
 
-/** Bodies above this are never read, whatever a workspace is allowed. */
-const LARGEST_BODY = 100_000_000;
-const LOOK_FOR_LATE_MS = 1_000;
-/** A stopping host asks callers to come back at once: the balancer sends them elsewhere. */
+/** Upper bound on bodies, whatever a workspace's settings allow. */
+const MAX_BODY_BYTES = 100_000_000;
+/** How often Node checks for requests that exceed their timeout; its default is 30 s. */
+const LATE_REQUEST_CHECK_MS = 1_000;
+/** Callers of a stopping host may retry at once, as the load balancer sends them to another host. */
 const STOPPING_RETRY_MS = 0;
 
 const UNAUTHORIZED: ApiError = { status: 401, code: "invalid_api_key", message: "no valid key was given", ran: "no" };
@@ -45,22 +46,22 @@
     retryAfterMs: MEMORY_RETRY_MS,
 };
 
-/** A body that outgrew the room for it as it came, in the shape in which Fastify passes errors on. */
-class NoRoomError extends Error {
+/** Thrown while a body is read for which the host has no memory left. Fastify reads `statusCode`. */
+class BodyMemoryError extends Error {
     readonly statusCode = MEMORY_FULL.status;
 }
 
-/** What each request holds, from its head on. */
+/** The memory account of each request. */
 const memories = new WeakMap<IncomingMessage, CallMemory>();
 
-/** Counts what requests hold, and refuses bodies for which there is no room: before they are read where their length is told. */
-function countMemory(app: FastifyInstance, host: Host): void {
+/** Accounts for the memory of requests. Refuses bodies that do not fit: before reading them if their length is declared. */
+function accountMemory(app: FastifyInstance, host: Host): void {
     app.addHook("onRequest", (req, reply, done) => {
         const memory = host.memory.open(req.id);
         memories.set(req.raw, memory);
         memory.onGiveUp = () => reply.raw.destroy();
         reply.raw.on("close", () => memory.close());
-        const bytes = Math.min(lengthTold(req.raw) ?? 0, LARGEST_BODY);
+        const bytes = Math.min(declaredLength(req.raw) ?? 0, MAX_BODY_BYTES);
         if (bytes === 0 || memory.takeIn(bytes)) return done();
         host.metrics.countOutcome(FailCode.MemoryFull, "no");
         reply.hijack();
@@ -70,35 +71,34 @@
         const onData = (chunk: Buffer): void => {
             if (memories.get(req.raw)!.takeIn(chunk.length)) return;
             payload.off("data", onData);
-            payload.emit("error", new NoRoomError());
+            payload.emit("error", new BodyMemoryError());
         };
-        if (lengthTold(req.raw) === undefined) payload.on("data", onData);
+        if (declaredLength(req.raw) === undefined) payload.on("data", onData);
         done(null, payload);
     });
 }
 
-/** Builds the callers' server; it does not listen yet. */
+/** Creates the server for callers; it does not listen yet. */
 export function createCallers(host: Host, tls: { cert: string; key: string } | undefined): FastifyInstance {
     const app = Fastify({
-        bodyLimit: LARGEST_BODY,
+        bodyLimit: MAX_BODY_BYTES,
         requestTimeout: host.cfg["callers.body-timeout"],
         genReqId: () => randomUUID(),
-        // Typed for plain HTTP: the two kinds of server have the same interface here.
+        // Typed for plain HTTP; the HTTPS server has the same interface here.
         ...(tls ? { https: tls } as object : {}),
         http: {
             maxHeaderSize: host.cfg["callers.header-bytes"],
             requestTimeout: host.cfg["callers.body-timeout"],
             headersTimeout: host.cfg["callers.body-timeout"],
-            // Node looks for late requests only each 30 s unless told otherwise.
-            connectionsCheckingInterval: Math.min(LOOK_FOR_LATE_MS, host.cfg["callers.body-timeout"]),
+            connectionsCheckingInterval: Math.min(LATE_REQUEST_CHECK_MS, host.cfg["callers.body-timeout"]),
         },
         forceCloseConnections: "idle",
     });
-    countMemory(app, host);
+    accountMemory(app, host);
     app.removeAllContentTypeParsers();
     app.addContentTypeParser("*", { parseAs: "buffer" }, (_req, body, done) => done(null, body));
     app.setErrorHandler((err: Error & { statusCode?: number; code?: string }, req, reply) => {
-        if (err instanceof NoRoomError) {
+        if (err instanceof BodyMemoryError) {
             host.metrics.countOutcome(FailCode.MemoryFull, "no");
             return reply.code(err.statusCode).headers(errorHeaders(MEMORY_FULL)).send(errorBody(MEMORY_FULL));
         }
@@ -123,14 +123,14 @@
     app.post("/v1/completions", (req, reply) => completion(host, req, reply, false));
     app.get("/v1/models", (req, reply) => listModels(host, req, reply));
     app.all<{ Params: { service: string } }>("/services/:service/*", (req, reply) => {
-        const admitted = admitCaller(host, req, reply);
+        const admitted = authenticateCaller(host, req, reply);
         if (admitted) servePlain(host, { ...admitted, id: req.id, service: req.params.service, req, out: reply.raw });
     });
     return app;
 }
 
-/** Checks the host's state and the caller's key; answers by itself where either is not good. */
-function admitCaller(
+/** Checks the host's state and the caller's key; answers with an error if either does not pass. */
+function authenticateCaller(
     host: Host,
     req: FastifyRequest,
     reply: FastifyReply,
@@ -138,7 +138,7 @@
     reply.hijack();
     const refuse = (err: ApiError): undefined => {
         host.metrics.countOutcome(err === UNAUTHORIZED ? "unauthorized" : "host_stopping", "no");
-        // A caller that keeps its connection would meet its end, were it not told.
+        // Otherwise the caller might reuse its connection just as the host closes it.
         const close = err === STOPPING ? { connection: "close" } : {};
         writeError(reply.raw, err, { "x-request-id": req.id, ...close });
         return undefined;
@@ -152,16 +152,16 @@
 }
 
 function completion(host: Host, req: FastifyRequest, reply: FastifyReply, chat: boolean): void {
-    const admitted = admitCaller(host, req, reply);
+    const admitted = authenticateCaller(host, req, reply);
     if (!admitted) return;
     const raw = Buffer.isBuffer(req.body) ? req.body : Buffer.alloc(0);
     const headers = { "x-request-id": req.id };
-    const most = admitted.directory.settingsFor(admitted.workspace, undefined)["max-body"];
-    if (raw.length > most) {
+    const maxBytes = admitted.directory.settingsFor(admitted.workspace, undefined)["max-body"];
+    if (raw.length > maxBytes) {
         writeError(reply.raw, {
             status: 413,
             code: "body_too_large",
-            message: `at most ${most} bytes are allowed`,
+            message: `at most ${maxBytes} bytes are allowed`,
             ran: "no",
         }, headers);
         return;
@@ -188,7 +188,7 @@
 }
 
 function listModels(host: Host, req: FastifyRequest, reply: FastifyReply): void {
-    const admitted = admitCaller(host, req, reply);
+    const admitted = authenticateCaller(host, req, reply);
     if (!admitted) return;
     const data = [...admitted.directory.models].map(([id, service]) => ({
         id,
--- a/packages/host/src/calls/engine-runner.ts
+++ b/packages/host/src/calls/engine-runner.ts
@@ -1,26 +1,27 @@
 /**
- * Attempts at model engines: the engine client's streams turned into events of a request.
+ * Makes attempts at model engines: turns the streams of the engine client into events of a request.
  *
  * @module
  */
 import { cancelStream, type EngineCall, type EngineEnd, openStream, type StreamLimits } from "@drumpaddle/protocol";
 import type { Dispatcher } from "undici";
-import type { AttemptRunner, AttemptSink } from "./run.js";
-import { UnreadAnswer } from "./unread-answer.js";
+import { ReadPauses } from "./read-pauses.js";
+import type { AttemptRunner, AttemptSink } from "./request-driver.js";
 
-/** One piece of an engine's answer: an event's data as it came. */
-export type EnginePiece = string;
+/** One piece of an engine's answer: the data of an event, unchanged. */
+export type EngineEventData = string;
 
-/** What attempts need. */
+/** Dependencies of {@link engineRunner}. */
 export interface EngineRunnerDeps {
     readonly dispatcher: Dispatcher;
     readonly urlOf: (endpoint: string) => string | undefined;
     readonly path: string;
     readonly requestId: string;
+    /** Returns the body to send, with the priority that was decided. */
     readonly bodyWith: (priority: number) => string;
     readonly limits: StreamLimits;
-    /** A promise while the caller does not read. */
-    readonly ready: () => Promise<void> | undefined;
+    /** Returns a promise that resolves when the caller reads again; undefined if it reads now. */
+    readonly whenCallerReads: () => Promise<void> | undefined;
     /** The time, in milliseconds. */
     readonly now: () => number;
 }
@@ -28,14 +29,14 @@
 const CANCEL_TIMEOUT_MS = 2_000;
 
 /**
- * Attempts for one request.
+ * Creates the runner of one request.
  *
  * @example
  * ```ts
  * new Run({ runner: engineRunner(deps), ... });
  * ```
  */
-export function engineRunner(deps: EngineRunnerDeps): AttemptRunner<EnginePiece> {
+export function engineRunner(deps: EngineRunnerDeps): AttemptRunner<EngineEventData> {
     const common = (attempt: string, url: string): Omit<EngineCall, "path" | "method"> => ({
         dispatcher: deps.dispatcher,
         url,
@@ -47,22 +48,22 @@
         start: ({ attempt, endpoint, priority }, sink, signal) => {
             const url = deps.urlOf(endpoint);
             if (url === undefined) {
-                sink.event({ kind: "lost", attempt, cause: "connect", detail: "the endpoint is no longer declared" });
+                sink.report({ kind: "lost", attempt, cause: "connect", detail: "the endpoint is no longer declared" });
                 return;
             }
-            sink.event({ kind: "sending", attempt });
+            sink.report({ kind: "sending", attempt });
             const call: EngineCall = {
                 ...common(attempt, url),
                 path: deps.path,
                 method: "POST",
                 body: deps.bodyWith(priority),
             };
-            void stream(call, undefined, deps, sink, signal);
+            void runStream(call, undefined, deps, sink, signal);
         },
         resume: (attempt, endpoint, generation, from, sink, signal) => {
             const url = deps.urlOf(endpoint);
             if (url === undefined) {
-                sink.event({
+                sink.report({
                     kind: "lost",
                     attempt,
                     cause: "resumeRefused",
@@ -71,7 +72,7 @@
                 return;
             }
             const path = `/v1/generations/${encodeURIComponent(generation)}?from=${from}`;
-            void stream({ ...common(attempt, url), path, method: "GET" }, generation, deps, sink, signal);
+            void runStream({ ...common(attempt, url), path, method: "GET" }, generation, deps, sink, signal);
         },
         cancel: (attempt, endpoint, generation) => {
             const url = deps.urlOf(endpoint);
@@ -80,23 +81,23 @@
     };
 }
 
-async function stream(
+async function runStream(
     call: EngineCall,
     resuming: string | undefined,
     deps: EngineRunnerDeps,
-    sink: AttemptSink<EnginePiece>,
+    sink: AttemptSink<EngineEventData>,
     signal: AbortSignal,
 ): Promise<void> {
-    const unread = new UnreadAnswer(deps.now);
+    const pauses = new ReadPauses(deps.now);
     const end = await openStream(
         call,
         {
-            onEvent: event => sink.event(event, "data" in event ? event.data : undefined),
+            onEvent: event => sink.report(event, "data" in event ? event.data : undefined),
             ready: () => {
-                const waiting = deps.ready();
-                if (!waiting) return undefined;
-                unread.holdBack();
-                return waiting.then(() => unread.readOn());
+                const callerReads = deps.whenCallerReads();
+                if (!callerReads) return undefined;
+                pauses.pause();
+                return callerReads.then(() => pauses.resume());
             },
         },
         signal,
@@ -104,20 +105,20 @@
     if (signal.aborted) return;
     const { attempt } = call;
     if (end.kind === "refused" && resuming === undefined) {
-        sink.event({ kind: "endpointRefused", attempt, detail: end.detail, retryAfterMs: end.retryAfterMs });
+        sink.report({ kind: "endpointRefused", attempt, detail: end.detail, retryAfterMs: end.retryAfterMs });
         return;
     }
     const loss = lossOf(end, resuming !== undefined);
-    const isCutOff = loss.cause === "reset" && unread.mayBeCutOff;
-    sink.event({ kind: "lost", attempt, ...loss, ...(isCutOff ? { cause: "unread" } : {}) });
+    const isCutOff = loss.cause === "reset" && pauses.mayExplainClose;
+    sink.report({ kind: "lost", attempt, ...loss, ...(isCutOff ? { cause: "unread" } : {}) });
 }
 
 function lossOf(
     end: EngineEnd,
     resuming: boolean,
 ): { cause: "connect" | "reset" | "idle" | "firstToken" | "invalid" | "resumeRefused"; detail: string } {
-    if (end.kind === "closed") return { cause: "reset", detail: "the stream ended before its answer was whole" };
+    if (end.kind === "closed") return { cause: "reset", detail: "the stream ended before its answer was complete" };
     if (end.kind === "refused") return { cause: "resumeRefused", detail: end.detail };
-    // While resuming, a lost connection says nothing about the generation: it may be tried again.
+    // A failed connection of a resume does not mean that the generation is lost: the resume may be retried.
     return { cause: resuming && end.cause === "connect" ? "reset" : end.cause, detail: end.detail };
 }
--- a/packages/host/src/calls/fingerprint.ts
+++ b/packages/host/src/calls/fingerprint.ts
@@ -1,26 +1,27 @@
 /**
- * Tells whether two calls ask for the same: a caller that sends a call again gives it another id, and may send it to any host.
+ * Identifies calls by their content: a caller that repeats a call gives it another id, and may send it to any host.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** What makes two calls the same. */
+/** The parts of a call that identify it. */
 export interface CallContent {
     readonly method: string;
-    /** Host name that the call names, and its path with the query. */
+    /** The host name in the call's head. */
     readonly host: string;
+    /** Path with the query. */
     readonly target: string;
-    /** Empty where the route asks for no key. */
+    /** Empty if the route needs no key. */
     readonly workspace: string;
     readonly body: Buffer | undefined;
 }
 
-/** Bytes of the hash that are kept: two different calls of a fleet share them by chance once in 2^64 calls. */
-const KEPT_BYTES = 16;
+/** Length of the truncated hash: two different calls collide once in about 2^64 calls. */
+const FINGERPRINT_BYTES = 16;
 
 /**
- * The name of what a call asks for, of 22 characters. It says nothing of the body: a hash cannot be turned back.
+ * Returns the fingerprint of a call, of 22 characters. It can be logged, as the body cannot be derived from the hash.
  *
  * @example
  * ```ts
@@ -31,5 +32,5 @@
     const head = JSON.stringify([method, host, target, workspace]);
     const hash = createHash("sha256").update(head);
     if (body) hash.update(body);
-    return hash.digest().subarray(0, KEPT_BYTES).toString("base64url");
+    return hash.digest().subarray(0, FINGERPRINT_BYTES).toString("base64url");
 }
--- a/packages/host/src/calls/forward-attempt.ts
+++ b/packages/host/src/calls/forward-attempt.ts
@@ -1,6 +1,6 @@
 /**
- * Makes the attempts of a forwarded call: sends it to an endpoint, judges the answer's head, and reports pieces of the
- * answer to the call's state machine. A stream is reported event by event, another answer as a whole unless it is long.
+ * Makes one attempt of a forwarded call: sends it to an endpoint, checks the head of the answer, and reports the answer to
+ * the call's state machine in pieces. A stream is reported event by event, any other answer as one piece unless it is long.
  *
  * @module
  */
@@ -16,21 +16,21 @@
 import { FailCode, type LossCause } from "@drumpaddle/request";
 import type { EndpointEntry } from "@drumpaddle/routes";
 import type { EndpointConnections, Exchange, ExchangeSink } from "../endpoints/endpoint-connections.js";
-import { isStream, judgeAnswer, mayFollow, MISDIRECTED, type SentBefore, type Verdict } from "./judge-answer.js";
-import type { AttemptSink } from "./run.js";
+import { canFollow, isStream, judgeAnswer, MISDIRECTED, type SentBefore, type Verdict } from "./judge-answer.js";
+import { ReadPauses, SLOW_READER_MS } from "./read-pauses.js";
+import type { AttemptSink } from "./request-driver.js";
 import { type SilenceCfg, SilenceWatch } from "./silence-watch.js";
-import { UNREAD_MS, UnreadAnswer } from "./unread-answer.js";
 
-/** A part of an answer on its way to the caller. */
+/** A piece of an answer. */
 export interface AnswerPiece {
     readonly status: number;
     readonly headers: RawHeaders;
     readonly body: Buffer;
-    /** Length of the whole body; undefined where it is not known yet. */
+    /** Length of the complete body; undefined if it is not known yet. */
     readonly length: number | undefined;
-    /** False where only the end of its connection ends the answer: the caller must see it end likewise. */
+    /** Whether a length or chunks mark the end of the answer. If not, the answer to the caller must also end with its connection. */
     readonly framed: boolean;
-    /** Id of the event that it is, where it is one. */
+    /** Id of the event, if the piece is an event with an id. */
     readonly event: string | undefined;
 }
 
@@ -42,45 +42,45 @@
     readonly path: string;
     readonly send: SendHead;
     readonly body: Buffer | undefined;
-    /** What has gone to the caller of an earlier attempt's answer; undefined where nothing has. */
+    /** What earlier attempts have sent to the caller; undefined if nothing. */
     readonly before: SentBefore | undefined;
-    /** How a stream that falls silent is taken for lost; undefined where nothing is won by that. */
+    /** When a silent stream counts as lost; undefined if it could not continue elsewhere. */
     readonly silence: SilenceCfg | undefined;
     readonly sink: AttemptSink<AnswerPiece>;
-    /** Calls back when more of the answer may be read, if it may not be now; returns whether it may be. */
+    /** Returns whether more of the answer may be read now; if not, calls back when it may. */
     readonly whenRoom: (resume: () => void) => boolean;
-    /** How much of the answer may be held until it is whole, in bytes. */
+    /** Returns how many bytes of an incomplete answer may be held. */
     readonly holdLimit: () => number;
-    /** Told how much of the answer is held now, in bytes. */
+    /** Called with the number of bytes of the answer that are held now. */
     readonly onHeld: (bytes: number) => void;
-    /** Told how to learn for how long the endpoint has left the body unread, in milliseconds; 0 where it has taken it all. */
-    readonly onBody: (unreadMs: () => number) => void;
-    /** Told, where the attempt is given up, what of the body its endpoint had not read for a while. */
+    /** Receives a function that returns for how long the endpoint has not read all of the body, in milliseconds; 0 if it has. */
+    readonly trackBodyStall: (unreadMs: () => number) => void;
+    /** Called when the attempt is abandoned while the endpoint has not read all of the body for {@link SLOW_READER_MS}. */
     readonly onBodyUnread: (bytes: number, ms: number) => void;
-    /** The time, in milliseconds. */
+    /** Returns the time in milliseconds. */
     readonly now: () => number;
-    /** Told of each answer's status and head, before anything of it is reported. */
+    /** Called with the status and head of the answer, before any of it is reported. */
     readonly onAnswered: (status: number, head: AnswerHead) => void;
-    /** Told what the endpoint says of itself in an answer that is surely its own. */
-    readonly onSaid: (status: number, said: AnswerHead) => void;
-    /** Told when the endpoint refuses because it is another one than the call names. */
+    /** Called with what the endpoint states about itself, if the answer is certainly its own. */
+    readonly onSelfReport: (status: number, said: AnswerHead) => void;
+    /** Called when the endpoint refuses the call because it is not the incarnation that the call names. */
     readonly onOtherIncarnation: () => void;
-    /** Aborts when the endpoint is known to have begun a later life: the connection may stay silent for good. */
+    /** Aborts when the endpoint's incarnation is known to be over: its connection may stay silent forever. */
     readonly life: AbortSignal;
     readonly signal: AbortSignal;
 }
 
-/** Answers up to this size are held until they are whole, so that a broken one can be tried elsewhere or refused. */
-const HELD_BYTES = 262_144;
-/** An event is passed on whole; one above this is taken in only where there is room for it. */
-const LARGEST_EVENT_BYTES = 1_000_000;
-/** An endpoint's answer with this status or above is its own failure. */
-const FAILED_STATUS = 500;
-/** Statuses whose answers never have a body. */
+/** Answers up to this size are held until they are complete, so that the call can still be retried or refused if they break. */
+const MAX_HELD_BYTES = 262_144;
+/** Events are forwarded as a whole; larger ones are accepted only if there is memory for them. */
+const MAX_EVENT_BYTES = 1_000_000;
+/** Answers with this status or above are errors of the endpoint. */
+const MIN_FAILED_STATUS = 500;
+/** Statuses of answers that never have a body. */
 export const NO_BODY_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /**
- * Starts an attempt; it reports to its sink until it has ended or its signal ends it.
+ * Starts an attempt, which reports to its sink until it ends or its signal aborts.
  *
  * @example
  * ```ts
@@ -88,10 +88,11 @@
  * ```
  */
 export function startAttempt(connections: EndpointConnections, wire: PlatformWire, attempt: ForwardAttempt): void {
-    new Answering(connections, wire, attempt).start();
+    new AttemptExchange(connections, wire, attempt).start();
 }
 
-class Answering implements ExchangeSink {
+/** The exchange of one attempt with its endpoint. */
+class AttemptExchange implements ExchangeSink {
     private exchange: Exchange | undefined;
     private status = 0;
     private head: AnswerHead | undefined;
@@ -100,13 +101,13 @@
     private held: Buffer[] = [];
     private heldBytes = 0;
     private pieces: number;
-    /** Whether the first event with an id was held against what went out before. */
-    private firstIdChecked = false;
-    /** Whether the last event that was passed on carries data and no id. */
-    private unnamed = false;
-    private over = false;
+    /** Whether the first event with an id was compared with what was sent before. */
+    private hasCheckedFirstId = false;
+    /** Whether an event with data but without an id was reported after the last event with an id. */
+    private lastDataHasNoId = false;
+    private hasEnded = false;
     private sentAt: number | undefined;
-    private readonly unread: UnreadAnswer;
+    private readonly pauses: ReadPauses;
     private readonly silence: SilenceWatch | undefined;
 
     constructor(
@@ -115,147 +116,147 @@
         private readonly attempt: ForwardAttempt,
     ) {
         this.pieces = attempt.before?.pieces ?? 0;
-        this.unread = new UnreadAnswer(attempt.now);
+        this.pauses = new ReadPauses(attempt.now);
         const { silence } = attempt;
-        this.silence = silence && new SilenceWatch(silence, detail => this.lose("idle", detail));
+        this.silence = silence && new SilenceWatch(silence, detail => this.reportLoss("idle", detail));
     }
 
     start(): void {
         const { endpoint, method, path, send, body, life, signal } = this.attempt;
-        signal.addEventListener("abort", () => this.cut(), { once: true });
+        signal.addEventListener("abort", () => this.onAbort(), { once: true });
         life.addEventListener("abort", this.onLifeOver, { once: true });
         const call = { method, path, headers: this.wire.writeSend(send), body };
-        this.attempt.onBody(() => this.bodyUnreadMs);
+        this.attempt.trackBodyStall(() => this.bodyUnreadMs);
         this.exchange = this.connections.send(endpoint.address, call, this);
-        if (this.over) this.exchange.destroy();
+        if (this.hasEnded) this.exchange.destroy();
     }
 
     onSending(): void {
         this.sentAt = this.attempt.now();
-        this.attempt.sink.event({ kind: "sending", attempt: this.attempt.id });
+        this.attempt.sink.report({ kind: "sending", attempt: this.attempt.id });
     }
 
     onHead(status: number, headers: RawHeaders): void {
-        // An informational head; the answer's own is to come.
-        if (this.over || status < 200) return;
-        const { id, send, sink, before, onAnswered, onSaid } = this.attempt;
+        // Ignores informational responses.
+        if (this.hasEnded || status < 200) return;
+        const { id, send, sink, before, onAnswered, onSelfReport } = this.attempt;
         this.status = status;
         this.head = this.wire.readAnswer(headers);
         onAnswered(status, this.head);
-        // A surplus answer is late, and one that was misdirected is another endpoint's.
-        if (this.head.id === send.call.id && status !== MISDIRECTED) onSaid(status, this.head);
+        // An answer to another call is a late one, and the answer to a misdirected call comes from another incarnation.
+        if (this.head.id === send.call.id && status !== MISDIRECTED) onSelfReport(status, this.head);
         this.verdict = judgeAnswer(send.call.id, status, this.head, before);
-        if (this.verdict.kind === "invalid") return this.lose("invalid", this.verdict.detail);
+        if (this.verdict.kind === "invalid") return this.reportLoss("invalid", this.verdict.detail);
         if (this.verdict.kind === "refused") return;
-        sink.event({ kind: "opened", attempt: id, generation: id });
+        sink.report({ kind: "opened", attempt: id, generation: id });
         if (isStream(status, this.head)) this.splitter = new EventSplitter();
     }
 
     onData(chunk: Buffer): void {
-        if (this.over || this.verdict?.kind !== "take") return;
-        if (this.splitter) return this.passEvents(this.splitter.push(chunk), this.splitter.unfinished.length);
+        if (this.hasEnded || this.verdict?.kind !== "take") return;
+        if (this.splitter) return this.reportEvents(this.splitter.push(chunk), this.splitter.unfinished.length);
         this.held.push(chunk);
         this.heldBytes += chunk.length;
-        // Where memory is short, an answer is passed on as it comes, and can then not be asked for elsewhere.
-        if (this.hasSent || this.heldBytes > Math.min(HELD_BYTES, this.attempt.holdLimit())) this.passHeld();
+        // If memory is short, an answer is forwarded as it arrives, and can then no longer be retried elsewhere.
+        if (this.hasReported || this.heldBytes > Math.min(MAX_HELD_BYTES, this.attempt.holdLimit())) this.reportHeld();
         else this.attempt.onHeld(this.heldBytes);
     }
 
     onEnd(orderly: boolean): void {
-        if (this.over) return;
-        if (!this.head) return this.lose("reset", "the answer had no head");
-        if (this.verdict?.kind === "refused") return this.refuse();
+        if (this.hasEnded) return;
+        if (!this.head) return this.reportLoss("reset", "the connection ended before the head of an answer");
+        if (this.verdict?.kind === "refused") return this.reportRefusal();
         const cut = !this.head.framed && !orderly && !NO_BODY_STATUSES.has(this.status);
-        if (cut) return this.lose("reset", "the connection was reset before the answer's end was told");
-        if (this.endsWithinEvent) return this.lose("reset", "the answer ended within an event");
-        this.over = true;
+        if (cut) return this.reportLoss("reset", "the connection was reset before the end of the answer");
+        if (this.endsWithinEvent) return this.reportLoss("reset", "the answer ended within an event");
+        this.hasEnded = true;
         this.releaseConnection();
         this.finish();
     }
 
     onBroken(err: Error): void {
-        if (!this.over) this.breakOff(errText(err));
+        if (!this.hasEnded) this.onConnectionLost(errText(err));
     }
 
     private readonly onLifeOver = (): void => {
-        if (!this.over) this.breakOff("the endpoint has begun another life");
+        if (!this.hasEnded) this.onConnectionLost("the endpoint has restarted");
     };
 
-    /** Before its first byte left nothing can have run, whatever the reason; after it that is unknown. */
-    private breakOff(detail: string): void {
-        if (this.sentAt === undefined) this.lose("connect", detail);
-        else if (this.unread.mayBeCutOff) {
-            this.lose("unread", `${detail}, left unread for ${this.unread.ms} ms for its caller`);
+    /** Reports the loss of the connection. If no byte was sent the request cannot have run, whatever the reason. */
+    private onConnectionLost(detail: string): void {
+        if (this.sentAt === undefined) this.reportLoss("connect", detail);
+        else if (this.pauses.mayExplainClose) {
+            this.reportLoss("unread", `${detail}, left unread for ${this.pauses.longestMs} ms for its caller`);
         }
-        else this.lose("reset", detail);
+        else this.reportLoss("reset", detail);
     }
 
     private get bodyUnreadMs(): number {
-        if (this.over || this.sentAt === undefined || !this.exchange?.unsentBytes) return 0;
+        if (this.hasEnded || this.sentAt === undefined || !this.exchange?.unsentBytes) return 0;
         return this.attempt.now() - this.sentAt;
     }
 
     private finish(): void {
         const { id, sink } = this.attempt;
-        const whole = !this.hasSent && !this.splitter;
-        if (whole && this.status >= FAILED_STATUS) {
-            sink.event({ kind: "failedAnswer", attempt: id, generation: id }, this.piece(this.takeHeld()));
+        const isUnreported = !this.hasReported && !this.splitter;
+        if (isUnreported && this.status >= MIN_FAILED_STATUS) {
+            sink.report({ kind: "failedAnswer", attempt: id, generation: id }, this.piece(this.takeHeld()));
             return;
         }
-        if (whole) this.pass(this.takeHeld());
+        if (isUnreported) this.reportPiece(this.takeHeld());
         const last = this.splitter ? this.splitter.unfinished : this.takeHeld();
-        const failed = this.status >= FAILED_STATUS;
-        sink.event({ kind: "finished", attempt: id, generation: id, total: this.pieces, failed }, this.piece(last));
+        const failed = this.status >= MIN_FAILED_STATUS;
+        sink.report({ kind: "finished", attempt: id, generation: id, total: this.pieces, failed }, this.piece(last));
     }
 
-    /** Whether a part of the answer has gone on already. */
-    private get hasSent(): boolean {
+    /** Whether this attempt has reported a piece. */
+    private get hasReported(): boolean {
         return this.pieces > (this.attempt.before?.pieces ?? 0);
     }
 
-    private refuse(): void {
-        this.over = true;
+    private reportRefusal(): void {
+        this.hasEnded = true;
         this.releaseConnection();
         if (this.status === MISDIRECTED) this.attempt.onOtherIncarnation();
         const detail = `the endpoint refused with ${this.status}`;
-        this.attempt.sink.event({ kind: "endpointRefused", attempt: this.attempt.id, detail });
+        this.attempt.sink.report({ kind: "endpointRefused", attempt: this.attempt.id, detail });
     }
 
-    private passEvents(events: readonly WholeEvent[], unfinishedBytes: number): void {
-        this.silence?.heard();
+    private reportEvents(events: readonly WholeEvent[], unfinishedBytes: number): void {
+        this.silence?.onEvent();
         this.attempt.onHeld(unfinishedBytes);
-        if (unfinishedBytes > Math.max(LARGEST_EVENT_BYTES, this.attempt.holdLimit())) {
-            return this.lose("invalid", `an event of more than ${unfinishedBytes} bytes`);
+        if (unfinishedBytes > Math.max(MAX_EVENT_BYTES, this.attempt.holdLimit())) {
+            return this.reportLoss("invalid", `an event of more than ${unfinishedBytes} bytes`);
         }
         for (const { bytes, id, hasData } of events) {
-            if (!this.fits(id)) return this.lose("invalid", `event ${id} where the next one was to come`);
-            this.unnamed = id === undefined && (hasData || this.unnamed);
-            this.pass(bytes, id);
+            if (!this.mayStartWith(id)) return this.reportLoss("invalid", `event ${id} is out of order`);
+            this.lastDataHasNoId = id === undefined && (hasData || this.lastDataHasNoId);
+            this.reportPiece(bytes, id);
         }
-        if (events.length > 0) this.holdBack();
+        if (events.length > 0) this.applyBackpressure();
     }
 
-    /** Whether an event may come here: a continuation that starts over or leaves some out does not fit what has gone out. */
-    private fits(id: string | undefined): boolean {
+    /** Whether a continuation may start with this event: it must neither repeat nor skip events. */
+    private mayStartWith(id: string | undefined): boolean {
         const { before } = this.attempt;
-        if (before === undefined || id === undefined || this.firstIdChecked) return true;
-        this.firstIdChecked = true;
-        return mayFollow(before, id);
+        if (before === undefined || id === undefined || this.hasCheckedFirstId) return true;
+        this.hasCheckedFirstId = true;
+        return canFollow(before, id);
     }
 
     /**
-     * Whether a stream ended in the middle of an event that another endpoint can still give whole. A first answer whose
-     * bytes tell its end, or that has no copy, is passed on as its endpoint made it.
+     * Whether a stream ended within an event that another endpoint can still send completely. A first answer with a length
+     * or chunks, or without a copy, is forwarded as the endpoint sent it.
      */
     private get endsWithinEvent(): boolean {
-        const partial = this.splitter !== undefined && this.splitter.unfinished.length > 0;
+        const isPartial = this.splitter !== undefined && this.splitter.unfinished.length > 0;
         const { before, send } = this.attempt;
-        return partial && (before !== undefined || this.head?.framed === false && send.backUpTo !== undefined);
+        return isPartial && (before !== undefined || this.head?.framed === false && send.backUpTo !== undefined);
     }
 
-    private passHeld(): void {
-        this.pass(this.takeHeld());
-        this.holdBack();
+    private reportHeld(): void {
+        this.reportPiece(this.takeHeld());
+        this.applyBackpressure();
     }
 
     private takeHeld(): Buffer {
@@ -265,64 +266,63 @@
         return bytes;
     }
 
-    private pass(bytes: Buffer, event?: string): void {
+    private reportPiece(bytes: Buffer, event?: string): void {
         const { id, sink } = this.attempt;
         const index = this.pieces;
         this.pieces += 1;
-        sink.event({ kind: "token", attempt: id, generation: id, index }, this.piece(bytes, event));
+        sink.report({ kind: "token", attempt: id, generation: id, index }, this.piece(bytes, event));
     }
 
     private piece(body: Buffer, event?: string): AnswerPiece {
         const framed = this.head?.framed ?? true;
-        const whole = this.over && framed ? this.heldBytes : undefined;
-        const length = this.splitter ? undefined : this.head?.length ?? whole;
+        const wholeLength = this.hasEnded && framed ? this.heldBytes : undefined;
+        const length = this.splitter ? undefined : this.head?.length ?? wholeLength;
         return { status: this.status, headers: this.head?.passed ?? [], body, length, framed, event };
     }
 
-    /** Reads no further where the caller is too far behind. */
-    private holdBack(): void {
-        const goOn = (): void => {
-            this.unread.readOn();
+    /** Pauses reading while the caller is too far behind. */
+    private applyBackpressure(): void {
+        const resume = (): void => {
+            this.pauses.resume();
             this.silence?.resume();
             this.exchange?.resume();
         };
-        if (this.attempt.whenRoom(goOn)) return;
-        this.unread.holdBack();
+        if (this.attempt.whenRoom(resume)) return;
+        this.pauses.pause();
         this.silence?.pause();
         this.exchange?.pause();
     }
 
-    /** Nothing more is waited for. */
-    private endWatches(): void {
+    private stopWatching(): void {
         this.silence?.stop();
         this.attempt.life.removeEventListener("abort", this.onLifeOver);
     }
 
     private releaseConnection(): void {
-        this.endWatches();
+        this.stopWatching();
         if (!this.head || this.head.closes || !this.head.framed) return this.exchange?.destroy();
         this.exchange?.release(this.head.keepAliveMs);
     }
 
-    private lose(loss: LossCause, detail: string): void {
-        // What went out last has no id, so no copy can be told where to go on.
-        const cannotContinue = this.hasSent && (!this.splitter || this.unnamed);
+    private reportLoss(loss: LossCause, detail: string): void {
+        // Without the id of the last data, no copy can be told from where to continue.
+        const cannotContinue = this.hasReported && (!this.splitter || this.lastDataHasNoId);
         const { id, sink } = this.attempt;
         this.abandon();
-        if (!cannotContinue) sink.event({ kind: "lost", attempt: id, cause: loss, detail });
-        else if (loss === "unread") sink.event({ kind: "givenUp", code: FailCode.CallerUnread, detail });
-        else sink.event({ kind: "lost", attempt: id, cause: "invalid", detail });
+        if (!cannotContinue) sink.report({ kind: "lost", attempt: id, cause: loss, detail });
+        else if (loss === "unread") sink.report({ kind: "givenUp", code: FailCode.CallerUnread, detail });
+        else sink.report({ kind: "lost", attempt: id, cause: "invalid", detail });
     }
 
-    private cut(): void {
-        if (!this.over) this.abandon();
+    private onAbort(): void {
+        if (!this.hasEnded) this.abandon();
     }
 
     private abandon(): void {
         const unreadMs = this.bodyUnreadMs;
-        if (unreadMs >= UNREAD_MS) this.attempt.onBodyUnread(this.exchange!.unsentBytes, Math.round(unreadMs));
-        this.over = true;
-        this.endWatches();
+        if (unreadMs >= SLOW_READER_MS) this.attempt.onBodyUnread(this.exchange!.unsentBytes, Math.round(unreadMs));
+        this.hasEnded = true;
+        this.stopWatching();
         this.held = [];
         this.attempt.onHeld(0);
         this.exchange?.destroy();
--- a/packages/host/src/calls/forward-call.ts
+++ b/packages/host/src/calls/forward-call.ts
@@ -1,5 +1,5 @@
 /**
- * A call that is forwarded as it is, and what the calls of one gateway share.
+ * A forwarded call, and the state and services that all calls of a gateway share.
  *
  * @module
  */
@@ -15,65 +15,72 @@
 import type { HostMemory } from "../runtime/host-memory.js";
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
-import type { Copies } from "./copies.js";
+import type { Copies } from "./generation-copies.js";
 import type { OpenRuns } from "./host.js";
 
-/** What the calls of one gateway share. */
+/** State and services that the calls of one gateway share. */
 export interface Forwarding {
     readonly wire: PlatformWire;
     readonly clock: Clock;
     readonly log: Log;
     readonly metrics: Metrics;
     readonly connections: EndpointConnections;
+    /** Schedules generations on engines. */
     readonly engines: Placement;
+    /** Schedules calls of plain services. */
     readonly plain: Placement;
     readonly runs: OpenRuns;
     readonly copies: Copies;
-    /** What this host holds for those that read slowly. */
+    /** Accounts for the memory that calls hold. */
     readonly memory: HostMemory;
-    /** Takes in what endpoints say of themselves. */
+    /** Receives what endpoints state about themselves in their answers, such as a limit. */
     readonly words: EndpointWords;
     readonly signal: AbortSignal;
-    /** Time for a caller to send a body, in milliseconds. */
+    /** Time limit for a caller to send a body, in milliseconds. */
     readonly bodyMs: number;
     /** Whether each call is logged. */
     readonly logCalls: boolean;
-    /** Whether this host has descriptors left for one more call. */
+    /** Whether the host has file descriptors left for one more call. */
     hasDescriptors(): boolean;
-    /** Whether this host was suspended and has heard nothing since. */
+    /** Whether the host was suspended and has received no deployment or registry update since. */
     isStale(): boolean;
-    /** What is declared now; undefined until it was learnt. */
+    /** The routes of the current deployment; undefined until the host has received one. */
     table(): RouteTable | undefined;
+    /** Returns the registration of an endpoint. */
     endpoint(incarnation: string): EndpointEntry | undefined;
     /** Whether the operator has evacuated a hall. */
     isEvacuated(hall: string): boolean;
-    /** Halls that lie in some regions. */
+    /** Returns the halls that lie in some regions. */
     hallsIn(homes: readonly string[]): readonly string[];
-    /** Versions of the software of a service's endpoints that take new work. */
+    /** Returns the software versions of a service's endpoints that accept new work. */
     softwareOf(service: string): readonly string[];
-    /** When this host ends, on the monotonic clock; undefined while it is not told to stop. */
+    /** When the host exits, in milliseconds on the monotonic clock; undefined unless it is shutting down. */
     endsAt(): number | undefined;
+    /** Signals that abort when an incarnation of an endpoint is over. */
     readonly lives: LifeSignals;
-    /** Keeps requests away that end the endpoints that run them. */
+    /** Withholds requests that crash the endpoints that run them. */
     readonly guard: RequestGuard;
-    /** An endpoint is not the one that was called: its address has another one. */
+    /** Called when an endpoint refused a call because another incarnation runs at its address. */
     onOtherIncarnation(incarnation: string): void;
-    /** Takes in that a later life of an endpoint has answered than the one that was called. */
+    /** Called when a later incarnation of an endpoint has answered than the one that was called. */
     meetLife(life: Life): void;
 }
 
-/** A call with all that is pinned for it. */
+/** A call, with what is fixed when it arrives. */
 export interface ForwardCall {
+    /** When the call arrived, in milliseconds on the monotonic clock. */
     readonly at: number;
     readonly req: IncomingMessage;
     readonly out: ServerResponse;
+    /** Path with the query. */
     readonly target: string;
     readonly head: CallHead;
     readonly route: Route;
     readonly workspace: WorkspaceCfg | undefined;
     readonly service: string;
     readonly engine: EngineCfg | undefined;
-    /** What it holds. */
+    /** Accounts for the memory that the call holds. */
     readonly memory: CallMemory;
+    /** Version of the deployment. */
     readonly version: number;
 }
--- a/packages/host/src/calls/forward-job.ts
+++ b/packages/host/src/calls/forward-job.ts
@@ -1,5 +1,5 @@
 /**
- * A forwarded call as the decisions on where and when it runs see it.
+ * Describes a forwarded call as a job for the scheduler, which decides where and when it runs.
  *
  * @module
  */
@@ -7,22 +7,22 @@
 import { plainModel } from "../endpoints/plain-model.js";
 import type { ForwardCall, Forwarding } from "./forward-call.js";
 
-/** Calls that may wait on a host. */
-const QUEUE_LIMIT = 500;
-/** Chance that admitted work fits an engine's memory: above the product's 0.9, as a preemption loses its stream's time. */
+/** Maximum number of calls that wait on a host. */
+const MAX_WAITING_CALLS = 500;
+/** Probability with which admitted work must fit an engine's memory: above the default of 0.9, as a preemption makes its stream late. */
 const ADMISSION_QUANTILE = 0.95;
 /**
- * A stream is backed up if it may produce this many tokens, about two seconds of an engine of the users'. What ends sooner
- * is unlikely to meet the end of its engine: one in six is taken away every 3.3 s there.
+ * Streams that may produce this many tokens, about two seconds of an engine's time, are copied to a standby. Shorter ones
+ * are unlikely to lose their engine: in the target fleet one engine in six is reclaimed every 3.3 s.
  */
-const BACK_UP_TOKENS = 256;
-const LARGEST_RANK = 9;
-/** Where an engine names no longest pause, pauses bound nothing. */
-const ANY_GAP_MS = 60_000;
+const BACK_UP_MIN_TOKENS = 256;
+const MAX_RANK = 9;
+/** Gap target for routes that set none. */
+const UNBOUNDED_GAP_MS = 60_000;
 
-/** Rank of a call: its workspace's goes before its route's. */
+/** Returns the rank of a call; the workspace's overrides the route's. */
 export function rankOf({ route, workspace }: ForwardCall): number {
-    return Math.min(LARGEST_RANK, workspace?.rank ?? route.rank);
+    return Math.min(MAX_RANK, workspace?.rank ?? route.rank);
 }
 
 function priorityOf(rank: number): Priority {
@@ -30,10 +30,10 @@
     return rank === 1 ? "normal" : "batch";
 }
 
-/** How long a caller still has a use for a first event: as long as it stays and as the call may be held. */
+/** Returns for how long a first event is of use: until the caller leaves or the call times out. */
 function usefulMsOf({ route, head }: ForwardCall): number {
-    const stays = Math.min(route.patienceMs ?? Infinity, route.timeoutMs, head.deadlineMs ?? Infinity);
-    return Math.max(route.objectiveMs, stays);
+    const patienceMs = Math.min(route.patienceMs ?? Infinity, route.timeoutMs, head.deadlineMs ?? Infinity);
+    return Math.max(route.objectiveMs, patienceMs);
 }
 
 function policyOf(call: ForwardCall): JobPolicy {
@@ -43,24 +43,24 @@
         rank: rankOf(call),
         weight: 1,
         quantile: ADMISSION_QUANTILE,
-        gapTargetMs: route.gapMs ?? ANY_GAP_MS,
+        gapTargetMs: route.gapMs ?? UNBOUNDED_GAP_MS,
         objectiveMs: Math.max(1, route.objectiveMs),
         weightTail: 1,
         weightStall: 1,
         weightPrefix: 0,
         maxWaitMs: route.objectiveMs,
         usefulMs: usefulMsOf(call),
-        queueLimit: QUEUE_LIMIT,
-        // All hosts share one budget, which is kept apart.
+        queueLimit: MAX_WAITING_CALLS,
+        // The gateway bounds retries by one budget for all hosts instead.
         retryShare: 0,
     };
 }
 
-/** Halls that a call may be served in: those of its route's homes and of its workspace's; undefined where all may. */
+/** Returns the halls that may serve a call: those in the home regions of both its route and its workspace; undefined if all may. */
 export function hallsOf(deps: Forwarding, { route, workspace }: ForwardCall): readonly string[] | undefined {
-    const bounds = [route.homes, workspace?.homes].flatMap(homes => homes ? [deps.hallsIn(homes)] : []);
-    if (bounds.length === 0) return undefined;
-    return bounds.reduce((both, halls) => both.filter(hall => halls.includes(hall)));
+    const allowedHalls = [route.homes, workspace?.homes].flatMap(homes => homes ? [deps.hallsIn(homes)] : []);
+    if (allowedHalls.length === 0) return undefined;
+    return allowedHalls.reduce((both, halls) => both.filter(hall => halls.includes(hall)));
 }
 
 export function jobOf(call: ForwardCall, isSuspect: boolean, halls: readonly string[] | undefined): Job {
@@ -77,6 +77,6 @@
         isSuspect,
         halls,
         tokensPerPiece: engine?.tokensPerEvent,
-        backUp: engine?.canBackUp === true && (generation?.maxTokens ?? 0) >= BACK_UP_TOKENS,
+        backUp: engine?.canBackUp === true && (generation?.maxTokens ?? 0) >= BACK_UP_MIN_TOKENS,
     };
 }
--- a/packages/host/src/calls/forward-reply.ts
+++ b/packages/host/src/calls/forward-reply.ts
@@ -1,39 +1,39 @@
 /**
- * The way of a forwarded answer back to its caller, and this system's own answers where there is none.
+ * Writes forwarded answers to callers, and the gateway's own answers where no endpoint has answered.
  *
  * @module
  */
 import type { PlatformWire } from "@drumpaddle/protocol";
 import type { Ran, RequestError } from "@drumpaddle/request";
 import type { ServerResponse } from "node:http";
-import { type ApiError, errorBody, toApiError } from "./answer.js";
+import { type ApiError, errorBody, toApiError } from "./caller-answer.js";
 import type { CallerQueue } from "./caller-queue.js";
 import type { AnswerPiece } from "./forward-attempt.js";
-import type { Reply } from "./run.js";
+import type { Reply } from "./request-driver.js";
 
-/** When a caller is asked to come back where the cause says nothing better, in milliseconds. */
+/** Retry delay for callers if the error names none, in milliseconds. */
 const DEFAULT_RETRY_MS = 250;
 const BAD_GATEWAY = 502;
-/** Statuses that promise that the call has not run. */
+/** Statuses that tell a caller that its call did not run. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** An own answer to a call. */
-export interface Refusal {
+/** An error that the gateway itself sends. */
+export interface OwnAnswer {
     readonly callId: string | undefined;
     readonly err: ApiError;
-    /** Whether the connection is closed after it. */
+    /** Whether to close the connection after the answer. */
     readonly close: boolean;
 }
 
-/** The status that says no more than is known: only what has not run may be refused as such. */
-function honestStatus(status: number, ran: Ran): number {
+/** Replaces a status that says that the call did not run, unless that is proven. */
+function statusWithinProof(status: number, ran: Ran): number {
     return ran !== "no" && NOT_RUN_STATUSES.has(status) ? BAD_GATEWAY : status;
 }
 
-/** Writes an own answer. */
-export function writeRefusal(out: ServerResponse, wire: PlatformWire, { callId, err, close }: Refusal): void {
+/** Writes an error of the gateway itself, unless an answer was begun. */
+export function writeOwnAnswer(out: ServerResponse, wire: PlatformWire, { callId, err, close }: OwnAnswer): void {
     if (out.headersSent || out.destroyed) return;
-    const status = honestStatus(err.status, err.ran);
+    const status = statusWithinProof(err.status, err.ran);
     const retryAfterMs = NOT_RUN_STATUSES.has(status) ? err.retryAfterMs ?? DEFAULT_RETRY_MS : undefined;
     const body = JSON.stringify(errorBody(err));
     out.writeHead(status, [
@@ -48,8 +48,8 @@
 }
 
 /**
- * Breaks an answer off so that its caller sees it. Without chunks it is reset: the orderly end of the connection would pass
- * for the end of an answer whose length was not told.
+ * Aborts an answer so that its caller notices. Without chunked encoding the connection is reset: the caller could take its
+ * orderly end for the end of an answer without a declared length.
  *
  * @example
  * ```ts
@@ -62,34 +62,34 @@
     out.destroy();
 }
 
-/** What a forwarded answer needs to reach its caller. */
+/** Dependencies of {@link forwardReply}. */
 export interface ForwardReplyDeps {
     readonly out: ServerResponse;
-    /** What waits for the caller. */
+    /** Queues what the caller has not read yet. */
     readonly queue: CallerQueue;
     readonly wire: PlatformWire;
     readonly callId: string;
-    /** Whether callers are asked to close their connection now. */
-    readonly closing: () => boolean;
-    /** The latest whole failure of an endpoint, if there was one. */
+    /** Whether callers are told to close their connection now. */
+    readonly isClosing: () => boolean;
+    /** Returns the latest complete error answer of an endpoint, if there was one. */
     readonly failedAnswer: () => AnswerPiece | undefined;
 }
 
 /**
- * A reply that passes pieces on as they come.
+ * Creates a reply that forwards pieces as they arrive.
  *
  * @example
  * ```ts
- * const reply = forwardReply({ out: res, queue, wire, callId, closing: () => false, failedAnswer: () => undefined });
+ * const reply = forwardReply({ out: res, queue, wire, callId, isClosing: () => false, failedAnswer: () => undefined });
  * ```
  */
 export function forwardReply(deps: ForwardReplyDeps): Reply<AnswerPiece> {
-    const { out, queue, wire, callId, closing, failedAnswer } = deps;
+    const { out, queue, wire, callId, isClosing: closing, failedAnswer } = deps;
     const begin = ({ status, headers, length, framed }: AnswerPiece): void => {
         if (out.headersSent) return;
         const framing = length === undefined ? [] : ["Content-Length", String(length)];
-        // An answer whose end was never told may be cut: a length or chunks of ours would vouch for it. Without either the
-        // connection ends with the answer.
+        // An answer that was ended only by its connection may be cut off: a length or chunks of ours would mark it as
+        // complete. Without either the connection closes with the answer.
         out.useChunkedEncodingByDefault &&= framed;
         const close = closing() ? ["Connection", "close"] : [];
         out.writeHead(status, [...headers, ...framing, ...close]);
@@ -100,15 +100,15 @@
     };
     return {
         forward: pass,
-        drop: () => undefined,
+        discard: () => undefined,
         finish: last => {
             if (last) pass(last);
             queue.end();
         },
         fail: (err: RequestError) => {
-            // Once the head is out, breaking the connection is the only sign that the answer is not whole.
+            // Once the head was sent, only an aborted connection shows that the answer is not complete.
             if (out.headersSent) {
-                queue.drop();
+                queue.discard();
                 return breakAnswer(out);
             }
             const failed = failedAnswer();
@@ -117,7 +117,7 @@
                 queue.end();
                 return;
             }
-            writeRefusal(out, wire, { callId, err: toApiError(err), close: closing() });
+            writeOwnAnswer(out, wire, { callId, err: toApiError(err), close: closing() });
         },
     };
 }
--- a/packages/host/src/calls/forward-runner.ts
+++ b/packages/host/src/calls/forward-runner.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the attempts of a forwarded call at the endpoints that were decided for it.
+ * Makes the attempts of a forwarded call at the endpoints that the scheduler chose.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 import { type AnswerPiece, startAttempt } from "./forward-attempt.js";
 import type { ForwardCall, Forwarding } from "./forward-call.js";
 import { rankOf } from "./forward-job.js";
-import { silenceOf } from "./forward-silence.js";
+import { silenceCfgOf } from "./forward-silence.js";
 import { guardAttempt } from "./guard-attempt.js";
-import type { AttemptRunner } from "./run.js";
+import type { AttemptRunner } from "./request-driver.js";
 
-/** The runner of one call; `progress` takes what its attempts come to. */
-export function runnerOf(
+/** Creates the runner of one call; its attempts update `progress`. */
+export function forwardRunner(
     deps: Forwarding,
     call: ForwardCall,
     progress: CallProgress,
@@ -33,13 +33,18 @@
             if (copy) deps.copies.end(head.id, true);
             progress.standby = backUp === undefined ? undefined : deps.endpoint(backUp);
             if (!endpoint) {
-                sink.event({ kind: "lost", attempt, cause: "connect", detail: "the endpoint is no longer registered" });
+                sink.report({
+                    kind: "lost",
+                    attempt,
+                    cause: "connect",
+                    detail: "the endpoint is no longer registered",
+                });
                 return;
             }
-            // Decided a moment ago, and the order came since.
+            // The hall may have been evacuated since the scheduler chose the endpoint.
             if (deps.isEvacuated(endpoint.hall)) {
                 deps.log.info({ req: head.id, endpoint: incarnation, hall: endpoint.hall }, "send_withheld");
-                sink.event({ kind: "lost", attempt, cause: "connect", detail: "the endpoint's hall is evacuated" });
+                sink.report({ kind: "lost", attempt, cause: "connect", detail: "the endpoint's hall is evacuated" });
                 return;
             }
             if (continueAt !== undefined) {
@@ -66,7 +71,7 @@
                 },
                 body: progress.body,
                 before: sentBefore(progress, continueAt),
-                silence: silenceOf(deps, call, endpoint, backUp),
+                silence: silenceCfgOf(deps, call, endpoint, backUp),
                 sink: guardAttempt(recordProgress(sink, progress), deps.guard, {
                     req: head.id,
                     route: route.name,
@@ -79,32 +84,32 @@
                 whenRoom: resume => memory.whenRoom(resume),
                 holdLimit: () => memory.holdLimit,
                 onHeld: bytes => memory.hold(HeldKind.Answer, bytes + (progress.failedAnswer?.body.length ?? 0)),
-                onBody: unreadMs => memory.bodyStuckMs = unreadMs,
+                trackBodyStall: unreadMs => memory.bodyStuckMs = unreadMs,
                 onBodyUnread: (bytes, ms) => progress.bodyUnread = { bytes, ms },
                 now: () => deps.clock.now(),
                 onAnswered: (status, answer) => {
-                    progress.answered = { status, framed: answer.framed };
+                    progress.lastAnswer = { status, framed: answer.framed };
                     if (continueAt !== undefined) logContinuation(deps, head.id, incarnation, status, answer);
                 },
-                onSaid: (status, said) => deps.words.heard(incarnation, status, said),
+                onSelfReport: (status, said) => deps.words.heard(incarnation, status, said),
                 onOtherIncarnation: () => deps.onOtherIncarnation(incarnation),
                 life: deps.lives.of(incarnation),
                 signal,
             });
         },
         resume: (attempt, _endpoint, _generation, _from, sink) =>
-            void sink.event({
+            void sink.report({
                 kind: "lost",
                 attempt,
                 cause: "resumeRefused",
                 detail: "calls are not resumed in place",
             }),
-        // The connection of an attempt is closed with its signal, which cancels it at its endpoint.
+        // The attempt's signal closes its connection, which cancels the attempt at the endpoint.
         cancel: () => undefined,
     };
 }
 
-/** What the endpoint that was asked to go on with a stream answered. */
+/** Logs the answer of an endpoint that was asked to continue a stream. */
 function logContinuation(
     deps: Forwarding,
     req: string,
--- a/packages/host/src/calls/forward-server.ts
+++ b/packages/host/src/calls/forward-server.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' port of a gateway. Every request is taken as it is: no method, path or body is interpreted here.
+ * The HTTP server for callers of a gateway. It passes every request on without interpreting its method, path or body.
  *
  * @module
  */
@@ -8,44 +8,44 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { breakAnswer } from "./forward-reply.js";
 
-/** What the server is made of. */
+/** Dependencies of the server. */
 export interface ForwardServerDeps {
-    /** Time to send a request whole, in milliseconds. */
+    /** Time limit for a caller to send a complete request, in milliseconds. */
     readonly requestMs: number;
-    /** Ends the answers that still run when the host ends. */
+    /** Aborts the answers that are still running when the host exits. */
     readonly signal: AbortSignal;
     onCall(req: IncomingMessage, target: string, out: ServerResponse): void;
 }
 
-/** Heads above this are refused by the parser, before any deployment's own bound is looked at. */
-const LARGEST_HEAD = 65_536;
-/** Late requests are looked for this often. */
-const LOOK_FOR_LATE_MS = 1_000;
-/** A connection is kept a little longer than callers are told, so that none is closed as a request arrives. */
+/** The HTTP parser refuses larger heads, before the deployment's own limit is checked. */
+const MAX_HEAD_BYTES = 65_536;
+/** How often Node checks for requests that exceed their timeout. */
+const LATE_REQUEST_CHECK_MS = 1_000;
+/** Connections stay open a little longer than callers are told, so that none is closed as a request arrives. */
 const IDLE_MARGIN_MS = 1_000;
 
 const BAD_REQUEST = "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/** Builds the server; it does not listen yet. */
+/** Creates the server; it does not listen yet. */
 export function createForwardServer(deps: ForwardServerDeps): FastifyInstance {
     const answering = new Set<ServerResponse>();
     deps.signal.addEventListener("abort", () => answering.forEach(breakAnswer), { once: true });
     const app = Fastify({
-        // Everything goes to one handler; the target as sent is kept aside.
+        // Routes every request to one handler; `originalUrl` keeps the target as it was sent.
         rewriteUrl: () => "/",
         requestTimeout: deps.requestMs,
         http: {
-            maxHeaderSize: LARGEST_HEAD,
+            maxHeaderSize: MAX_HEAD_BYTES,
             requestTimeout: deps.requestMs,
             headersTimeout: deps.requestMs,
-            connectionsCheckingInterval: LOOK_FOR_LATE_MS,
+            connectionsCheckingInterval: LATE_REQUEST_CHECK_MS,
         },
         forceCloseConnections: "idle",
         clientErrorHandler: (err, socket) => {
             if (err.code === "ECONNRESET" || socket.destroyed) return;
-            // Bytes that are no request, behind one that is being answered, must not end up within its answer.
-            const answers = [...answering].filter(({ req }) => req.socket === socket);
-            if (answers.length > 0) return answers.forEach(breakAnswer);
+            // A 400 for invalid bytes behind a request that is being answered would end up within that answer.
+            const brokenAnswers = [...answering].filter(({ req }) => req.socket === socket);
+            if (brokenAnswers.length > 0) return brokenAnswers.forEach(breakAnswer);
             if (!socket.writable) return void socket.destroy();
             socket.end(BAD_REQUEST);
         },
@@ -61,7 +61,7 @@
     return app;
 }
 
-/** Puts a deployment's bounds on callers in force. */
+/** Applies a deployment's limits on callers. */
 export function applyLimits(app: FastifyInstance, limits: CallerLimits): void {
     app.server.headersTimeout = limits.headerMs + IDLE_MARGIN_MS;
     app.server.keepAliveTimeout = limits.idleMs + IDLE_MARGIN_MS;
--- a/packages/host/src/calls/forward-silence.ts
+++ b/packages/host/src/calls/forward-silence.ts
@@ -1,5 +1,5 @@
 /**
- * How a forwarded stream that falls silent is taken for lost, where a copy of it is kept elsewhere.
+ * Decides when a forwarded stream that falls silent counts as lost, if a standby holds a copy of it.
  *
  * @module
  */
@@ -10,45 +10,46 @@
 import type { SilenceCfg } from "./silence-watch.js";
 
 /**
- * The endpoint of a stream with a copy elsewhere is asked for a sign of life after a silence of this share of the longest
- * pause that is in time, and has {@link SIGN_MS} to answer: what is left of the pause is enough to go on in time.
+ * The endpoint of a silent stream is probed after this share of the route's maximum gap, and has {@link PROBE_TIMEOUT_MS}
+ * to answer: the rest of the gap is enough to continue elsewhere in time.
  */
-const ASK_SHARE = 0.4;
-/** Endpoints of a region answer such a question within ten milliseconds, their connection included. */
-const SIGN_MS = 35;
+const PROBE_GAP_SHARE = 0.4;
+/** Endpoints in the same region answer a probe within 10 ms, including the connection setup. */
+const PROBE_TIMEOUT_MS = 35;
 /**
- * A stream with a copy elsewhere is taken for lost after a silence of this many times the longest pause that is in time
- * (1.1 s for the users' streams): it is late by then in any case, and callers give up after two seconds or more.
+ * A silent stream counts as lost after this many times the route's maximum gap, even if its endpoint is alive. For
+ * the streams that the system is designed for that is 1.1 s: the stream is late by then in any case, and callers leave after two seconds or more.
  */
-const SILENT_GAPS = 6;
-/** When a stream is taken for lost; only where a copy is kept elsewhere. */
-export function silenceOf(
+const LOST_GAPS = 6;
+
+/** Returns when a stream counts as lost; undefined if no standby receives a copy of it or its route sets no maximum gap. */
+export function silenceCfgOf(
     deps: Forwarding,
     { head, route: { gapMs } }: ForwardCall,
     endpoint: EndpointEntry,
     backUp: string | undefined,
 ): SilenceCfg | undefined {
     if (backUp === undefined || gapMs === undefined) return undefined;
-    const awake = (): number => deps.clock.awake();
+    const awakeMs = (): number => deps.clock.awake();
     return {
-        askMs: gapMs * ASK_SHARE,
-        lostMs: gapMs * SILENT_GAPS,
-        awake,
-        answers: () => givesSign(deps, endpoint),
-        canGoOn: () => deps.engines.canGoOn(head.id),
+        probeAfterMs: gapMs * PROBE_GAP_SHARE,
+        lostAfterMs: gapMs * LOST_GAPS,
+        awakeMs,
+        isAlive: () => probeLife(deps, endpoint),
+        canContinue: () => deps.engines.canGoOn(head.id),
     };
 }
 
 /**
- * Whether an endpoint's life gives a sign of itself; one that gives none is planned with no more for a while. A later life that
- * answers at the address knows nothing of the streams that ran there.
+ * Probes whether the incarnation of an endpoint is still alive. An endpoint that does not answer gets no new work for a
+ * while. A later incarnation that answers at the address does not have the streams of the earlier one.
  */
-async function givesSign(deps: Forwarding, endpoint: EndpointEntry): Promise<boolean> {
+async function probeLife(deps: Forwarding, endpoint: EndpointEntry): Promise<boolean> {
     const { id, address, incarnation } = endpoint;
-    // One that limits what it is sent is slow, and not gone.
+    // An endpoint that limits its requests may not be probed: it is slow rather than gone.
     if (!deps.engines.mayAsk(incarnation)) return true;
     try {
-        const { status, body } = await callEndpoint(address, deps.wire.stayCall(), SIGN_MS, deps.signal);
+        const { status, body } = await callEndpoint(address, deps.wire.stayCall(), PROBE_TIMEOUT_MS, deps.signal);
         const stay = deps.wire.readStay(status, body);
         const life = { id, born: stay.kind === "told" ? stay.born : undefined };
         if (compareLives(life, endpoint) !== LifeOrder.Later) return true;
--- a/packages/host/src/calls/forward.ts
+++ b/packages/host/src/calls/forward.ts
@@ -1,5 +1,5 @@
 /**
- * Serves one call that is forwarded as it is: finds its route and workspace, reads its body, and runs it.
+ * Serves one forwarded call: finds its route and workspace, reads its body, and starts its request.
  *
  * @module
  */
@@ -9,39 +9,40 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Withheld } from "../endpoints/request-guard.js";
 import type { Outcome } from "../runtime/metrics.js";
-import { type ApiError, toApiError } from "./answer.js";
-import { beginCall, type CallProgress, unreadOf } from "./call-progress.js";
+import { type CallProgress, createProgress, unreadFields } from "./call-progress.js";
+import { type ApiError, toApiError } from "./caller-answer.js";
 import { CallerQueue } from "./caller-queue.js";
 import { fingerprintOf } from "./fingerprint.js";
 import type { AnswerPiece } from "./forward-attempt.js";
 import type { ForwardCall, Forwarding } from "./forward-call.js";
 import { hallsOf, jobOf } from "./forward-job.js";
-import { forwardReply, writeRefusal } from "./forward-reply.js";
-import { runnerOf } from "./forward-runner.js";
-import { deliver, errorOf, MEMORY_RETRY_MS } from "./given-up.js";
-import { lengthTold, readBody } from "./request-body.js";
-import { Run, type RunEnd } from "./run.js";
+import { forwardReply, writeOwnAnswer } from "./forward-reply.js";
+import { forwardRunner } from "./forward-runner.js";
+import { giveUpError, MEMORY_RETRY_MS, trackDelivery } from "./given-up.js";
+import { declaredLength, readBody } from "./request-body.js";
+import { RequestDriver, type RequestEnd } from "./request-driver.js";
 
-/** When callers of a host that knows no deployment yet are asked to come back. */
+/** Retry delay for callers of a host that has no current deployment. */
 const NOT_READY_RETRY_MS = 500;
-/** Callers of a host without descriptors find another host, or come back when calls of this one have ended. */
-const FULL_RETRY_MS = 500;
-/** A stopping host's callers find another host at once. */
+/** Callers of a host without descriptors find another host, or retry when other calls of this host have ended. */
+const NO_DESCRIPTORS_RETRY_MS = 500;
+/** Callers of a stopping host find another host at once. */
 const STOPPING_RETRY_MS = 0;
-const OWN = {
+/** Errors of calls that the gateway refuses itself. */
+const REFUSALS = {
     notReady: {
         status: 503,
         code: "host_not_ready",
-        message: "this host does not know the newest deployment yet",
+        message: "this host does not have the current deployment yet",
         ran: "no",
         retryAfterMs: NOT_READY_RETRY_MS,
     },
     full: {
         status: 503,
         code: FailCode.Overloaded,
-        message: "this host has no descriptors left for another call",
+        message: "this host has no file descriptors left for another call",
         ran: "no",
-        retryAfterMs: FULL_RETRY_MS,
+        retryAfterMs: NO_DESCRIPTORS_RETRY_MS,
     },
     stopping: {
         status: 503,
@@ -61,10 +62,10 @@
         ran: "no",
         retryAfterMs: MEMORY_RETRY_MS,
     },
-    bodyTimeout: { status: 408, code: "body_timeout", message: "the body did not come in time", ran: "no" },
+    bodyTimeout: { status: 408, code: "body_timeout", message: "the body did not arrive in time", ran: "no" },
 } as const satisfies Record<string, ApiError>;
 
-/** Serves a call; every way out writes an answer or breaks the connection. */
+/** Serves a call. Every call gets an answer or an aborted connection. */
 export function forward(deps: Forwarding, req: IncomingMessage, target: string, out: ServerResponse): void {
     const at = deps.clock.now();
     const read = deps.wire.readCall(req.rawHeaders);
@@ -73,62 +74,64 @@
         return refuse(deps, out, undefined, err);
     }
     const head = read.value;
-    // Its connection is closed as well, which makes room.
-    if (!deps.hasDescriptors()) return refuse(deps, out, head.id, OWN.full, { close: true });
+    // Closes the connection as well, which frees a descriptor.
+    if (!deps.hasDescriptors()) return refuse(deps, out, head.id, REFUSALS.full, { close: true });
     const table = deps.table();
-    if (!table || deps.isStale()) return refuse(deps, out, head.id, OWN.notReady);
+    if (!table || deps.isStale()) return refuse(deps, out, head.id, REFUSALS.notReady);
     const { limits } = table.deployment;
     const headBytes = req.rawHeaders.reduce((sum, text) => sum + text.length, 0);
-    if (headBytes > limits.headerBytes) return refuse(deps, out, head.id, OWN.headTooLarge);
+    if (headBytes > limits.headerBytes) return refuse(deps, out, head.id, REFUSALS.headTooLarge);
     const route = table.find(head.host, target);
-    if (!route) return refuse(deps, out, head.id, OWN.noRoute);
+    if (!route) return refuse(deps, out, head.id, REFUSALS.noRoute);
     const workspace = head.key === undefined ? undefined : table.workspaceOf(head.key);
-    if (table.usesKeys && !route.isPublic && !workspace) return refuse(deps, out, head.id, OWN.badKey);
-    if (!canFinish(deps, route)) return refuse(deps, out, head.id, OWN.stopping);
+    if (table.usesKeys && !route.isPublic && !workspace) return refuse(deps, out, head.id, REFUSALS.badKey);
+    if (!canFinish(deps, route)) return refuse(deps, out, head.id, REFUSALS.stopping);
     const service = pickService(route.services, Math.random()) ?? "";
     const engine = table.service(service)?.engine;
     const memory = deps.memory.open(head.id);
     out.on("close", () => memory.close());
     const call = { at, req, out, target, head, route, workspace, service, engine, version: table.version, memory };
-    takeBody(deps, call, limits.bodyBytes);
+    readBodyAndStart(deps, call, limits.bodyBytes);
 }
 
-/** Reads the caller's body, if there is room for it, and starts the call. */
-function takeBody(deps: Forwarding, call: ForwardCall, mostBytes: number): void {
+/** Reads the caller's body, if there is memory for it, and starts the call. */
+function readBodyAndStart(deps: Forwarding, call: ForwardCall, mostBytes: number): void {
     const { req, out, head, memory } = call;
-    const refuseFull = (): void => refuse(deps, out, head.id, OWN.memoryFull, { ...deps.memory.state });
-    const bytes = Math.min(lengthTold(req) ?? 0, mostBytes);
+    const refuseFull = (): void => refuse(deps, out, head.id, REFUSALS.memoryFull, { ...deps.memory.state });
+    const bytes = Math.min(declaredLength(req) ?? 0, mostBytes);
     if (bytes > 0 && !memory.takeIn(bytes)) return refuseFull();
-    const taking = new AbortController();
-    memory.onGiveUp = () => taking.abort();
+    const reading = new AbortController();
+    memory.onGiveUp = () => reading.abort();
     const takeIn = (more: number): boolean => memory.takeIn(more);
-    void readBody(req, { mostBytes, timeoutMs: deps.bodyMs, takeIn, signal: taking.signal }).then(body => {
-        if (body.kind === "whole") start(deps, call, body.bytes);
-        else if (body.kind === "tooLarge") refuse(deps, out, head.id, OWN.bodyTooLarge);
-        else if (body.kind === "timeout") refuse(deps, out, head.id, OWN.bodyTimeout);
-        else if (body.kind === "noRoom") refuseFull();
-        else deps.log.debug({ req: head.id }, "caller_left_before_its_body");
-    });
+    void readBody(req, { maxBytes: mostBytes, timeoutMs: deps.bodyMs, reserve: takeIn, signal: reading.signal }).then(
+        body => {
+            if (body.kind === "whole") start(deps, call, body.bytes);
+            else if (body.kind === "tooLarge") refuse(deps, out, head.id, REFUSALS.bodyTooLarge);
+            else if (body.kind === "timeout") refuse(deps, out, head.id, REFUSALS.bodyTimeout);
+            else if (body.kind === "noRoom") refuseFull();
+            else deps.log.debug({ req: head.id }, "caller_left_before_its_body");
+        },
+    );
 }
 
-/** Whether a call of this route that begins now is over before this host ends. Streams are longer than any stop. */
+/** Whether a call of a route that starts now ends before the host exits. Streams may outlast any shutdown. */
 function canFinish(deps: Forwarding, route: Route): boolean {
     const endsAt = deps.endsAt();
     if (endsAt === undefined) return true;
     return route.kind !== RouteKind.Stream && deps.clock.now() + route.timeoutMs < endsAt;
 }
 
-/** Refuses a request that ends endpoints, or one that may and runs elsewhere now. */
+/** Refuses a request that the guard withholds. */
 function refuseWithheld(deps: Forwarding, { head, out }: ForwardCall, fingerprint: string, withheld: Withheld): void {
     const { code, detail, retryAfterMs } = withheld;
     deps.guard.refused(head.id, fingerprint, withheld);
     deps.metrics.countOutcome("refused", "no");
     const err = toApiError(notRun(code, detail, retryAfterMs));
-    writeRefusal(out, deps.wire, { callId: head.id, err, close: deps.runs.stopping });
+    writeOwnAnswer(out, deps.wire, { callId: head.id, err, close: deps.runs.stopping });
 }
 
-/** What a refusal's log line tells besides, and whether the caller's connection is closed after it. */
-interface RefusalFacts extends Readonly<Record<string, unknown>> {
+/** Further fields of a refusal's log line, and whether the caller's connection is closed after it. */
+interface RefusalLog extends Readonly<Record<string, unknown>> {
     readonly close?: boolean;
 }
 
@@ -137,32 +140,32 @@
     out: ServerResponse,
     callId: string | undefined,
     err: ApiError,
-    { close = deps.runs.stopping, ...facts }: RefusalFacts = {},
+    { close = deps.runs.stopping, ...facts }: RefusalLog = {},
 ): void {
     deps.metrics.countOutcome("refused", err.ran);
     if (deps.logCalls) {
         deps.log.info({ req: callId, status: err.status, outcome: err.code, ran: err.ran, ...facts }, "call_refused");
     }
-    writeRefusal(out, deps.wire, { callId, err, close });
+    writeOwnAnswer(out, deps.wire, { callId, err, close });
 }
 
 function start(deps: Forwarding, call: ForwardCall, body: Buffer | undefined): void {
     const { at, out, head, route, engine, memory } = call;
     if (out.destroyed) return;
-    // The body took its time: the host may have been told to stop meanwhile.
-    if (!canFinish(deps, route)) return refuse(deps, out, head.id, OWN.stopping);
+    // The shutdown may have started while the body was read.
+    if (!canFinish(deps, route)) return refuse(deps, out, head.id, REFUSALS.stopping);
     const holdMs = Math.min(route.timeoutMs, head.deadlineMs ?? route.timeoutMs);
-    const progress = beginCall(body, at + holdMs);
+    const progress = createProgress(body, at + holdMs);
     const queue = new CallerQueue(out, memory);
     const fingerprint = fingerprintOfCall(call, body);
     const withheld = deps.guard.withhold(fingerprint, { software: deps.softwareOf(call.service) });
-    // What is not certain yet is asked again before the first attempt.
+    // If the guard is not certain yet, the driver asks it again before the first attempt.
     if (withheld && !withheld.sureMs) return refuseWithheld(deps, call, fingerprint, withheld);
-    const onClose = (): void => run.event({ kind: "callerGone" });
-    const run: Run<AnswerPiece> = new Run<AnswerPiece>({
+    const onClose = (): void => run.handle({ kind: "callerGone" });
+    const run: RequestDriver<AnswerPiece> = new RequestDriver<AnswerPiece>({
         cfg: {
             id: head.id,
-            // A stream that may be resumed may run more than once: until its first event is out, it may be begun again.
+            // A resumable stream may run more than once, so it can be started anew until its first event was sent.
             repeatable: route.kind === RouteKind.Repeatable || route.resumable,
             streamed: true,
             maxAttempts: route.attempts,
@@ -172,8 +175,8 @@
         clock: deps.clock,
         job: jobOf(call, deps.guard.isSuspect(fingerprint), hallsOf(deps, call)),
         placement: engine ? deps.engines : deps.plain,
-        runner: runnerOf(deps, call, progress, fingerprint),
-        withhold: (attempt, incarnation) => {
+        runner: forwardRunner(deps, call, progress, fingerprint),
+        withholdReason: (attempt, incarnation) => {
             const endpoint = deps.endpoint(incarnation);
             return deps.guard.withhold(fingerprint, { attempt, software: endpoint && [endpoint.software] });
         },
@@ -182,7 +185,7 @@
             queue,
             wire: deps.wire,
             callId: head.id,
-            closing: () => deps.runs.stopping,
+            isClosing: () => deps.runs.stopping,
             failedAnswer: () => progress.failedAnswer,
         }),
         onGap: ms => deps.metrics.betweenTokens.record(ms),
@@ -191,7 +194,7 @@
             out.off("close", onClose);
             queueMicrotask(() => {
                 deps.runs.delete(run);
-                deliver(deps.runs, out, memory, queue);
+                trackDelivery(deps.runs, out, memory, queue);
             });
             deps.metrics.open.dec();
             deps.copies.end(head.id, false);
@@ -204,16 +207,16 @@
     });
     deps.metrics.open.inc();
     if (run.ended) return;
-    memory.onGiveUp = givenUp => run.event({ kind: "givenUp", ...errorOf(givenUp) });
-    memory.onRead = () => run.readOn();
+    memory.onGiveUp = givenUp => run.handle({ kind: "givenUp", ...giveUpError(givenUp) });
+    memory.onRead = () => run.onReadResumed();
     deps.runs.add(run);
     if (engine?.canMove) {
         deps.copies.add(head.id, {
             onCopied: copy => {
-                // The copy of an attempt that has ended since is not one of what runs now.
+                // Ignores the copy of an attempt that has ended since.
                 if (copy.source.incarnation !== progress.endpoint?.incarnation) return;
                 progress.copy = copy;
-                run.event({ kind: "copied", attempt: progress.attempt, endpoint: copy.standby.incarnation });
+                run.handle({ kind: "copied", attempt: progress.attempt, endpoint: copy.standby.incarnation });
             },
         });
     }
@@ -224,7 +227,7 @@
     deps: Forwarding,
     call: ForwardCall,
     progress: CallProgress,
-    end: RunEnd,
+    end: RequestEnd,
     fingerprint: string,
 ): void {
     const ran = end.err?.ran ?? "yes";
@@ -245,14 +248,14 @@
         standby_hall: progress.standby?.hall,
         copied_to: progress.copy?.standby.incarnation,
         outcome,
-        status: progress.answered?.status,
-        framed: progress.answered?.framed,
+        status: progress.lastAnswer?.status,
+        framed: progress.lastAnswer?.framed,
         ran,
         detail: end.err?.detail,
-        ...unreadOf(call.memory, progress),
+        ...unreadFields(call.memory, progress),
         attempts: end.state.attempts,
         pieces: end.tokens,
-        late: lateness(call, end),
+        late: lateCause(call, end),
         longest_gap_ms: Math.round(end.longestGapMs),
         prompt: call.head.generation?.promptTokens,
         most: call.head.generation?.maxTokens,
@@ -267,15 +270,15 @@
     return fingerprintOf({ method, host: head.host, target, workspace: workspace?.name ?? "", body });
 }
 
-/** How a call ended, as it is told. A failure that no later attempt made good went to the caller, whatever came behind it. */
-function outcomeOf({ failedAnswer }: CallProgress, { err, failed, state }: RunEnd): Outcome {
-    const passedOn = err !== undefined && failedAnswer !== undefined && !state.committed;
-    if (failed || passedOn) return "endpoint_failed";
+/** Returns the outcome to log. An endpoint's error answer that no later attempt replaced was sent to the caller, whatever failed after it. */
+function outcomeOf({ failedAnswer }: CallProgress, { err, failed, state }: RequestEnd): Outcome {
+    const failurePassedOn = err !== undefined && failedAnswer !== undefined && !state.committed;
+    if (failed || failurePassedOn) return "endpoint_failed";
     return err?.code ?? "whole";
 }
 
-/** What made an answer late: its first piece, or a pause between two. */
-function lateness({ route }: ForwardCall, { firstTokenMs, longestGapMs }: RunEnd): "first" | "pause" | undefined {
+/** Returns what made an answer late: its first piece, or a gap between two pieces. */
+function lateCause({ route }: ForwardCall, { firstTokenMs, longestGapMs }: RequestEnd): "first" | "pause" | undefined {
     if (firstTokenMs !== undefined && firstTokenMs > route.objectiveMs) return "first";
     return route.gapMs !== undefined && longestGapMs > route.gapMs ? "pause" : undefined;
 }
--- a/packages/host/src/calls/generate.ts
+++ b/packages/host/src/calls/generate.ts
@@ -1,5 +1,5 @@
 /**
- * Serves one generation: from the caller's body to the last token.
+ * Serves one generation, from the caller's body to the last token.
  *
  * @module
  */
@@ -29,45 +29,47 @@
 import type { ServerResponse } from "node:http";
 import type { CallMemory } from "../runtime/call-memory.js";
 import type { Directory } from "../store/directory.js";
-import { type ApiError, streamReply, wholeReply, writeError } from "./answer.js";
+import { type ApiError, streamReply, wholeReply, writeError } from "./caller-answer.js";
 import { CallerQueue } from "./caller-queue.js";
-import { type EnginePiece, engineRunner } from "./engine-runner.js";
+import { type EngineEventData, engineRunner } from "./engine-runner.js";
 import { fingerprintOf } from "./fingerprint.js";
-import { deliver, errorOf } from "./given-up.js";
+import { giveUpError, trackDelivery } from "./given-up.js";
 import { guardRunner } from "./guard-attempt.js";
 import type { Host } from "./host.js";
-import { Run, type RunEnd } from "./run.js";
+import { RequestDriver, type RequestEnd } from "./request-driver.js";
 import { createStallWatch } from "./stall-watch.js";
 
-/** The time to the first token that the service is designed for (docs/CAPACITY.md). */
-const FIRST_TOKEN_MS = 1_900;
+/** Objective for the time to the first token that the service is designed for (docs/CAPACITY.md). */
+const FIRST_TOKEN_OBJECTIVE_MS = 1_900;
 
-/** A caller's request after it was read and its key was checked. */
-export interface Incoming {
+/** A caller's request, after its body was read and its key was checked. */
+export interface GenerationCall {
     readonly id: string;
     readonly workspace: string;
     readonly directory: Directory;
     readonly body: unknown;
+    /** Length of the body. */
     readonly bytes: number;
     readonly headers: NodeJS.Dict<string | string[]>;
     readonly out: ServerResponse;
-    /** What it holds. */
+    /** Accounts for the memory that the call holds. */
     readonly memory: CallMemory;
+    /** Whether it is a chat completion rather than a text completion. */
     readonly chat: boolean;
 }
 
-/** Rank of a class of priority among requests that wait. */
-const RANK = { live: 0, normal: 1, batch: 2 } as const satisfies Record<Priority, number>;
+/** Rank of each priority class among waiting requests; lower ranks go first. */
+const RANK_OF_PRIORITY = { live: 0, normal: 1, batch: 2 } as const satisfies Record<Priority, number>;
 
-/** Settings as decisions use them. */
+/** Converts settings into the policy of a job, as the scheduler uses it. */
 export function policyOf(settings: Settings): JobPolicy {
     return {
         priority: settings.priority,
-        rank: RANK[settings.priority],
+        rank: RANK_OF_PRIORITY[settings.priority],
         weight: 1,
         quantile: settings["admission-quantile"],
         gapTargetMs: settings["gap-target"],
-        objectiveMs: FIRST_TOKEN_MS,
+        objectiveMs: FIRST_TOKEN_OBJECTIVE_MS,
         weightTail: settings["weight-tail"],
         weightStall: settings["weight-stall"],
         weightPrefix: settings["weight-prefix"],
@@ -79,8 +81,8 @@
 }
 
 /**
- * This host's share of a workspace's limits: its hall's part of the whole, split evenly over the hall's live hosts. Each
- * host works it out alone, so a hall that is cut off stays within its part.
+ * Returns this host's share of a workspace's limits: the share of its hall, split evenly over the hall's live hosts. Each
+ * host computes it alone, so a hall that is disconnected stays within its share.
  */
 export function limitsOf(host: Host, directory: Directory, settings: Settings): WorkspaceLimits {
     const limits = {
@@ -92,8 +94,8 @@
     return shareOf(limits, hall, placeIn(host.cfg["host.name"], host.peers?.live ?? []));
 }
 
-/** A limit's refusal as the caller sees it: which limit, its use, and when it has room. */
-export function limitError({ limit, allowed, used, resetMs }: LimitRefusal): ApiError {
+/** Returns the error of a reached limit: which limit, its usage, and when it frees up. */
+export function limitReached({ limit, allowed, used, resetMs }: LimitRefusal): ApiError {
     return {
         status: 429,
         code: FailCode.LimitReached,
@@ -104,11 +106,11 @@
     };
 }
 
-/** Share of outputs that a reservation covers; what it misses is settled at the end. */
-const RESERVE_QUANTILE = 0.5;
+/** Quantile of the output length that a reservation covers; the difference to the real length is settled at the end. */
+const RESERVED_QUANTILE = 0.5;
 
-/** Serves a generation; every way out writes an answer. */
-export function generate(host: Host, incoming: Incoming): void {
+/** Serves a generation. Every call gets an answer. */
+export function generate(host: Host, incoming: GenerationCall): void {
     const { directory, workspace, out } = incoming;
     const headers = { "x-request-id": incoming.id };
     const refuse = (err: ApiError): void => {
@@ -135,23 +137,23 @@
         return refuse({ status: 404, code: "model_not_found", message: `no such model`, ran: "no", field: "/model" });
     }
     const settings = directory.settingsFor(workspace, service);
-    const most = settings["max-output-tokens"];
-    if ((facts.maxTokens ?? 0) > most) {
+    const maxOutputTokens = settings["max-output-tokens"];
+    if ((facts.maxTokens ?? 0) > maxOutputTokens) {
         return refuse({
             status: 400,
             code: "bad_request",
-            message: `at most ${most} output tokens are allowed`,
+            message: `at most ${maxOutputTokens} output tokens are allowed`,
             ran: "no",
             field: "/max_tokens",
         });
     }
     const job = jobOf(incoming, facts, service, settings);
-    const taken = reserveLimits(host, incoming.directory, job, settings);
-    if (taken) return refuse(limitError(taken));
+    const refusal = reserveLimits(host, incoming.directory, job, settings);
+    if (refusal) return refuse(limitReached(refusal));
     start(host, incoming, checked.body, facts, job, settings);
 }
 
-function jobOf(incoming: Incoming, facts: BodyFacts, service: string, settings: Settings): Job {
+function jobOf(incoming: GenerationCall, facts: BodyFacts, service: string, settings: Settings): Job {
     return {
         id: incoming.id,
         group: { workspace: incoming.workspace, service, model: facts.model },
@@ -165,7 +167,7 @@
 
 function reserveLimits(host: Host, directory: Directory, job: Job, settings: Settings): LimitRefusal | undefined {
     const lengths = survivalOf(host.engines.view.estimates, job.group, job.maxTokens);
-    const tokens = job.promptTokens + quantileLength(lengths, 0, RESERVE_QUANTILE);
+    const tokens = job.promptTokens + quantileLength(lengths, 0, RESERVED_QUANTILE);
     const taken = reserve(
         host.limits.state,
         job.id,
@@ -179,18 +181,18 @@
     return undefined;
 }
 
-function isNotRepeatable(incoming: Incoming, settings: Settings): boolean {
+function isNotRepeatable(incoming: GenerationCall, settings: Settings): boolean {
     return incoming.headers["x-not-repeatable"] === "true" || !settings.repeatable;
 }
 
-/** What the engine is sent: the caller's body, always streamed, with the priority that was decided. */
+/** Returns the body for the engine: the caller's, always streamed, with the priority that the scheduler decided. */
 function engineBody(body: GenerationBody, priority: number): string {
     return JSON.stringify({ ...body, stream: true, priority });
 }
 
 function start(
     host: Host,
-    incoming: Incoming,
+    incoming: GenerationCall,
     body: GenerationBody,
     facts: BodyFacts,
     job: Job,
@@ -205,7 +207,7 @@
         out,
         memory,
         settings["caller-stall-timeout"],
-        () => run.event({ kind: "callerGone" }),
+        () => run.handle({ kind: "callerGone" }),
     );
     host.metrics.open.inc();
     const path = chat ? "/v1/chat/completions" : "/v1/completions";
@@ -225,11 +227,11 @@
         requestId: id,
         bodyWith: priority => engineBody(body, priority),
         limits: { firstTokenMs: settings["first-token-timeout"], idleMs: settings["idle-timeout"] },
-        ready: stall.ready,
+        whenCallerReads: stall.whenCallerReads,
         now: () => host.clock.now(),
     });
     const guarded = { req: id, route: job.group.service, workspace: incoming.workspace, fingerprint };
-    const run: Run<EnginePiece> = new Run<EnginePiece>({
+    const run: RequestDriver<EngineEventData> = new RequestDriver<EngineEventData>({
         cfg: {
             id,
             repeatable: !isNotRepeatable(incoming, settings),
@@ -242,7 +244,7 @@
         job,
         placement: host.engines,
         runner: guardRunner(runner, host.guard, guarded, urlOf),
-        withhold: attempt => host.guard.withhold(fingerprint, { attempt }),
+        withholdReason: attempt => host.guard.withhold(fingerprint, { attempt }),
         reply: facts.stream
             ? streamReply(out, queue, headers)
             : wholeReply(out, onHeld, headers, chat, facts.promptTokens),
@@ -254,20 +256,20 @@
             memory.hold(HeldKind.Answer, 0);
             queueMicrotask(() => {
                 host.runs.delete(run);
-                deliver(host.runs, out, memory, queue);
+                trackDelivery(host.runs, out, memory, queue);
             });
-            settleRun(host, job, end);
+            settleAndLog(host, job, end);
         },
     });
     if (run.ended) return;
     host.runs.add(run);
-    memory.onGiveUp = givenUp => run.event({ kind: "givenUp", ...errorOf(givenUp) });
-    memory.onRead = () => run.readOn();
-    out.on("close", () => run.event({ kind: "callerGone" }));
+    memory.onGiveUp = givenUp => run.handle({ kind: "givenUp", ...giveUpError(givenUp) });
+    memory.onRead = () => run.onReadResumed();
+    out.on("close", () => run.handle({ kind: "callerGone" }));
 }
 
-/** What ran is paid for; what provably did not is given back. */
-function settleRun(host: Host, job: Job, end: RunEnd): void {
+/** Settles the reservation: tokens that were produced are charged; if the request provably did not run, all is released. */
+function settleAndLog(host: Host, job: Job, end: RequestEnd): void {
     const ran = end.err?.ran ?? "yes";
     const settlement = ran === "no"
         ? { kind: "notRun" as const }
--- a/packages/host/src/calls/copies.ts
+++ b/packages/host/src/calls/generation-copies.ts
@@ -1,6 +1,6 @@
 /**
- * Copies running generations away from endpoints that are leaving, so that they can go on elsewhere when their endpoint
- * ends. The generation goes on at its endpoint meanwhile; what ends in time needs no copy, and its copy is given up.
+ * Copies running generations from endpoints that are leaving to standby endpoints, which continue them when the source
+ * ends. Meanwhile the generation keeps running at its source; if it finishes there, its copy is dropped.
  *
  * @module
  */
@@ -22,21 +22,21 @@
 
 /** A copy of a running generation. */
 export interface Copy {
-    /** Endpoint that holds it and may go on with it. */
+    /** The endpoint that holds the copy and can continue it. */
     readonly standby: EndpointEntry;
-    /** Endpoint that made it. */
+    /** The endpoint that made the copy. */
     readonly source: EndpointEntry;
-    /** Its name at the source. */
+    /** The name of the copy at its source. */
     readonly name: string;
 }
 
-/** A running call whose generation may be copied. */
-export interface Copied {
+/** Called for a call whose generation may be copied. */
+export interface CopyListener {
     onCopied(copy: Copy): void;
 }
 
-/** What copies need of the gateway. */
-export interface CopiesDeps {
+/** Dependencies of {@link Copies}. */
+export interface GenerationCopiesDeps {
     readonly clock: Clock;
     readonly engines: Placement;
     readonly wire: PlatformWire;
@@ -46,113 +46,113 @@
     endpoint(incarnation: string): EndpointEntry | undefined;
 }
 
-/** Copies of one endpoint's generations go over its link one after another: the last of a dozen takes some seconds. */
+/** Copies from one endpoint share its link one after another: the last of a dozen takes some seconds. */
 const COPY_TIMEOUT_MS = 5_000;
-/** A copy is brought up to date this often, so that little is left to read and it does not lapse. */
+/** How often a copy is refreshed, so that the standby has few tokens to catch up on and the copy does not expire. */
 const REFRESH_MS = 800;
-/** A copy that could not be made is tried again after this, elsewhere if room is there: notices leave two seconds or so. */
-const TRY_AGAIN_MS = 250;
-/** Time for an endpoint to take back a copy. */
+/** Delay before a failed copy is retried, at another standby if one has room: endpoints announce their end about two seconds ahead. */
+const RETRY_MS = 250;
+/** Time for an endpoint to drop a copy. */
 const DROP_TIMEOUT_MS = 1_000;
 
-/** The copies that one host has made. */
+/** Makes and refreshes the copies of the generations that run for one host. */
 export class Copies {
-    private readonly calls = new Map<string, Copied>();
-    private readonly made = new Map<string, Copy>();
-    private readonly busy = new Set<string>();
+    private readonly calls = new Map<string, CopyListener>();
+    private readonly copies = new Map<string, Copy>();
+    private readonly copying = new Set<string>();
 
-    constructor(private readonly deps: CopiesDeps) {
-        // That an endpoint cannot be reached, and that it can be again, is told by no event.
-        repeat(() => this.evacuate(), () => TRY_AGAIN_MS, deps.signal);
+    constructor(private readonly deps: GenerationCopiesDeps) {
+        // No event reports that an endpoint became unreachable, or reachable again.
+        repeat(() => this.evacuate(), () => RETRY_MS, deps.signal);
     }
 
-    /** A call began to run. */
-    add(call: string, copied: Copied): void {
+    /** Registers a call that has started to run. */
+    add(call: string, copied: CopyListener): void {
         this.calls.set(call, copied);
     }
 
-    /** A call ended or goes on from its copy: a copy that nobody used is given up. */
+    /** Forgets a call's copy, as the call ended or continues from it; a copy that was not used is dropped. */
     end(call: string, used: boolean): void {
-        const copy = this.made.get(call);
-        this.made.delete(call);
+        const copy = this.copies.get(call);
+        this.copies.delete(call);
         if (!used) this.calls.delete(call);
         if (copy && !used) void this.drop(copy);
     }
 
-    /** Copies what runs on leaving endpoints and has no copy at one that stays and can be reached. */
+    /** Starts to copy the generations that run on leaving endpoints and have no copy at a reachable endpoint that stays. */
     evacuate(): void {
         for (const job of jobsToEvacuate(this.deps.engines.view, this.deps.clock.now())) {
-            if (this.calls.has(job) && !this.busy.has(job)) void this.copyAway(job);
+            if (this.calls.has(job) && !this.copying.has(job)) void this.startCopying(job);
         }
     }
 
-    private async copyAway(job: string): Promise<void> {
-        this.busy.add(job);
+    private async startCopying(job: string): Promise<void> {
+        this.copying.add(job);
         const plan = await this.deps.engines.planEvacuation(job);
         const source = plan && this.deps.endpoint(plan.from);
         const standby = plan && this.deps.endpoint(plan.to);
-        if (plan && source && standby) await this.keepCopied(plan, source, standby);
+        if (plan && source && standby) await this.keepCopyFresh(plan, source, standby);
         else this.deps.log.info({ req: job, planned: plan !== undefined }, "generation_not_copied");
-        await pause(TRY_AGAIN_MS);
-        this.busy.delete(job);
+        await pause(RETRY_MS);
+        this.copying.delete(job);
         if (this.calls.has(job) && !this.deps.signal.aborted) this.evacuate();
     }
 
-    /** Makes the copy, and again and again while the generation still runs at its source. */
-    private async keepCopied({ job }: CopyAction, source: EndpointEntry, standby: EndpointEntry): Promise<void> {
+    /** Makes the copy, and refreshes it while the generation runs at its source. */
+    private async keepCopyFresh({ job }: CopyAction, source: EndpointEntry, standby: EndpointEntry): Promise<void> {
         const { engines, wire, log, metrics } = this.deps;
         const call = wire.copyCall(job, standby.address);
         while (this.calls.has(job) && engines.view.endpoints.get(source.incarnation)?.streams.has(job)) {
-            if (!keepsCopy(engines.view, job, standby.incarnation, this.deps.clock.now())) return this.giveUp(job);
-            const began = this.deps.clock.now();
-            const answer = await this.order(source, call);
-            const ms = Math.round(this.deps.clock.now() - began);
+            if (!keepsCopy(engines.view, job, standby.incarnation, this.deps.clock.now())) return this.discard(job);
+            const startedAt = this.deps.clock.now();
+            const answer = await this.requestCopy(source, call);
+            const ms = Math.round(this.deps.clock.now() - startedAt);
             metrics.countCopy(answer.kind);
             const from = source.incarnation;
             const to = standby.incarnation;
             if (answer.kind === "notMade") {
                 log.info({ req: job, from, to, ms, detail: answer.detail }, "generation_not_copied");
-                if (!this.made.has(job)) engines.copyLost(job);
+                if (!this.copies.has(job)) engines.copyLost(job);
                 return;
             }
             log.info({ req: job, from, to, ms, copy: answer.copy }, "generation_copied");
             const copy = { standby, source, name: answer.copy };
             const target = this.calls.get(job);
             if (!target) return void this.drop(copy);
-            this.made.set(job, copy);
+            this.copies.set(job, copy);
             target.onCopied(copy);
             await pause(REFRESH_MS);
         }
     }
 
-    /** Takes back a copy whose standby is no longer the one to go on with it. */
-    private giveUp(job: string): void {
-        const copy = this.made.get(job);
-        this.made.delete(job);
+    /** Drops a copy whose standby is no longer to continue the generation. */
+    private discard(job: string): void {
+        const copy = this.copies.get(job);
+        this.copies.delete(job);
         if (copy) void this.drop(copy);
     }
 
-    private async order({ address, incarnation }: EndpointEntry, call: EndpointCall): Promise<CopyAnswer> {
+    private async requestCopy({ address, incarnation }: EndpointEntry, call: EndpointCall): Promise<CopyAnswer> {
         try {
             const { status, body } = await callEndpoint(address, call, COPY_TIMEOUT_MS, this.deps.signal);
             return this.deps.wire.readCopy(status, body);
         }
         catch (err) {
-            // Its streams end by themselves: nothing more is planned from it or to it.
+            // Nothing more is scheduled to or copied from this endpoint; its streams end on their own.
             if (neverSent(err)) this.deps.engines.unreachable(incarnation);
             return { kind: "notMade", detail: errText(err) };
         }
     }
 
     private async drop({ source, name }: Copy): Promise<void> {
-        // A later life of the source may have given the name to another copy.
+        // A later incarnation of the source may use the name for another copy.
         if (!this.deps.endpoint(source.incarnation)) return;
         try {
             const { signal, wire } = this.deps;
             await callEndpoint(source.address, wire.dropCopyCall(name), DROP_TIMEOUT_MS, signal);
         }
         catch (err) {
-            // The copy lapses by itself a few seconds later.
+            // The copy expires by itself a few seconds later.
             this.deps.log.debug({ copy: name, endpoint: source.incarnation, detail: errText(err) }, "copy_not_dropped");
         }
     }
--- a/packages/host/src/calls/given-up.ts
+++ b/packages/host/src/calls/given-up.ts
@@ -1,5 +1,5 @@
 /**
- * How a call is given up for what it holds, before and after it has ended.
+ * Ends calls to free the memory that they hold, before and after their request has ended.
  *
  * @module
  */
@@ -8,32 +8,32 @@
 import type { CallMemory, GivenUp, SlowReader } from "../runtime/call-memory.js";
 import type { CallerQueue } from "./caller-queue.js";
 import { breakAnswer } from "./forward-reply.js";
-import type { OpenRun, OpenRuns } from "./host.js";
+import type { OpenRequest, OpenRuns } from "./host.js";
 
-/** Readers that hold a host's memory are slow by seconds: who comes back sooner meets them again. */
+/** Slow readers hold a host's memory for seconds: a caller that retries sooner would be refused again. */
 export const MEMORY_RETRY_MS = 1_000;
 
-/** What is left of a call that has ended while its caller still reads: nothing of it waits for anything here. */
-const DELIVERING = { event: () => undefined, woke: () => undefined } as const satisfies OpenRun;
+/** A call whose request has ended while its caller still reads has no timers or events to handle. */
+const NO_HANDLERS = { handle: () => undefined, onWake: () => undefined } as const satisfies OpenRequest;
 
-/** Keeps a call open until its caller has taken all of its answer, so that a stop cuts none. */
-export function deliver(runs: OpenRuns, out: ServerResponse, memory: CallMemory, queue: CallerQueue): void {
-    const delivering: OpenRun = { ...DELIVERING };
+/** Counts a call as open until all that is queued for its caller was written, so that a shutdown does not cut the answer. */
+export function trackDelivery(runs: OpenRuns, out: ServerResponse, memory: CallMemory, queue: CallerQueue): void {
+    const delivering: OpenRequest = { ...NO_HANDLERS };
     memory.onGiveUp = () => {
-        queue.drop();
+        queue.discard();
         breakAnswer(out);
     };
     runs.add(delivering);
     queue.whenFlushed(() => runs.delete(delivering));
 }
 
-/** A call that was given up, as its request's decisions hear of it. */
-export function errorOf({ unreadBy, detail }: GivenUp): Pick<NotRunError, "code" | "detail" | "retryAfterMs"> {
-    const code = unreadBy === undefined ? FailCode.MemoryFull : UNREAD_CODE[unreadBy];
+/** Returns the error of a call that the host ended for its memory. */
+export function giveUpError({ unreadBy, detail }: GivenUp): Pick<NotRunError, "code" | "detail" | "retryAfterMs"> {
+    const code = unreadBy === undefined ? FailCode.MemoryFull : CODE_OF_SLOW_READER[unreadBy];
     return { code, detail, retryAfterMs: MEMORY_RETRY_MS };
 }
 
-const UNREAD_CODE = {
+const CODE_OF_SLOW_READER = {
     caller: FailCode.CallerUnread,
     endpoint: FailCode.EndpointUnread,
 } as const satisfies Record<SlowReader, FailCode>;
--- a/packages/host/src/calls/guard-attempt.ts
+++ b/packages/host/src/calls/guard-attempt.ts
@@ -1,14 +1,14 @@
 /**
- * Tells the guard against requests that end endpoints what becomes of an attempt.
+ * Reports the start and the end of attempts to the request guard, which withholds requests that crash endpoints.
  *
  * @module
  */
 import type { LossCause, RequestEvent } from "@drumpaddle/request";
 import type { WatchedEndpoint } from "../endpoints/ending-watch.js";
 import type { RequestGuard } from "../endpoints/request-guard.js";
-import type { AttemptRunner, AttemptSink } from "./run.js";
+import type { AttemptRunner, AttemptSink } from "./request-driver.js";
 
-/** A call whose attempts are guarded. */
+/** A call whose attempts are reported to the guard. */
 export interface GuardedCall {
     readonly req: string;
     readonly route: string;
@@ -16,19 +16,19 @@
     readonly fingerprint: string;
 }
 
-/** An attempt that is guarded. */
+/** An attempt that is reported to the guard. */
 export interface GuardedAttempt extends GuardedCall {
     readonly attempt: string;
     readonly endpoint: WatchedEndpoint;
-    /** Ends the attempt. */
+    /** Aborts when the attempt ends. */
     readonly signal: AbortSignal;
 }
 
-/** Losses that the end of the endpoint may have caused. */
-const MAY_BE_ENDING: ReadonlySet<LossCause> = new Set(["reset", "idle"]);
+/** Losses that a crash of the endpoint may have caused. */
+const MAY_BE_CRASH: ReadonlySet<LossCause> = new Set(["reset", "idle"]);
 
 /**
- * A sink that tells the guard when an attempt begins, and how it ended, before the request's decisions hear of it.
+ * Wraps a sink so that the guard learns of the start and the end of an attempt before the request's state machine does.
  *
  * @example
  * ```ts
@@ -43,41 +43,41 @@
     const { fingerprint } = run;
     let sentAt: number | undefined;
     let wasSuspect = false;
-    const over = (): void => guard.over(fingerprint, attempt);
-    signal.addEventListener("abort", over, { once: true });
+    const onOver = (): void => guard.over(fingerprint, attempt);
+    signal.addEventListener("abort", onOver, { once: true });
     const handlers: { readonly [K in RequestEvent["kind"]]?: (event: Extract<RequestEvent, { kind: K }>) => void } = {
         sending: () => {
             sentAt = guard.now();
             wasSuspect = guard.begun(fingerprint, attempt);
         },
         lost: ({ cause }) => {
-            over();
-            if (sentAt === undefined || !MAY_BE_ENDING.has(cause)) return;
+            onOver();
+            if (sentAt === undefined || !MAY_BE_CRASH.has(cause)) return;
             guard.broke(endpoint, { ...run, ranMs: guard.now() - sentAt, wasSuspect });
         },
-        endpointRefused: over,
+        endpointRefused: onOver,
         failedAnswer: () => {
-            over();
+            onOver();
             guard.ranWhole(fingerprint);
         },
         finished: () => {
-            over();
+            onOver();
             guard.ranWhole(fingerprint);
         },
     };
     return {
-        event: (event, piece) => {
+        report: (event, piece) => {
             const handler = handlers[event.kind] as ((event: RequestEvent) => void) | undefined;
             if (!signal.aborted) handler?.(event);
-            return sink.event(event, piece);
+            return sink.report(event, piece);
         },
     };
 }
 
 /**
- * A runner whose attempts are guarded, where endpoints tell nothing of their lives.
+ * Wraps a runner so that its attempts are reported to the guard, for endpoints that do not report their incarnation.
  *
- * @param urlOf Where an endpoint is reached; undefined where it is not declared.
+ * @param urlOf Returns the URL of an endpoint; undefined if it is not declared.
  *
  * @example
  * ```ts
@@ -90,14 +90,15 @@
     call: GuardedCall,
     urlOf: (endpoint: string) => string | undefined,
 ): AttemptRunner<T> {
-    const guarded = (sink: AttemptSink<T>, attempt: string, id: string, signal: AbortSignal): AttemptSink<T> => {
+    const guardedSink = (sink: AttemptSink<T>, attempt: string, id: string, signal: AbortSignal): AttemptSink<T> => {
         const endpoint = { id, incarnation: id, born: undefined, software: undefined, address: urlOf(id) ?? "" };
         return guardAttempt(sink, guard, { ...call, attempt, endpoint, signal });
     };
     return {
         ...runner,
-        start: (plan, sink, signal) => runner.start(plan, guarded(sink, plan.attempt, plan.endpoint, signal), signal),
+        start: (plan, sink, signal) =>
+            runner.start(plan, guardedSink(sink, plan.attempt, plan.endpoint, signal), signal),
         resume: (attempt, endpoint, generation, from, sink, signal) =>
-            runner.resume(attempt, endpoint, generation, from, guarded(sink, attempt, endpoint, signal), signal),
+            runner.resume(attempt, endpoint, generation, from, guardedSink(sink, attempt, endpoint, signal), signal),
     };
 }
--- a/packages/host/src/calls/host.ts
+++ b/packages/host/src/calls/host.ts
@@ -1,5 +1,5 @@
 /**
- * What the servers of one daemon share.
+ * State and services that the servers of one daemon share.
  *
  * @module
  */
@@ -15,9 +15,9 @@
 import type { Metrics } from "../runtime/metrics.js";
 import type { SettingsFeed } from "../store/settings-feed.js";
 import type { SettingsStore } from "../store/settings-store.js";
-import type { Claims } from "./claims.js";
+import type { Claims } from "./idempotency-claims.js";
 
-/** The parts of a daemon that requests use. */
+/** Services of a daemon that serve its requests. */
 export interface Host {
     readonly cfg: HostCfg;
     readonly clock: Clock;
@@ -25,62 +25,65 @@
     readonly metrics: Metrics;
     readonly feed: SettingsFeed;
     readonly store: SettingsStore;
+    /** Schedules generations on engines. */
     readonly engines: Placement;
+    /** Schedules calls of plain services. */
     readonly plain: Placement;
     readonly dispatcher: Dispatcher;
     readonly signal: AbortSignal;
     readonly runs: OpenRuns;
     readonly limits: LimitBook;
     readonly claims: Claims;
-    /** What this host holds for those that read slowly. */
+    /** Accounts for the memory that calls hold. */
     readonly memory: HostMemory;
-    /** Keeps requests away that end the endpoints that run them. */
+    /** Withholds requests that crash the endpoints that run them. */
     readonly guard: RequestGuard;
-    /** Set as soon as the host listens for its peers. */
+    /** Undefined until the host listens for its peers. */
     peers: Peers | undefined;
 }
 
-/** A request that can be told that the host stops. */
-export interface OpenRun {
-    event(event: { readonly kind: "stopping" }): void;
-    /** Looks at the time anew: its timers stood still while the host was suspended. */
-    woke(): void;
+/** A request that the host is serving. */
+export interface OpenRequest {
+    /** Handles the shutdown of the host. */
+    handle(event: { readonly kind: "stopping" }): void;
+    /** Called after the host was suspended, during which timers did not run. */
+    onWake(): void;
 }
 
-/** Requests that are being served. */
+/** The requests that the host is serving. */
 export class OpenRuns {
-    private readonly runs = new Set<OpenRun>();
+    private readonly runs = new Set<OpenRequest>();
     private emptied: (() => void) | undefined;
-    /** True from the moment that the host was told to stop. */
+    /** Whether the host is shutting down. */
     stopping = false;
 
     get size(): number {
         return this.runs.size;
     }
 
-    add(run: OpenRun): void {
+    add(run: OpenRequest): void {
         this.runs.add(run);
     }
 
-    delete(run: OpenRun): void {
+    delete(run: OpenRequest): void {
         this.runs.delete(run);
         if (this.runs.size === 0) this.emptied?.();
     }
 
-    /** Tells every request that the host was suspended. */
+    /** Notifies every request that the host was suspended. */
     woke(): void {
-        for (const run of [...this.runs]) run.woke();
+        for (const run of [...this.runs]) run.onWake();
     }
 
-    /** Tells every request that the host stops: waiting ones end, running ones go on. Resolves when none is left. */
+    /** Notifies every request that the host is shutting down: waiting ones end, running ones continue. Resolves when all have ended. */
     drain(): Promise<void> {
         this.stopping = true;
-        for (const run of [...this.runs]) run.event({ kind: "stopping" });
+        for (const run of [...this.runs]) run.handle({ kind: "stopping" });
         return this.runs.size === 0 ? Promise.resolve() : new Promise(resolve => this.emptied = resolve);
     }
 }
 
-/** Holds the value of the limits' state. */
+/** Holds the current usage of the workspaces' limits. */
 export class LimitBook {
     state: LimitState = createLimits();
 }
--- a/packages/host/src/calls/claims.ts
+++ b/packages/host/src/calls/idempotency-claims.ts
@@ -1,61 +1,63 @@
 /**
- * At most once over all hosts: a caller's own idempotency key is claimed in the platform's key-value service before the
- * call is dispatched, and the answer is recorded under the claim.
+ * Runs a call at most once over all hosts: the host claims the caller's idempotency key in the platform's key-value
+ * service before it dispatches the call, and records the answer under the claim.
  *
- * A claim is one conditional write. Whoever finds the key claimed gets the recorded answer, or the honest word that it is
- * not known whether the first call ran. With the service away nothing is claimed, so nothing is dispatched.
+ * A claim is one conditional write. A later call with the same key gets the recorded answer, or an error that says that it
+ * is not known whether the first call ran. While the service is unreachable nothing can be claimed, so no such call is
+ * dispatched.
  *
  * @module
  */
 import type { KeyValue, KvEntry, KvResult } from "@drumpaddle/protocol";
 import { createHash } from "node:crypto";
 
-/** A recorded answer. The body is in base64. */
+/** A recorded answer. */
 export interface Recorded {
     readonly status: number;
     readonly contentType: string | undefined;
     readonly contentEncoding: string | undefined;
-    /** Not true where only the end of its connection ended the answer, and in records of older hosts, which do not say. */
+    /** Whether a length or chunks marked the end of the answer. Missing in records of older hosts. */
     readonly framed: boolean;
+    /** In base64. */
     readonly body: string;
 }
 
-/** What stands under a claimed key. */
+/** The stored value of a claimed key. */
 interface Claim {
-    /** The request that claimed it. */
+    /** Id of the request that claimed the key. */
     readonly request: string;
-    /** Hash of method, path and body: the same key with another call is refused. */
+    /** Hash of method, path and body: the key is refused for any other call. */
     readonly call: string;
     readonly at: number;
     readonly answer?: Recorded;
 }
 
-/** What claiming came to. */
+/** The result of a claim. */
 export type ClaimResult =
-    /** The key is this request's: it may be dispatched, once. */
+    /** This request holds the key and may be dispatched once. */
     | { readonly kind: "mine" }
     | { readonly kind: "recorded"; readonly answer: Recorded }
-    /** Another request has it and has recorded no answer: it runs, or its host died. */
+    /** Another request holds the key and has recorded no answer: it is running, or its host crashed. */
     | { readonly kind: "taken" }
     /** The key was used for another call. */
     | { readonly kind: "otherCall" }
-    /** The service gave no answer; this request has not been dispatched. */
+    /** The key-value service did not answer, so this request was not dispatched. */
     | { readonly kind: "away"; readonly detail: string };
 
-/** Answers above this many bytes are not recorded; a resend of such a call hears that it is not known. */
+/** Larger answers are not recorded; a repeated call then gets the error of {@link ClaimResult} `taken`. */
 export const MAX_RECORDED_BYTES = 65_536;
-/** Claims live this long. */
+/** How long a claim is stored at least. */
 const CLAIM_TTL_S = 86_400;
-/** Claims of so long share one lease, so that leases cost almost no writes. */
-const LEASE_SHARED_MS = 3_600_000;
-const TRIES = 3;
+/** All claims made within this time share one lease, so that leases cause few writes. */
+const LEASE_SHARING_MS = 3_600_000;
+const MAX_TRIES = 3;
 
-/** The hash that tells calls apart. */
+/** Returns the hash that identifies a call. */
 export function callHash(method: string, path: string, body: Buffer | undefined): string {
     return createHash("sha256").update(`${method} ${path}\n`).update(body ?? "").digest("hex");
 }
 
-/** Claims of one host. */
+/** The claims of one host. */
 export class Claims {
     private lease: { readonly id: string; readonly until: number } | undefined;
 
@@ -65,26 +67,26 @@
         return `${this.prefix}/claim/${workspace}/${createHash("sha256").update(idempotencyKey).digest("hex")}`;
     }
 
-    /** Claims a key for a request. A lost reply is settled by the same conditional write again, then by reading. */
+    /** Claims a key for a request. After a lost reply the same write is repeated; if it conflicts, the stored claim tells whose it is. */
     async claim(workspace: string, idempotencyKey: string, request: string, call: string): Promise<ClaimResult> {
         const key = this.keyOf(workspace, idempotencyKey);
         const claim: Claim = { request, call, at: Date.now() };
         let detail = "";
-        for (let tried = 0; tried < TRIES; tried++) {
+        for (let tried = 0; tried < MAX_TRIES; tried++) {
             const lease = await this.leaseId();
             if (!lease.ok) return { kind: "away", detail: lease.err.kind };
-            const written = await this.kv.commit(
+            const committed = await this.kv.commit(
                 {
                     conditions: [{ key, modRevision: 0 }],
                     puts: [{ key, value: JSON.stringify(claim), lease: lease.value }],
                 },
                 this.signal,
             );
-            if (written.ok && written.value) return { kind: "mine" };
-            if (written.ok) return this.readClaim(key, claim);
-            // A service that came back from an older copy may have lost the lease.
-            if (written.err.kind === "refused") this.lease = undefined;
-            detail = written.err.detail;
+            if (committed.ok && committed.value) return { kind: "mine" };
+            if (committed.ok) return this.readClaim(key, claim);
+            // A service that was restored from a backup may have lost the lease.
+            if (committed.err.kind === "refused") this.lease = undefined;
+            detail = committed.err.detail;
         }
         return { kind: "away", detail };
     }
@@ -92,31 +94,32 @@
     private async readClaim(key: string, mine: Claim): Promise<ClaimResult> {
         const found = await this.kv.get(key, this.signal);
         if (!found.ok) return { kind: "away", detail: found.err.detail };
-        if (!found.value) return { kind: "away", detail: "the claim went away while it was read" };
+        if (!found.value) return { kind: "away", detail: "the claim disappeared before it was read" };
         const claim = JSON.parse(found.value.value) as Claim;
         if (claim.request === mine.request) return { kind: "mine" };
         if (claim.call !== mine.call) return { kind: "otherCall" };
         return claim.answer ? { kind: "recorded", answer: claim.answer } : { kind: "taken" };
     }
 
-    /** Records an answer under this request's claim. Failing costs the caller a recorded answer, never a second run. */
+    /** Records an answer under this request's claim. If this fails, a repeated call gets an error; it still does not run again. */
     async record(workspace: string, idempotencyKey: string, request: string, answer: Recorded): Promise<boolean> {
-        return this.change(workspace, idempotencyKey, request, (entry, claim) => ({
+        return this.changeOwnClaim(workspace, idempotencyKey, request, (entry, claim) => ({
             conditions: [{ key: entry.key, modRevision: entry.modRevision }],
             puts: [{ key: entry.key, value: JSON.stringify({ ...claim, answer }), lease: this.lease?.id }],
         }));
     }
 
-    /** Gives the key back: the request provably did not run. */
+    /** Releases the key of a request that provably did not run. */
     async release(workspace: string, idempotencyKey: string, request: string): Promise<boolean> {
-        return this.change(workspace, idempotencyKey, request, entry => ({
+        return this.changeOwnClaim(workspace, idempotencyKey, request, entry => ({
             conditions: [{ key: entry.key, modRevision: entry.modRevision }],
             puts: [],
             deletes: [entry.key],
         }));
     }
 
-    private async change(
+    /** Changes a claim if it is still this request's; returns whether the change was committed. */
+    private async changeOwnClaim(
         workspace: string,
         idempotencyKey: string,
         request: string,
@@ -126,15 +129,15 @@
         if (!found.ok || !found.value) return false;
         const claim = JSON.parse(found.value.value) as Claim;
         if (claim.request !== request) return false;
-        const written = await this.kv.commit(commitOf(found.value, claim), this.signal);
-        return written.ok && written.value;
+        const committed = await this.kv.commit(commitOf(found.value, claim), this.signal);
+        return committed.ok && committed.value;
     }
 
     private async leaseId(): Promise<KvResult<string>> {
         const now = Date.now();
         if (this.lease && now < this.lease.until) return { ok: true, value: this.lease.id };
-        const granted = await this.kv.grantLease(CLAIM_TTL_S + LEASE_SHARED_MS / 1000, this.signal);
-        if (granted.ok) this.lease = { id: granted.value, until: now + LEASE_SHARED_MS };
+        const granted = await this.kv.grantLease(CLAIM_TTL_S + LEASE_SHARING_MS / 1000, this.signal);
+        if (granted.ok) this.lease = { id: granted.value, until: now + LEASE_SHARING_MS };
         return granted;
     }
 }
--- a/packages/host/src/calls/plain.ts
+++ b/packages/host/src/calls/plain-service.ts
@@ -1,8 +1,9 @@
 /**
- * Serves one call of a plain service: any method, the answer passed through as it comes.
+ * Serves one call of a plain service, which is any HTTP service that is not an engine. The answer is passed through as it
+ * arrives.
  *
- * A call of a method that changes things runs at most once, unless the caller or the settings say that it may be
- * repeated.
+ * A call of a method that is not safe runs at most once, unless the caller allows that it is repeated and the settings do
+ * not forbid it.
  *
  * @module
  */
@@ -18,19 +19,19 @@
 import { plainModel } from "../endpoints/plain-model.js";
 import type { CallMemory } from "../runtime/call-memory.js";
 import type { Directory } from "../store/directory.js";
-import { type ApiError, toApiError, writeError } from "./answer.js";
+import { type ApiError, toApiError, writeError } from "./caller-answer.js";
 import { CallerQueue } from "./caller-queue.js";
-import { callHash, MAX_RECORDED_BYTES, type Recorded } from "./claims.js";
 import { fingerprintOf } from "./fingerprint.js";
 import { NO_BODY_STATUSES } from "./forward-attempt.js";
 import { breakAnswer } from "./forward-reply.js";
-import { limitError, limitsOf, policyOf } from "./generate.js";
-import { deliver, errorOf } from "./given-up.js";
+import { limitReached, limitsOf, policyOf } from "./generate.js";
+import { giveUpError, trackDelivery } from "./given-up.js";
 import { guardRunner } from "./guard-attempt.js";
 import type { Host } from "./host.js";
-import { type AttemptRunner, type AttemptSink, type Reply, Run } from "./run.js";
+import { callHash, MAX_RECORDED_BYTES, type Recorded } from "./idempotency-claims.js";
+import { type AttemptRunner, type AttemptSink, type Reply, RequestDriver } from "./request-driver.js";
 
-/** A call after its key was checked. */
+/** A call, after its key was checked. */
 export interface PlainCall {
     readonly id: string;
     readonly workspace: string;
@@ -38,22 +39,22 @@
     readonly service: string;
     readonly req: FastifyRequest;
     readonly out: ServerResponse;
-    /** What it holds. */
+    /** Accounts for the memory that the call holds. */
     readonly memory: CallMemory;
 }
 
-/** A piece of a plain answer: its head with its body, which is then passed through. */
+/** The single piece of a plain answer: its head, with the body as a stream. */
 interface PlainPiece {
     readonly status: number;
     readonly headers: IncomingHttpHeaders;
-    /** False where only the end of its connection ends the answer: the caller must see it end likewise. */
+    /** Whether a length or chunks mark the end of the answer. If not, the answer to the caller must also end with its connection. */
     readonly framed: boolean;
     readonly body: Readable;
 }
 
 const SAFE_METHODS: ReadonlySet<string> = new Set(["GET", "HEAD", "OPTIONS"]);
-/** Headers that belong to one connection (RFC 9110, section 7.6.1), and those that this system sets or keeps. */
-const OWN_HEADERS: ReadonlySet<string> = new Set([
+/** Headers that are not forwarded: those of one connection (RFC 9110, section 7.6.1), and those that the host sets or consumes. */
+const UNFORWARDED_HEADERS: ReadonlySet<string> = new Set([
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -81,19 +82,19 @@
     method: string,
     path: string,
     settings: Pick<Settings, "not-repeatable" | "repeatable">,
-    said: string | string[] | undefined,
+    callerHeader: string | string[] | undefined,
 ): boolean {
-    if (said === "true" || !settings.repeatable) return true;
+    if (callerHeader === "true" || !settings.repeatable) return true;
     const listed = settings["not-repeatable"].some(pattern => {
         const [verb, where] = pattern.split(" ") as [string, string];
-        const fits = where.endsWith("*") ? path.startsWith(where.slice(0, -1)) : path === where;
-        return verb === method && fits;
+        const matches = where.endsWith("*") ? path.startsWith(where.slice(0, -1)) : path === where;
+        return verb === method && matches;
     });
     if (listed) return true;
-    return said === "false" ? false : !SAFE_METHODS.has(method);
+    return callerHeader === "false" ? false : !SAFE_METHODS.has(method);
 }
 
-/** Serves a call; every way out writes an answer. */
+/** Serves a call. Every call gets an answer. */
 export function servePlain(host: Host, call: PlainCall): void {
     const { directory, service, workspace, id, out } = call;
     const headers = { "x-request-id": id };
@@ -110,9 +111,16 @@
         return refuse({ status: 413, code: "body_too_large", message: "the body is too large", ran: "no" });
     }
     const job = jobOf(call, settings);
-    const taken = reserve(host.limits.state, id, workspace, limitsOf(host, directory, settings), 0, host.clock.now());
-    if (!taken.ok) return refuse(limitError(taken.refusal));
-    host.limits.state = taken.state;
+    const reserved = reserve(
+        host.limits.state,
+        id,
+        workspace,
+        limitsOf(host, directory, settings),
+        0,
+        host.clock.now(),
+    );
+    if (!reserved.ok) return refuse(limitReached(reserved.refusal));
+    host.limits.state = reserved.state;
     const path = pathOf(call);
     const once = isOnce(call.req.method, path.split("?")[0]!, settings, call.req.headers["x-not-repeatable"]);
     const key = call.req.headers["idempotency-key"];
@@ -122,34 +130,34 @@
         settings,
         body,
         path,
-        once,
+        runsOnce: once,
         key: once && typeof key === "string" ? key : undefined,
     };
     if (plan.key === undefined) start(host, plan);
     else void claimAndStart(host, plan, plan.key);
 }
 
-/** A call with all that was decided about it. */
+/** A call, with what was decided about it. */
 interface PlainPlan {
     readonly call: PlainCall;
     readonly job: Job;
     readonly settings: Settings;
     readonly body: Buffer | undefined;
     readonly path: string;
-    readonly once: boolean;
-    /** The caller's key, where the call is to run at most once. */
+    readonly runsOnce: boolean;
+    /** The caller's idempotency key, if the call runs at most once. */
     readonly key: string | undefined;
 }
 
 const CLAIM_RETRY_MS = 1_000;
 const MAX_KEY_LENGTH = 255;
 
-/** Errors for claims that are not this request's. None of these requests was dispatched. */
+/** Errors for keys that this request could not claim; it was not dispatched. */
 const CLAIM_ERROR = {
     taken: {
         status: 409,
         code: FailCode.AlreadyClaimed,
-        message: "a call with this key was begun; it is not known whether it ran",
+        message: "a call with this key was started before; it is not known whether it ran",
         ran: "unknown",
     },
     otherCall: { status: 422, code: "key_reused", message: "this key was used for another call", ran: "no" },
@@ -169,7 +177,7 @@
         ? { kind: "otherCall" as const }
         : await host.claims.claim(workspace, key, id, hash);
     if (claimed.kind === "mine") {
-        // A caller that left, or a host told to stop, while the key was claimed: nothing is sent, so the key is free again.
+        // If the caller left or the host began to stop meanwhile, nothing is sent and the key is released.
         if (!out.destroyed && !host.runs.stopping) return start(host, plan);
         await host.claims.release(workspace, key, id);
     }
@@ -203,7 +211,7 @@
     retryAfterMs: 0,
 };
 
-/** Records what became of a claimed call. */
+/** Records the answer of a claimed call, or releases its key if it provably did not run. */
 async function settleClaim(
     host: Host,
     { call, key }: PlainPlan,
@@ -233,10 +241,10 @@
 }
 
 function start(host: Host, plan: PlainPlan): void {
-    const { call, job, settings, body, path, once } = plan;
+    const { call, job, settings, body, path, runsOnce: once } = plan;
     const { out, id } = call;
     const queue = new CallerQueue(out, call.memory);
-    const reply = passThrough(call, queue);
+    const reply = passThroughReply(call, queue);
     const fingerprint = fingerprintOf({
         method: call.req.method,
         host: "",
@@ -245,7 +253,7 @@
         body,
     });
     host.metrics.open.inc();
-    const run: Run<PlainPiece> = new Run<PlainPiece>({
+    const run: RequestDriver<PlainPiece> = new RequestDriver<PlainPiece>({
         cfg: {
             id,
             repeatable: !once,
@@ -263,7 +271,7 @@
             workspace: call.workspace,
             fingerprint,
         }, endpoint => urlOf(host, call.directory, endpoint)),
-        withhold: attempt => host.guard.withhold(fingerprint, { attempt }),
+        withholdReason: attempt => host.guard.withhold(fingerprint, { attempt }),
         reply,
         onGap: () => undefined,
         onDispatch: kind => host.metrics.countDispatch(kind),
@@ -272,7 +280,7 @@
             call.memory.hold(HeldKind.Body, 0);
             queueMicrotask(() => {
                 host.runs.delete(run);
-                deliver(host.runs, out, call.memory, queue);
+                trackDelivery(host.runs, out, call.memory, queue);
             });
             void settleClaim(host, plan, ran, end.err ? undefined : reply.recorded());
             host.limits.state = settle(
@@ -299,8 +307,8 @@
     });
     if (run.ended) return;
     host.runs.add(run);
-    call.memory.onGiveUp = givenUp => run.event({ kind: "givenUp", ...errorOf(givenUp) });
-    out.on("close", () => run.event({ kind: "callerGone" }));
+    call.memory.onGiveUp = givenUp => run.handle({ kind: "givenUp", ...giveUpError(givenUp) });
+    out.on("close", () => run.handle({ kind: "callerGone" }));
 }
 
 function isEncrypted({ socket }: ServerResponse): boolean {
@@ -308,21 +316,22 @@
 }
 
 /**
- * Begins an answer. One whose end was never told may be cut, and chunks of ours would vouch for it: its connection ends
- * with it. An encrypted connection cannot be reset, so there chunks remain, whose missing end shows a break.
+ * Begins an answer. An answer that only the end of its connection ends may be cut off, and chunks of ours would mark it as
+ * complete, so the connection to the caller ends with it too. An encrypted connection cannot be reset: there the answer
+ * is chunked, and a missing last chunk shows that it was cut off.
  */
 function writeHead(out: ServerResponse, status: number, framed: boolean, headers: OutgoingHttpHeaders): void {
     out.useChunkedEncodingByDefault &&= framed || isEncrypted(out);
     out.writeHead(status, headers);
 }
 
-function breakOff(out: ServerResponse): void {
+function abortAnswer(out: ServerResponse): void {
     if (isEncrypted(out)) out.destroy();
     else breakAnswer(out);
 }
 
-/** Passes an answer on as it comes, and keeps a small one for the record. */
-function passThrough(
+/** Creates a reply that passes an answer through as it arrives, and keeps a small one to be recorded. */
+function passThroughReply(
     { out, id, memory }: PlainCall,
     queue: CallerQueue,
 ): Reply<PlainPiece> & { recorded(): Recorded | undefined } {
@@ -331,10 +340,10 @@
     let bytes = 0;
     return {
         forward: ({ status, headers, framed, body }) => {
-            const passed = Object.entries(headers).filter(([name]) =>
-                !OWN_HEADERS.has(name) || name === "content-length"
+            const answerHeaders = Object.entries(headers).filter(([name]) =>
+                !UNFORWARDED_HEADERS.has(name) || name === "content-length"
             );
-            writeHead(out, status, framed, { ...Object.fromEntries(passed), "x-request-id": id });
+            writeHead(out, status, framed, { ...Object.fromEntries(answerHeaders), "x-request-id": id });
             head = {
                 status,
                 contentType: headers["content-type"],
@@ -348,13 +357,13 @@
                 if (!memory.whenRoom(() => body.resume())) body.pause();
             });
         },
-        drop: () => undefined,
+        discard: () => undefined,
         finish: () => queue.end(),
-        // Once the head has gone out, breaking the connection is the only honest sign that the body is not whole.
+        // Once the head was sent, only an aborted connection shows that the body is not complete.
         fail: err => {
             if (!out.headersSent) return writeError(out, toApiError(err), { "x-request-id": id });
-            queue.drop();
-            breakOff(out);
+            queue.discard();
+            abortAnswer(out);
         },
         recorded: () =>
             head && bytes <= MAX_RECORDED_BYTES
@@ -378,19 +387,19 @@
         start: ({ attempt, endpoint }, sink, signal) => {
             const url = urlOf(host, call.directory, endpoint);
             if (url === undefined) {
-                sink.event({ kind: "lost", attempt, cause: "connect", detail: "the endpoint is no longer declared" });
+                sink.report({ kind: "lost", attempt, cause: "connect", detail: "the endpoint is no longer declared" });
                 return;
             }
-            sink.event({ kind: "sending", attempt });
-            void attemptCall(host.dispatcher, call, url + path, settings, body, attempt, sink, signal);
+            sink.report({ kind: "sending", attempt });
+            void sendCall(host.dispatcher, call, url + path, settings, body, attempt, sink, signal);
         },
         resume: (attempt, _endpoint, _generation, _from, sink) =>
-            sink.event({ kind: "lost", attempt, cause: "resumeRefused", detail: "plain services do not resume" }),
+            sink.report({ kind: "lost", attempt, cause: "resumeRefused", detail: "plain services do not resume" }),
         cancel: () => undefined,
     };
 }
 
-async function attemptCall(
+async function sendCall(
     dispatcher: Dispatcher,
     call: PlainCall,
     url: string,
@@ -403,7 +412,7 @@
     try {
         const res = await request(url, {
             method: call.req.method,
-            headers: { ...passedHeaders(call.req.headers), "x-request-id": call.id, "x-attempt-id": attempt },
+            headers: { ...forwardedHeaders(call.req.headers), "x-request-id": call.id, "x-attempt-id": attempt },
             ...(body === undefined ? {} : { body }),
             dispatcher,
             headersTimeout: settings["first-token-timeout"],
@@ -412,15 +421,15 @@
         });
         if (res.statusCode >= 500 && res.headers["x-ran"] === "no") {
             await res.body.dump();
-            sink.event({ kind: "endpointRefused", attempt, detail: `${res.statusCode}: refused` });
+            sink.report({ kind: "endpointRefused", attempt, detail: `${res.statusCode}: refused` });
             return;
         }
-        pass(res, call.req.method, attempt, sink);
+        reportAnswer(res, call.req.method, attempt, sink);
     }
     catch (err) {
         if (signal.aborted) return;
         const silent = (err as { code?: string }).code === "UND_ERR_HEADERS_TIMEOUT";
-        sink.event({
+        sink.report({
             kind: "lost",
             attempt,
             cause: neverSent(err) ? "connect" : silent ? "firstToken" : "reset",
@@ -429,26 +438,26 @@
     }
 }
 
-/** Reports an answer's head as its one token, and its end when the body has gone through. */
-function pass(
+/** Reports an answer's head as its only token, and its end once the body was passed through. */
+function reportAnswer(
     res: Dispatcher.ResponseData,
     method: string,
     attempt: string,
     sink: AttemptSink<PlainPiece>,
 ): void {
-    res.body.on("end", () => sink.event({ kind: "finished", attempt, generation: attempt, total: 1 }));
-    res.body.on("error", (err: Error) => sink.event({ kind: "lost", attempt, cause: "reset", detail: errText(err) }));
-    sink.event({ kind: "opened", attempt, generation: attempt });
+    res.body.on("end", () => sink.report({ kind: "finished", attempt, generation: attempt, total: 1 }));
+    res.body.on("error", (err: Error) => sink.report({ kind: "lost", attempt, cause: "reset", detail: errText(err) }));
+    sink.report({ kind: "opened", attempt, generation: attempt });
     const piece = {
         status: res.statusCode,
         headers: res.headers as IncomingHttpHeaders,
         framed: isFramed(method, res),
         body: res.body,
     };
-    sink.event({ kind: "token", attempt, generation: attempt, index: 0 }, piece);
+    sink.report({ kind: "token", attempt, generation: attempt, index: 0 }, piece);
 }
 
-/** Whether an answer's end can be seen in its bytes. */
+/** Whether a length or chunks mark the end of an answer. */
 function isFramed(method: string, { statusCode, headers }: Dispatcher.ResponseData): boolean {
     if (method === "HEAD" || NO_BODY_STATUSES.has(statusCode)) return true;
     const encoding = headers["transfer-encoding"];
@@ -456,7 +465,9 @@
     return chunked || headers["content-length"] !== undefined;
 }
 
-function passedHeaders(headers: IncomingHttpHeaders): Record<string, string | string[]> {
-    const kept = Object.entries(headers).filter(([name, value]) => !OWN_HEADERS.has(name) && value !== undefined);
+function forwardedHeaders(headers: IncomingHttpHeaders): Record<string, string | string[]> {
+    const kept = Object.entries(headers).filter(([name, value]) =>
+        !UNFORWARDED_HEADERS.has(name) && value !== undefined
+    );
     return Object.fromEntries(kept) as Record<string, string | string[]>;
 }
--- a/packages/host/src/calls/request-body.ts
+++ b/packages/host/src/calls/request-body.ts
@@ -1,39 +1,39 @@
 /**
- * Reads a caller's body whole, within a size and a time, so that nothing half-sent reaches an endpoint.
+ * Reads the complete body of a request within a size and a time limit, so that no partial body reaches an endpoint.
  *
  * @module
  */
 import type { IncomingMessage } from "node:http";
 
-/** What became of a body. */
+/** The result of reading a body. */
 export type BodyRead =
     | { readonly kind: "whole"; readonly bytes: Buffer | undefined }
     | { readonly kind: "tooLarge" }
-    /** This host has no memory left for it. */
+    /** The host has no memory left for the body. */
     | { readonly kind: "noRoom" }
     | { readonly kind: "timeout" }
-    /** The caller left. */
+    /** The caller closed the connection. */
     | { readonly kind: "gone" };
 
-/** Bounds on a body. */
-export interface BodyBounds {
-    readonly mostBytes: number;
+/** Limits on a body. */
+export interface BodyLimits {
+    readonly maxBytes: number;
     readonly timeoutMs: number;
-    /** Whether there is room for so much more, asked for each part of a body whose head does not tell its length. */
-    readonly takeIn: (bytes: number) => boolean;
-    /** Aborts when there is no room any more for what came. */
+    /** Reserves memory for more bytes, if there is room; called for each chunk of a body without a declared length. */
+    readonly reserve: (bytes: number) => boolean;
+    /** Aborts when the host needs the memory of the body back. */
     readonly signal: AbortSignal;
 }
 
 /**
- * The length that a request's head tells of its body: 0 where it has none, undefined where only its end tells it.
+ * Returns the length of a request's body by its head: 0 without a body, undefined for a chunked one.
  *
  * @example
  * ```ts
- * lengthTold(req); // 5_120
+ * declaredLength(req); // 5_120
  * ```
  */
-export function lengthTold({ headers }: Pick<IncomingMessage, "headers">): number | undefined {
+export function declaredLength({ headers }: Pick<IncomingMessage, "headers">): number | undefined {
     if (headers["transfer-encoding"] !== undefined) return undefined;
     return Number(headers["content-length"] ?? 0);
 }
@@ -43,33 +43,33 @@
  *
  * @example
  * ```ts
- * const body = await readBody(req, { mostBytes: 4_000_000, timeoutMs: 10_000, takeIn: () => true, signal });
+ * const body = await readBody(req, { maxBytes: 4_000_000, timeoutMs: 10_000, reserve: () => true, signal });
  * if (body.kind === "whole") send(body.bytes);
  * ```
  */
 export function readBody(
     req: IncomingMessage,
-    { mostBytes, timeoutMs, takeIn, signal }: BodyBounds,
+    { maxBytes, timeoutMs, reserve, signal }: BodyLimits,
 ): Promise<BodyRead> {
-    const isTold = lengthTold(req) !== undefined;
+    const isLengthDeclared = declaredLength(req) !== undefined;
     return new Promise(resolve => {
         let chunks: Buffer[] = [];
-        let isOver = false;
+        let hasEnded = false;
         let bytes = 0;
         const timer = setTimeout(() => end({ kind: "timeout" }), timeoutMs);
         const end = (read: BodyRead): void => {
             clearTimeout(timer);
-            isOver = true;
+            hasEnded = true;
             chunks = [];
             resolve(read);
         };
         signal.addEventListener("abort", () => end({ kind: "noRoom" }), { once: true });
         req.on("data", (chunk: Buffer) => {
-            // What comes behind a refusal is read and forgotten, so that its caller gets to reading the answer.
-            if (isOver) return;
+            // After a refusal the rest of the body is read and discarded, so that the caller gets to read the answer.
+            if (hasEnded) return;
             bytes += chunk.length;
-            if (bytes > mostBytes) end({ kind: "tooLarge" });
-            else if (!isTold && !takeIn(chunk.length)) end({ kind: "noRoom" });
+            if (bytes > maxBytes) end({ kind: "tooLarge" });
+            else if (!isLengthDeclared && !reserve(chunk.length)) end({ kind: "noRoom" });
             else chunks.push(chunk);
         });
         req.on("end", () => end({ kind: "whole", bytes: bodyOf(chunks) }));
--- a/packages/host/src/calls/silence-watch.ts
+++ b/packages/host/src/calls/silence-watch.ts
@@ -1,122 +1,125 @@
 /**
- * Watches a stream that has begun: one that falls silent may be lost, as its endpoint may be gone without a word.
+ * Watches a running stream for silence: an endpoint may disappear without closing its connection.
  *
  * @module
  */
 
-/** When a stream that has begun and falls silent is taken for lost. Times are milliseconds since its last event. */
+/** When a silent stream counts as lost. Times are milliseconds since its last event. */
 export interface SilenceCfg {
-    /** Its endpoint is asked for a sign of life after this: one that gives none is lost. */
-    readonly askMs: number;
-    /** Lost after this, whatever the endpoint says. */
-    readonly lostMs: number;
-    /** The time that this host was awake: while it was not, nothing could be heard. */
-    awake(): number;
-    /** Whether the endpoint gives a sign of life. */
-    answers(): Promise<boolean>;
-    /** Whether the stream may go on elsewhere now: where it may not, silence is no reason to end it. */
-    canGoOn(): boolean;
+    /** The watch probes the endpoint after this time; without an answer the stream is lost. */
+    readonly probeAfterMs: number;
+    /** The stream is lost after this time, even if its endpoint answers the probe. */
+    readonly lostAfterMs: number;
+    /** The time for which the host was awake; a suspended host receives nothing. */
+    awakeMs(): number;
+    /** Probes the endpoint; resolves to whether it answered. */
+    isAlive(): Promise<boolean>;
+    /** Whether the stream can continue elsewhere now; if not, silence is no reason to end it. */
+    canContinue(): boolean;
 }
 
-/** A timer that fires later than this shows that the host itself was held up: events may wait to be read. */
-const HELD_UP_MS = 20;
-/** Time for a host that was held up to read what waits, before it looks again. */
-const LOOK_AGAIN_MS = 10;
+/** A timer that fires later than this shows that the event loop was blocked, so that events may wait to be read. */
+const LATE_TIMER_MS = 20;
+/** Time for a blocked event loop to read what waits before the watch checks again. */
+const RECHECK_MS = 10;
 
 /**
- * The watch over one stream; it begins with the first event.
+ * Watches one stream, from its first event.
  *
  * @example
  * ```ts
  * const watch = new SilenceWatch(cfg, detail => lose(detail));
- * watch.heard();
+ * watch.onEvent();
  * ```
  */
 export class SilenceWatch {
     private readonly timers = new Set<NodeJS.Timeout>();
-    /** Looks that are due as soon as what waits to be read has been. */
-    private readonly looks = new Set<NodeJS.Immediate>();
+    /** Checks that are due once waiting input was read. */
+    private readonly immediates = new Set<NodeJS.Immediate>();
     private lastEventAt = 0;
     private paused = false;
 
-    constructor(private readonly cfg: SilenceCfg, private readonly onLost: (detail: string) => void) {}
+    constructor(private readonly cfg: SilenceCfg, private readonly onLostStream: (detail: string) => void) {}
 
-    /** An event came. */
-    heard(): void {
-        this.lastEventAt = this.cfg.awake();
+    /** Restarts the watch after an event. */
+    onEvent(): void {
+        this.lastEventAt = this.cfg.awakeMs();
         this.stop();
-        this.wait(this.cfg.askMs, () => this.ask());
+        this.schedule(this.cfg.probeAfterMs, () => this.probeEndpoint());
     }
 
-    /** Nothing is read while the caller takes nothing: the stream is held back here, not silent there. */
+    /** Suspends the watch while the host does not read the stream because the caller is slow. */
     pause(): void {
         this.stop();
         this.paused = true;
     }
 
-    /** The caller takes bytes again. */
+    /** Restarts the watch when the host reads the stream again. */
     resume(): void {
-        if (this.paused) this.heard();
+        if (this.paused) this.onEvent();
     }
 
-    /** Ends the watch, until another event comes. */
+    /** Stops the watch until the next event. */
     stop(): void {
         this.paused = false;
         for (const timer of this.timers) clearTimeout(timer);
-        for (const look of this.looks) clearImmediate(look);
+        for (const look of this.immediates) clearImmediate(look);
         this.timers.clear();
-        this.looks.clear();
+        this.immediates.clear();
     }
 
-    /** Calls back after a time, or a little later where the host was held up when it was due: once, as it may always be. */
-    private wait(ms: number, then: () => void): void {
-        const dueAt = this.cfg.awake() + ms;
-        this.after(ms, () => {
-            const heldUp = this.cfg.awake() - dueAt > HELD_UP_MS;
-            if (heldUp) this.after(LOOK_AGAIN_MS, then);
+    /** Calls back after a time; if the event loop was blocked when it was due, {@link RECHECK_MS} later. It delays only once, as the loop may be blocked again and again. */
+    private schedule(ms: number, then: () => void): void {
+        const dueAt = this.cfg.awakeMs() + ms;
+        this.runAfterReads(ms, () => {
+            const isLate = this.cfg.awakeMs() - dueAt > LATE_TIMER_MS;
+            if (isLate) this.runAfterReads(RECHECK_MS, then);
             else then();
         });
     }
 
     /**
-     * Calls back after a time, unless an event comes. Node runs timers before it reads: what has come by then is read first, as a
-     * busy host would else take its own delay for a silence.
+     * Calls back after a time and after the input that has arrived by then was read. Node runs timers before it reads, so a
+     * busy host would otherwise take its own delay for a silence.
      */
-    private after(ms: number, then: () => void): void {
+    private runAfterReads(ms: number, then: () => void): void {
         const timer = setTimeout(() => {
             const look = setImmediate(() => {
-                this.looks.delete(look);
+                this.immediates.delete(look);
                 then();
             });
             this.timers.delete(timer);
-            this.looks.add(look);
+            this.immediates.add(look);
         }, ms);
         this.timers.add(timer);
     }
 
     private get silentMs(): number {
-        return this.cfg.awake() - this.lastEventAt;
+        return this.cfg.awakeMs() - this.lastEventAt;
     }
 
-    private ask(): void {
+    private probeEndpoint(): void {
         const { lastEventAt, cfg } = this;
-        if (!cfg.canGoOn()) return this.askLater();
-        this.wait(Math.max(0, cfg.lostMs - this.silentMs), () => this.lose("its endpoint lives"));
-        void cfg.answers().then(answers => {
-            if (!answers && this.lastEventAt === lastEventAt && this.timers.size + this.looks.size > 0) {
-                this.lose("no sign of life");
+        if (!cfg.canContinue()) return this.probeLater();
+        this.schedule(
+            Math.max(0, cfg.lostAfterMs - this.silentMs),
+            () => this.reportLost("though its endpoint is alive"),
+        );
+        void cfg.isAlive().then(isAlive => {
+            if (!isAlive && this.lastEventAt === lastEventAt && this.timers.size + this.immediates.size > 0) {
+                this.reportLost("and its endpoint did not answer");
             }
         });
     }
 
-    private askLater(): void {
-        this.wait(this.cfg.askMs, () => this.ask());
+    private probeLater(): void {
+        this.schedule(this.cfg.probeAfterMs, () => this.probeEndpoint());
     }
 
-    private lose(why: string): void {
+    private reportLost(why: string): void {
         this.stop();
-        // Its copy went, or may not be used any more, since its endpoint was asked.
-        if (!this.cfg.canGoOn()) return this.askLater();
-        this.onLost(`no event for ${Math.round(this.silentMs)} ms, ${why}`);
+        // The copy may have disappeared, or become unusable, since the endpoint was probed.
+        if (!this.cfg.canContinue()) return this.probeLater();
+        this.onLostStream(`no event for ${Math.round(this.silentMs)} ms, ${why}`);
     }
 }
--- a/packages/host/src/calls/stall-watch.ts
+++ b/packages/host/src/calls/stall-watch.ts
@@ -1,5 +1,5 @@
 /**
- * Watches a caller that does not take its answer.
+ * Watches for callers that do not read their answer.
  *
  * @module
  */
@@ -7,15 +7,15 @@
 import type { CallMemory } from "../runtime/call-memory.js";
 
 /**
- * Back pressure from the caller: where it is too far behind, nothing is read for it, and after it has taken nothing for too long
- * it counts as gone.
+ * Applies backpressure from a caller: the engine's stream is paused while the caller is too far behind, and a caller that
+ * has read nothing for too long counts as gone.
  *
- * @param limitMs How long it may take nothing, in milliseconds.
+ * @param limitMs How long the caller may read nothing, in milliseconds.
  *
  * @example
  * ```ts
  * const stall = createStallWatch(out, memory, 30_000, () => run.event({ kind: "callerGone" }));
- * await stall.ready();
+ * await stall.whenCallerReads();
  * ```
  */
 export function createStallWatch(
@@ -23,29 +23,29 @@
     memory: CallMemory,
     limitMs: number,
     onStall: () => void,
-): { ready: () => Promise<void> | undefined; end: () => void } {
+): { whenCallerReads: () => Promise<void> | undefined; end: () => void } {
     let timer: NodeJS.Timeout | undefined;
-    const look = (): void => {
+    const checkProgress = (): void => {
         timer = undefined;
         const leftMs = limitMs - memory.callerStuckMs;
         if (leftMs <= 0) onStall();
         else watch(leftMs);
     };
     const watch = (ms: number): void => {
-        if (memory.held.unread > 0) timer ??= setTimeout(look, ms);
+        if (memory.held.unread > 0) timer ??= setTimeout(checkProgress, ms);
     };
     return {
-        ready: () => {
+        whenCallerReads: () => {
             watch(limitMs);
             let resume = (): void => undefined;
-            const reads = new Promise<void>(resolve => resume = resolve);
-            const go = (): void => {
-                out.off("close", go);
+            const readable = new Promise<void>(resolve => resume = resolve);
+            const proceed = (): void => {
+                out.off("close", proceed);
                 resume();
             };
-            if (memory.whenRoom(go)) return undefined;
-            out.on("close", go);
-            return reads;
+            if (memory.whenRoom(proceed)) return undefined;
+            out.on("close", proceed);
+            return readable;
         },
         end: () => clearTimeout(timer),
     };
--- a/packages/host/src/gateway.ts
+++ b/packages/host/src/gateway.ts
@@ -18,10 +18,10 @@
 import Fastify, { type FastifyInstance } from "fastify";
 import { setMaxListeners } from "node:events";
 import type { AddressInfo, Socket } from "node:net";
-import { Copies } from "./calls/copies.js";
 import type { Forwarding } from "./calls/forward-call.js";
 import { applyLimits, createForwardServer } from "./calls/forward-server.js";
 import { forward } from "./calls/forward.js";
+import { Copies } from "./calls/generation-copies.js";
 import { OpenRuns } from "./calls/host.js";
 import { declareEndpoints } from "./endpoints/declare-endpoints.js";
 import { EndingWatch, type WatchedEndpoint } from "./endpoints/ending-watch.js";
--- a/packages/host/src/index.ts
+++ b/packages/host/src/index.ts
@@ -1,4 +1,4 @@
-export { isOnce } from "./calls/plain.js";
+export { isOnce } from "./calls/plain-service.js";
 export { type Daemon, startDaemon } from "./daemon.js";
 export { plainModel } from "./endpoints/plain-model.js";
 export { type Gateway, startGateway } from "./gateway.js";
--- a/packages/host/test/answer.test.ts
+++ b/packages/host/test/caller-answer.test.ts
@@ -2,8 +2,8 @@
 import { createServer, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { request } from "undici";
-import { wholeReply } from "../src/calls/answer.js";
-import type { Reply } from "../src/calls/run.js";
+import { wholeReply } from "../src/calls/caller-answer.js";
+import type { Reply } from "../src/calls/request-driver.js";
 
 interface Whole {
     readonly choices: readonly { readonly message: { readonly content: string }; readonly finish_reason: string }[];
@@ -72,7 +72,7 @@
 test("the reason of an attempt that was given up is not the answer's", async t => {
     const whole = await gathered(t, reply => {
         reply.forward(event("given up", "length"));
-        reply.drop();
+        reply.discard();
         reply.forward(event("kept", null));
         reply.finish(event("", null), 1);
     });
--- a/packages/host/test/caller-queue.test.ts
+++ b/packages/host/test/caller-queue.test.ts
@@ -2,7 +2,7 @@
 import test from "ava";
 import { EventEmitter } from "node:events";
 import { Writable } from "node:stream";
-import { CallerQueue, type QueueOut } from "../src/calls/caller-queue.js";
+import { CallerQueue, type QueueTarget } from "../src/calls/caller-queue.js";
 import type { CallMemory } from "../src/runtime/call-memory.js";
 import { HostMemory } from "../src/runtime/host-memory.js";
 import { createLog } from "../src/runtime/log.js";
@@ -41,7 +41,7 @@
     const log = createLog("info", new Writable({ write: (_chunk, _encoding, done) => done() }));
     const host = new HostMemory({ budgetBytes: 50_000_000, clock: createClock(), log, metrics: new Metrics() });
     const memory = host.open("c");
-    return { queue: new CallerQueue(out as unknown as QueueOut, memory), memory };
+    return { queue: new CallerQueue(out as unknown as QueueTarget, memory), memory };
 }
 
 test("bytes come out in their order, each part only when the one before was taken, and then the end", t => {
@@ -79,7 +79,7 @@
     const out = new StuckOut();
     const { queue, memory } = queueTo(out);
     for (let at = 0; at < 3; at++) queue.write(Buffer.alloc(50_000));
-    queue.drop();
+    queue.discard();
     out.take();
     t.is(out.written.length, 1);
     t.false(out.ended);
--- a/packages/host/test/claims.test.ts
+++ b/packages/host/test/idempotency-claims.test.ts
@@ -1,7 +1,7 @@
 import { createPlatformStore } from "@drumpaddle/platform";
 import test from "ava";
 import { StandInStore } from "../../../platform/test/stand-in/store.js";
-import { Claims } from "../src/calls/claims.js";
+import { Claims } from "../src/calls/idempotency-claims.js";
 
 const { signal } = new AbortController();
 
--- a/packages/host/test/judge-answer.test.ts
+++ b/packages/host/test/judge-answer.test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { mayFollow, type SentBefore } from "../src/calls/judge-answer.js";
+import { canFollow, type SentBefore } from "../src/calls/judge-answer.js";
 
 function sentBefore(lastEvent: string, idsRiseByOne: boolean): SentBefore {
     return { pieces: 2, lastEvent, framed: true, idsRiseByOne };
@@ -22,6 +22,6 @@
 for (const [last, idsRiseByOne, id, follows] of CASES) {
     const how = idsRiseByOne ? "rose by one" : "rose";
     test(`event "${id}" ${follows ? "may" : "may not"} follow "${last}" where ids ${how}`, t => {
-        t.is(mayFollow(sentBefore(last, idsRiseByOne), id), follows);
+        t.is(canFollow(sentBefore(last, idsRiseByOne), id), follows);
     });
 }
--- a/packages/host/test/not-run.test.ts
+++ b/packages/host/test/not-run-answer.test.ts
@@ -1,6 +1,6 @@
 import { FailCode, failure, notRun, type RequestError } from "@drumpaddle/request";
 import test from "ava";
-import { errorHeaders, toApiError } from "../src/calls/answer.js";
+import { errorHeaders, toApiError } from "../src/calls/caller-answer.js";
 
 /** Callers and proxies take these for calls that may have run, and do not send them again. */
 const MAY_HAVE_RUN_STATUSES = [502, 504];
--- a/packages/host/test/run.test.ts
+++ b/packages/host/test/request-driver.test.ts
@@ -1,7 +1,7 @@
 import type { Job, JobOutcome } from "@drumpaddle/policy";
 import { createClock } from "@drumpaddle/protocol";
 import test from "ava";
-import { type AttemptSink, Run, type RunEnd } from "../src/calls/run.js";
+import { type AttemptSink, RequestDriver, type RequestEnd } from "../src/calls/request-driver.js";
 import type { Placement } from "../src/endpoints/placement.js";
 
 const JOB: Job = {
@@ -33,14 +33,14 @@
     /** What the decisions were told of its endpoints. */
     readonly outcomes: readonly JobOutcome[];
     readonly finished: readonly (string | undefined)[];
-    readonly ends: readonly RunEnd[];
+    readonly ends: readonly RequestEnd[];
 }
 
 /** A run that is dispatched at once, with its first attempt's sink. */
 function runningOne(): Driven {
     const outcomes: JobOutcome[] = [];
     const finished: (string | undefined)[] = [];
-    const ends: RunEnd[] = [];
+    const ends: RequestEnd[] = [];
     const sinks: AttemptSink<string>[] = [];
     const placement: Pick<Placement, "submit" | "ended" | "withdraw" | "progress"> = {
         submit: (_job, _avoid, _retry, placed) => placed.onDispatch("e1", 1, undefined),
@@ -48,7 +48,7 @@
         withdraw: () => undefined,
         progress: () => undefined,
     };
-    new Run<string>({
+    new RequestDriver<string>({
         cfg: { id: "r", repeatable: false, streamed: true, maxAttempts: 1, maxResumes: 0, deadline: 1e9 },
         clock: createClock(),
         job: JOB,
@@ -60,7 +60,7 @@
         },
         reply: {
             forward: () => undefined,
-            drop: () => undefined,
+            discard: () => undefined,
             finish: last => void finished.push(last),
             fail: () => undefined,
         },
@@ -70,13 +70,13 @@
     });
     const [sink] = sinks;
     if (!sink) throw new Error("no attempt was started");
-    sink.event({ kind: "sending", attempt: "r.1" });
+    sink.report({ kind: "sending", attempt: "r.1" });
     return { sink, outcomes, finished, ends };
 }
 
 test("an endpoint's own failure goes to the caller, and counts against the endpoint", t => {
     const { sink, outcomes, finished, ends } = runningOne();
-    sink.event({ kind: "failedAnswer", attempt: "r.1", generation: "r.1" }, "its own words");
+    sink.report({ kind: "failedAnswer", attempt: "r.1", generation: "r.1" }, "its own words");
     t.deepEqual(finished, ["its own words"]);
     t.deepEqual(outcomes, ["failed"]);
     t.like(ends, [{ failed: true, err: undefined }]);
@@ -84,8 +84,8 @@
 
 test("a whole answer counts for its endpoint", t => {
     const { sink, outcomes, ends } = runningOne();
-    sink.event({ kind: "token", attempt: "r.1", generation: "r.1", index: 0 }, "a");
-    sink.event({ kind: "finished", attempt: "r.1", generation: "r.1", total: 1 });
+    sink.report({ kind: "token", attempt: "r.1", generation: "r.1", index: 0 }, "a");
+    sink.report({ kind: "finished", attempt: "r.1", generation: "r.1", total: 1 });
     t.deepEqual(outcomes, ["whole"]);
     t.like(ends, [{ failed: false, err: undefined }]);
 });
--- a/packages/host/test/silence-watch.test.ts
+++ b/packages/host/test/silence-watch.test.ts
@@ -10,18 +10,18 @@
 }
 
 /** A watch with short times, and what came of it. */
-function watched(answers: boolean, canGoOn = (): boolean => true): Watched {
+function watched(answers: boolean, canContinue = (): boolean => true): Watched {
     const lost: string[] = [];
     let asked = 0;
     const cfg = {
-        askMs: 10,
-        lostMs: 60_000,
-        awake: () => performance.now(),
-        answers: async () => {
+        probeAfterMs: 10,
+        lostAfterMs: 60_000,
+        awakeMs: () => performance.now(),
+        isAlive: async () => {
             asked += 1;
             return Promise.resolve(answers);
         },
-        canGoOn,
+        canContinue,
     };
     return { watch: new SilenceWatch(cfg, detail => void lost.push(detail)), asked: () => asked, lost };
 }
@@ -32,7 +32,7 @@
 
 test("a silent stream whose endpoint gives no sign of life is lost, once", async t => {
     const { watch, lost } = watched(false);
-    watch.heard();
+    watch.onEvent();
     while (lost.length === 0) await pause(5);
     await pause(50);
     t.is(lost.length, 1);
@@ -40,7 +40,7 @@
 
 test("a silent stream whose endpoint lives is asked for once, and stays", async t => {
     const { watch, asked, lost } = watched(true);
-    watch.heard();
+    watch.onEvent();
     while (asked() === 0) await pause(5);
     await pause(50);
     t.is(asked(), 1);
@@ -51,7 +51,7 @@
 for (const end of ["paused", "stopped"] as const) {
     test(`nothing is asked while the watch is ${end}`, async t => {
         const { watch, asked } = watched(false);
-        watch.heard();
+        watch.onEvent();
         watch.pause();
         if (end === "stopped") watch.stop();
         if (end === "stopped") watch.resume();
@@ -62,7 +62,7 @@
 
 test("a watch that was paused goes on with its caller", async t => {
     const { watch, lost } = watched(false);
-    watch.heard();
+    watch.onEvent();
     watch.pause();
     watch.resume();
     while (lost.length === 0) await pause(5);
@@ -71,7 +71,7 @@
 
 test("a host that is held up again and again still asks", async t => {
     const { watch, asked } = watched(true);
-    watch.heard();
+    watch.onEvent();
     // Each round of the event loop takes three times the pause after which a host that was held up looks again.
     for (let round = 0; round < 40 && asked() === 0; round++) {
         const until = performance.now() + 30;
@@ -84,7 +84,7 @@
 
 test("nothing is asked while bytes of the stream wait to be read by a host that is busy", async t => {
     const { watch, asked } = watched(false);
-    const server = createServer(socket => socket.on("data", () => watch.heard()));
+    const server = createServer(socket => socket.on("data", () => watch.onEvent()));
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const client = connect({ host: "127.0.0.1", port: (server.address() as AddressInfo).port });
     t.teardown(() => {
@@ -107,7 +107,7 @@
 test("a silent stream that may go on nowhere is waited for, and is lost once it may", async t => {
     let hasCopy = false;
     const { watch, lost, asked } = watched(false, () => hasCopy);
-    watch.heard();
+    watch.onEvent();
     await pause(100);
     t.is(lost.length, 0);
     t.is(asked(), 0);
--- a/packages/request/src/error.ts
+++ b/packages/request/src/error.ts
@@ -1,21 +1,21 @@
 /**
- * How a request can fail, as the caller is told.
+ * The failures of a request, as its caller is told of them.
  *
  * @module
  */
 import { NOTHING_SENT, type NotRunProof, proveNotRun } from "./proof.js";
 
-/** Whether an endpoint ran the request. `unknown` is the honest answer after a lost connection. */
+/** Whether an endpoint ran the request: `unknown` where a connection was lost after bytes were sent. */
 export type Ran = "no" | "yes" | "unknown";
 
-/** Stable codes of failures; the operators' page lists them with what to do. */
+/** Stable failure codes. The operators' page lists each with its remedy. */
 export const FailCode = {
     Overloaded: "overloaded",
     LimitReached: "limit_reached",
     NoEndpoint: "no_endpoint",
     Stopping: "host_stopping",
     WaitTooLong: "wait_too_long",
-    /** All endpoints limit the requests that they take, and the next ones are taken too late or by another host. */
+    /** Every endpoint limits its request rate, and its next free slot is too late or another host's. */
     EndpointsLimited: "endpoints_limited",
     DeadlinePassed: "deadline_passed",
     EndpointRefused: "endpoint_refused",
@@ -26,31 +26,31 @@
     CallerGone: "caller_gone",
     AlreadyClaimed: "already_claimed",
     PlatformAway: "platform_away",
-    /** It has ended the endpoints that ran it. */
+    /** Endpoints that ran this request crashed, so hosts no longer send it. */
     Quarantined: "request_quarantined",
-    /** It may have ended an endpoint, and runs at another one now. */
+    /** The request may have crashed an endpoint, and the same request is running at another endpoint now. */
     OnTrial: "request_on_trial",
-    /** This host has no memory left for what the request holds. */
+    /** The host has no memory left for the data that the request holds. */
     MemoryFull: "memory_full",
-    /** Its caller did not read its answer. */
+    /** The caller did not read the answer. */
     CallerUnread: "caller_unread",
-    /** Its endpoint did not read its body. */
+    /** The endpoint did not read the request's body. */
     EndpointUnread: "endpoint_unread",
 } as const;
 /** One of {@link FailCode}. */
 export type FailCode = typeof FailCode[keyof typeof FailCode];
 
-/** A failure whose request provably did not run. */
+/** The failure of a request that provably did not run. */
 export interface NotRunError {
     readonly ran: "no";
     readonly proof: NotRunProof;
     readonly code: FailCode;
     readonly detail: string;
-    /** When to come back, in milliseconds; absent where coming back does not help. */
+    /** Delay before the caller retries, in milliseconds; absent where a retry does not help. */
     readonly retryAfterMs?: number | undefined;
 }
 
-/** A failure whose request ran or may have run. */
+/** The failure of a request that ran or may have run. */
 export interface MayHaveRunError {
     readonly ran: "yes" | "unknown";
     readonly code: FailCode;
@@ -58,11 +58,10 @@
     readonly retryAfterMs?: undefined;
 }
 
-/** Any failure of a request. */
 export type RequestError = NotRunError | MayHaveRunError;
 
 /**
- * The error for a request of which nothing was ever sent.
+ * Returns the error of a request of which no byte was sent.
  *
  * @example
  * ```ts
@@ -74,7 +73,8 @@
 }
 
 /**
- * The error for a failure, given what is proven. Without proof it says `yes` once a token came, else `unknown`.
+ * Returns the error of a failed request. With a proof, `ran` is `no`; without one it is `yes` if a token arrived, else
+ * `unknown`, and the error names no delay for a retry.
  *
  * @example
  * ```ts
