--- a/packages/request/src/proof.ts
+++ b/packages/request/src/proof.ts
@@ -1,23 +1,23 @@
 /**
- * Proof that a request did not run. An error that says `ran: "no"` can be built only from such a proof, and a proof
- * only by {@link proveNotRun} from a record of what was sent: no byte left, or the endpoint itself refused before running.
+ * Proof that a request did not run. An error with `ran: "no"` needs such a proof, and only {@link proveNotRun} makes one,
+ * from the record of what was sent: either no byte was, or each endpoint refused its attempt before running it.
  *
  * @module
  */
 
-declare const proven: unique symbol;
+declare const notRunProofBrand: unique symbol;
 
-/** Evidence that no endpoint ran the request. Cannot be written as a literal outside this module. */
+/** Evidence that no endpoint ran the request. The brand keeps other modules from writing it as a literal. */
 export interface NotRunProof {
     readonly kind: "nothingSent" | "endpointRefused";
-    readonly [proven]: true;
+    readonly [notRunProofBrand]: true;
 }
 
-/** What is known of all dispatches of one request so far. */
+/** What the host knows of all dispatches of one request. */
 export interface DispatchRecord {
-    /** Attempts whose first byte may have left, by id. */
+    /** Ids of the attempts whose first byte may have been sent. */
     readonly sent: readonly string[];
-    /** Of these, attempts that their endpoint refused before running. */
+    /** Those of {@link sent} that their endpoint refused before running them. */
     readonly refused: readonly string[];
 }
 
@@ -25,12 +25,12 @@
 export const NOTHING_SENT: DispatchRecord = { sent: [], refused: [] };
 
 /**
- * The record after the first byte of an attempt may have left. Call it before the byte is written.
+ * Records that the first byte of an attempt may have been sent. Call it before the byte is written.
  *
  * @example
  * ```ts
  * const record = recordSent(NOTHING_SENT, "r1.1");
- * proveNotRun(record); // undefined: it may have run
+ * proveNotRun(record); // undefined: the request may have run
  * ```
  */
 export function recordSent(record: DispatchRecord, attempt: string): DispatchRecord {
@@ -38,8 +38,8 @@
 }
 
 /**
- * The record after an endpoint refused an attempt before running it. A refusal of an attempt that was never sent, or
- * that comes after the attempt was already settled, changes nothing.
+ * Records that an endpoint refused an attempt before running it. The refusal of an attempt that was never sent, or that
+ * was refused before, changes nothing.
  *
  * @example
  * ```ts
@@ -47,12 +47,12 @@
  * ```
  */
 export function recordRefused(record: DispatchRecord, attempt: string): DispatchRecord {
-    const known = record.sent.includes(attempt) && !record.refused.includes(attempt);
-    return known ? { ...record, refused: [...record.refused, attempt] } : record;
+    const isUnsettled = record.sent.includes(attempt) && !record.refused.includes(attempt);
+    return isUnsettled ? { ...record, refused: [...record.refused, attempt] } : record;
 }
 
 /**
- * The record after an attempt turned out never to have left: its connection was never there.
+ * Records that no byte of an attempt was sent after all, as its connection was never established.
  *
  * @example
  * ```ts
@@ -64,7 +64,7 @@
 }
 
 /**
- * Proof that the request did not run, or undefined where any attempt may have run.
+ * Returns the proof that the request did not run, or undefined if any attempt may have run.
  *
  * @example
  * ```ts
--- a/packages/request/src/state.ts
+++ b/packages/request/src/state.ts
@@ -1,20 +1,20 @@
 /**
- * One request's state as a value, the events that change it and the actions that follow.
+ * The state of one request as an immutable value, the events that change it, and the actions that the host then performs.
  *
  * @module
  */
 import type { FailCode, RequestError } from "./error.js";
 import { type DispatchRecord, NOTHING_SENT } from "./proof.js";
 
-/** Where a request stands. */
+/** The phases of a request. */
 export const Phase = {
-    /** Waiting to be given an endpoint. */
+    /** Waits for the scheduler to choose an endpoint. */
     Waiting: "waiting",
-    /** Given to an endpoint; no token has come. */
+    /** Dispatched to an endpoint that has sent no token yet. */
     Dispatched: "dispatched",
-    /** At least one token has come from the current attempt. */
+    /** The current attempt has sent at least one token. */
     Streaming: "streaming",
-    /** Ended; every later event is ignored. */
+    /** Ended: later events only count as discarded. */
     Ended: "ended",
 } as const;
 /** One of {@link Phase}. */
@@ -22,41 +22,42 @@
 
 /** One dispatch to one endpoint. */
 export interface Attempt {
-    /** Unique over all requests: request id, a dot, the attempt's number from 1. */
+    /** Unique over all requests: the request's id, a dot, and the number of the attempt, from 1. */
     readonly id: string;
     readonly endpoint: string;
-    /** Named by the endpoint with its first answer; fixed from then on. */
+    /** The generation's id, which the endpoint names in its first answer; it never changes after that. */
     readonly generation?: string;
-    /** Index of the next token to pass on. */
+    /** Index of the next token to forward. */
     readonly next: number;
-    /** Resumes since the last token came; a token resets it. */
+    /** Resumes since the last token. */
     readonly resumes: number;
-    /** True from a resume's start until its stream answers. */
+    /** True from the start of a resume until the endpoint answers it. */
     readonly resuming: boolean;
-    /** Endpoint that keeps a copy of the generation as it grows. */
+    /** Standby endpoint that receives a copy of the generation as it grows. */
     readonly backUp?: string | undefined;
 }
 
-/** A generation whose endpoint broke off and that is to go on elsewhere. */
-export interface Broken {
-    /** Index of the next token to pass on. */
+/** A generation that lost its endpoint and waits to continue at the endpoint that holds its copy. */
+export interface GenerationLoss {
+    /** Index of the next token to forward. */
     readonly next: number;
     readonly cause: LossCause;
     readonly detail: string;
 }
 
-/** Limits of one request, pinned when it was accepted. Times are milliseconds on the host's monotonic clock. */
+/** Settings of one request, fixed when the host accepted it. */
 export interface RequestCfg {
     readonly id: string;
     readonly repeatable: boolean;
-    /** True: tokens go out as they come. False: they are held until the answer is whole. */
+    /** Whether tokens are forwarded as they arrive; otherwise they are held until the answer is complete. */
     readonly streamed: boolean;
     readonly maxAttempts: number;
     readonly maxResumes: number;
+    /** In milliseconds on the host's monotonic clock. */
     readonly deadline: number;
 }
 
-/** Events that were dropped because they did not fit, counted by reason. */
+/** Counts of events that were ignored because they did not match the request's state, by reason. */
 export interface Discards {
     readonly duplicate: number;
     readonly otherAttempt: number;
@@ -64,24 +65,24 @@
     readonly gap: number;
 }
 
-/** A request as a value. */
+/** The state of one request. */
 export interface RequestState {
     readonly cfg: RequestCfg;
     readonly phase: Phase;
     readonly attempts: number;
     readonly attempt?: Attempt | undefined;
-    /** Set while an endpoint is sought where the generation goes on. */
-    readonly broken?: Broken | undefined;
+    /** Set while the scheduler looks for the endpoint that continues the generation. */
+    readonly loss?: GenerationLoss | undefined;
     readonly record: DispatchRecord;
-    /** Whether any byte of an answer has gone to the caller. */
+    /** Whether any byte of an answer was sent to the caller. */
     readonly committed: boolean;
     readonly tokenSeen: boolean;
     readonly discards: Discards;
-    /** Endpoints that failed this request and are avoided while others exist. */
+    /** Endpoints that failed this request; the scheduler avoids them while it has others. */
     readonly avoid: readonly string[];
 }
 
-/** Why a stream from an endpoint broke off. */
+/** Why the host lost the stream of an attempt. */
 export type LossCause =
     | "connect"
     | "reset"
@@ -90,10 +91,10 @@
     | "invalid"
     | "resumeRefused"
     | "reclaimed"
-    /** The endpoint cut off what was not read from it, as the caller did not read. */
+    /** The endpoint closed the connection, which the host did not read as the caller did not read the answer. */
     | "unread";
 
-/** What can happen to a request. */
+/** Events of a request. */
 export type RequestEvent =
     | { readonly kind: "admitted"; readonly endpoint: string; readonly backUp?: string | undefined }
     | {
@@ -102,7 +103,7 @@
         readonly detail: string;
         readonly retryAfterMs?: number | undefined;
     }
-    /** The first byte of the attempt is about to leave. */
+    /** The first byte of the attempt is about to be sent. */
     | { readonly kind: "sending"; readonly attempt: string }
     | {
         readonly kind: "endpointRefused";
@@ -112,28 +113,28 @@
     }
     | { readonly kind: "opened"; readonly attempt: string; readonly generation: string }
     | { readonly kind: "token"; readonly attempt: string; readonly generation: string; readonly index: number }
-    /** The endpoint says that the generation is whole with this many tokens. */
+    /** The endpoint reports that the generation is complete with this many tokens. */
     | {
         readonly kind: "finished";
         readonly attempt: string;
         readonly generation: string;
         readonly total: number;
-        /** Whether it is the endpoint's own failure, of which parts have gone on already. */
+        /** Whether the answer is an error of the endpoint, part of which was forwarded already. */
         readonly failed?: boolean;
     }
-    /** The endpoint answered, whole, that it failed: passed on unless the request may be tried elsewhere. */
+    /** The endpoint sent a complete error answer, which is forwarded unless the request may be retried elsewhere. */
     | { readonly kind: "failedAnswer"; readonly attempt: string; readonly generation: string }
     | { readonly kind: "lost"; readonly attempt: string; readonly cause: LossCause; readonly detail: string }
-    /** A copy of the running generation was made at an endpoint, which may go on with it. */
+    /** A copy of the running generation was made at an endpoint, which can continue it. */
     | { readonly kind: "copied"; readonly attempt: string; readonly endpoint: string }
-    /** The attempt that was decided may not be begun. */
+    /** The host may not start the attempt that was dispatched. */
     | {
         readonly kind: "withheld";
         readonly code: FailCode;
         readonly detail: string;
         readonly retryAfterMs?: number | undefined;
     }
-    /** The host gives the request up for the memory that it holds. */
+    /** The host ends the request to free the memory that it holds. */
     | {
         readonly kind: "givenUp";
         readonly code: FailCode;
@@ -142,32 +143,33 @@
     }
     | { readonly kind: "callerGone" }
     | { readonly kind: "deadline" }
-    /** The host was told to stop. */
+    /** The host is shutting down. */
     | { readonly kind: "stopping" };
 
-/** What a request asks its host to do. */
+/** Actions that the host performs for a request. */
 export type RequestAction =
-    /** Ask for an endpoint, once more after a failed attempt. */
+    /** Ask the scheduler for an endpoint. */
     | {
         readonly kind: "admit";
         readonly avoid: readonly string[];
+        /** Whether an attempt failed before. */
         readonly retry: boolean;
-        /** Whether no byte of the attempt before left. */
-        readonly neverLeft?: boolean;
+        /** Whether no byte of that attempt was sent. */
+        readonly neverSent?: boolean;
     }
     | {
         readonly kind: "dispatch";
         readonly attempt: string;
         readonly endpoint: string;
         readonly backUp?: string | undefined;
-        /** Index of the next token, where the generation goes on from a copy. */
+        /** Index of the next token, if the endpoint continues the generation from a copy. */
         readonly continueAt?: number | undefined;
     }
-    /** Ask for the endpoint that keeps the generation's copy. */
+    /** Ask the scheduler for the endpoint that holds the generation's copy. */
     | { readonly kind: "admitCopy"; readonly cause: LossCause }
-    /** Pass the token of this event on (or hold it, where the answer is not streamed). */
+    /** Forward the token of this event, or hold it if the answer is not streamed. */
     | { readonly kind: "forward"; readonly index: number }
-    /** Forget tokens that are held: the attempt that made them is given up. */
+    /** Discard the held tokens of an attempt that failed. */
     | { readonly kind: "dropHeld" }
     | {
         readonly kind: "resume";
@@ -182,11 +184,11 @@
         readonly endpoint: string;
         readonly generation?: string | undefined;
     }
-    /** `failed`: what goes out is the endpoint's own failure. */
+    /** Finish the answer. `failed`: it is an error answer of the endpoint. */
     | { readonly kind: "complete"; readonly tokens: number; readonly failed?: boolean }
     | { readonly kind: "fail"; readonly err: RequestError };
 
-/** The next state and what to do. */
+/** The next state and the actions to perform. */
 export interface Step {
     readonly state: RequestState;
     readonly actions: readonly RequestAction[];
@@ -195,7 +197,7 @@
 const NO_DISCARDS: Discards = { duplicate: 0, otherAttempt: 0, otherGeneration: 0, gap: 0 };
 
 /**
- * A newly accepted request, which asks to be admitted.
+ * Creates the state of a newly accepted request. Its first action asks for an endpoint.
  *
  * @example
  * ```ts
--- a/packages/request/src/step.ts
+++ b/packages/request/src/step.ts
@@ -1,9 +1,10 @@
 /**
- * The request's decisions: `step(state, event)` gives the next state and the actions. Pure; time enters as events.
+ * The transition function of a request: `step(state, event)` returns the next state and the actions. It is pure; time
+ * enters as events.
  *
- * What holds here, whatever the events: a token is passed on only if attempt, generation and index are the expected
- * ones; nothing is dispatched again once anything has gone out, nor at all where a not-repeatable request may have run;
- * after the end nothing is passed on.
+ * It keeps these invariants under any order of events: a token is forwarded only if its attempt, generation and index are
+ * the expected ones; a request is not started anew once any byte was sent to the caller, nor if it is not repeatable and
+ * may have run; nothing is forwarded after the end.
  *
  * @module
  */
@@ -26,8 +27,8 @@
 ) => Step;
 
 /**
- * Advances a request by one event. Events after the end, or of an attempt that is not the current one, change nothing
- * but the counts of what was discarded.
+ * Advances a request by one event. Events after the end, or of an attempt that is not the current one, change only the
+ * counts of discarded events.
  *
  * @example
  * ```ts
@@ -35,16 +36,16 @@
  * ```
  */
 export function step(state: RequestState, event: RequestEvent): Step {
-    if (state.phase === Phase.Ended) return { state: discardLate(state, event), actions: [] };
+    if (state.phase === Phase.Ended) return { state: countLateEvent(state, event), actions: [] };
     const handler = HANDLERS[event.kind] as (state: RequestState, event: RequestEvent) => Step;
     return handler(state, event);
 }
 
 const HANDLERS: { readonly [K in RequestEvent["kind"]]: Handler<K> } = {
     admitted: (state, { endpoint, backUp }) => {
-        if (state.phase !== Phase.Waiting && !state.broken) return stay(state);
+        if (state.phase !== Phase.Waiting && !state.loss) return withoutActions(state);
         const number = state.attempts + 1;
-        const continueAt = state.broken?.next;
+        const continueAt = state.loss?.next;
         const attempt: Attempt = {
             id: `${state.cfg.id}.${number}`,
             endpoint,
@@ -54,40 +55,48 @@
             backUp,
         };
         return {
-            state: { ...state, phase: Phase.Dispatched, attempts: number, attempt, broken: undefined },
+            state: { ...state, phase: Phase.Dispatched, attempts: number, attempt, loss: undefined },
             actions: [{ kind: "dispatch", attempt: attempt.id, endpoint, backUp, continueAt }],
         };
     },
     notAdmitted: (state, { code, detail, retryAfterMs }) => {
-        // Where no copy is left, what broke the generation off is what its caller is told.
-        if (state.broken) return fail(state, FAIL_CODE[state.broken.cause], `${state.broken.detail}; ${detail}`, []);
-        return state.phase === Phase.Waiting ? fail(state, code, detail, [], retryAfterMs) : stay(state);
+        // If no copy is left, the caller is told why the generation was lost.
+        if (state.loss) return fail(state, CODE_OF_LOSS[state.loss.cause], `${state.loss.detail}; ${detail}`, []);
+        return state.phase === Phase.Waiting ? fail(state, code, detail, [], retryAfterMs) : withoutActions(state);
     },
     sending: (state, { attempt }) =>
-        isCurrent(state, attempt) ? stay({ ...state, record: recordSent(state.record, attempt) }) : stay(state),
+        isCurrent(state, attempt)
+            ? withoutActions({ ...state, record: recordSent(state.record, attempt) })
+            : withoutActions(state),
     endpointRefused: (state, { attempt, detail, retryAfterMs }) => {
-        if (!isCurrent(state, attempt) || state.phase !== Phase.Dispatched) return stay(state);
-        // An endpoint that already named a generation has begun to run: its refusal proves nothing.
-        if (state.attempt?.generation !== undefined) return breakOff(state, "invalid", "refused after it had begun");
+        if (!isCurrent(state, attempt) || state.phase !== Phase.Dispatched) return withoutActions(state);
+        // An endpoint that named a generation has started to run the request, so its refusal proves nothing.
+        if (state.attempt?.generation !== undefined) {
+            return handleLoss(state, "invalid", "refused after it had started");
+        }
         const refused = { ...state, record: recordRefused(state.record, attempt) };
-        if (canRetry(refused)) return tryElsewhere(refused, []);
+        if (canRetry(refused)) return retryElsewhere(refused, []);
         return fail(refused, FailCode.EndpointRefused, detail, [], retryAfterMs);
     },
     opened: (state, { attempt, generation }) => {
         const current = state.attempt;
-        if (!current || !isAnswering(state, attempt)) return stay(discard(state, "otherAttempt"));
+        if (!current || !mayAnswer(state, attempt)) return withoutActions(countDiscard(state, "otherAttempt"));
         if (current.generation !== undefined && current.generation !== generation) {
-            return stay(discard(state, "otherGeneration"));
+            return withoutActions(countDiscard(state, "otherGeneration"));
         }
-        return stay({ ...state, attempt: { ...current, generation, resuming: false } });
+        return withoutActions({ ...state, attempt: { ...current, generation, resuming: false } });
     },
     token: onToken,
     finished: (state, { attempt, generation, total, failed }) => {
         const current = state.attempt;
-        if (!current || !isAnswering(state, attempt)) return stay(discard(state, "otherAttempt"));
-        if (current.generation !== generation) return stay(discard(state, "otherGeneration"));
+        if (!current || !mayAnswer(state, attempt)) return withoutActions(countDiscard(state, "otherAttempt"));
+        if (current.generation !== generation) return withoutActions(countDiscard(state, "otherGeneration"));
         if (current.next !== total) {
-            return breakOff(discard(state, "gap"), "reset", `ended at ${current.next} of ${total}`);
+            return handleLoss(
+                countDiscard(state, "gap"),
+                "reset",
+                `the stream ended after ${current.next} of ${total} tokens`,
+            );
         }
         return {
             state: { ...state, phase: Phase.Ended, committed: true },
@@ -95,43 +104,53 @@
         };
     },
     failedAnswer: (state, { attempt }) => {
-        if (!isAnswering(state, attempt)) return stay(discard(state, "otherAttempt"));
-        if (canRetry(state)) return tryElsewhere(state, []);
-        // What has gone out may not end with another answer's bytes.
-        if (state.committed) return breakOff(state, "invalid", "the endpoint failed where its answer was to go on");
+        if (!mayAnswer(state, attempt)) return withoutActions(countDiscard(state, "otherAttempt"));
+        if (canRetry(state)) return retryElsewhere(state, []);
+        // An answer that was forwarded in part must not end with the bytes of an error answer.
+        if (state.committed) {
+            return handleLoss(state, "invalid", "the endpoint answered the continuation with an error");
+        }
         const ended: RequestState = { ...state, phase: Phase.Ended, committed: true };
         return { state: ended, actions: [{ kind: "complete", tokens: 1, failed: true }] };
     },
     lost: (state, { attempt, cause, detail }) => {
-        if (!isCurrent(state, attempt)) return stay(discard(state, "otherAttempt"));
+        if (!isCurrent(state, attempt)) return withoutActions(countDiscard(state, "otherAttempt"));
         const neverSent = cause === "connect" && state.attempt?.generation === undefined;
-        if (!neverSent) return breakOff(state, cause, detail);
-        return afterNeverSent({ ...state, record: recordNeverSent(state.record, attempt) }, detail);
+        if (!neverSent) return handleLoss(state, cause, detail);
+        return retryNeverSent({ ...state, record: recordNeverSent(state.record, attempt) }, detail);
     },
     copied: (state, { attempt, endpoint }) =>
-        isCurrent(state, attempt) ? stay({ ...state, attempt: { ...state.attempt!, backUp: endpoint } }) : stay(state),
+        isCurrent(state, attempt)
+            ? withoutActions({ ...state, attempt: { ...state.attempt!, backUp: endpoint } })
+            : withoutActions(state),
     withheld: (state, { code, detail, retryAfterMs }) => fail(state, code, detail, cancelCurrent(state), retryAfterMs),
     givenUp: (state, { code, detail, retryAfterMs }) => fail(state, code, detail, cancelCurrent(state), retryAfterMs),
     callerGone: state => fail(state, FailCode.CallerGone, "the caller left", cancelCurrent(state)),
     deadline: state =>
-        fail(state, FailCode.DeadlinePassed, "the request's deadline passed", cancelCurrent(state), ELSEWHERE_RETRY_MS),
+        fail(
+            state,
+            FailCode.DeadlinePassed,
+            "the request's deadline passed",
+            cancelCurrent(state),
+            OTHER_HOST_RETRY_MS,
+        ),
     stopping: state =>
         state.phase === Phase.Waiting
             ? fail(state, FailCode.Stopping, "this host is stopping", [], 0)
-            : stay(state),
+            : withoutActions(state),
 };
 
 function onToken(state: RequestState, event: Extract<RequestEvent, { kind: "token" }>): Step {
     const current = state.attempt;
-    if (!current || !isAnswering(state, event.attempt)) return stay(discard(state, "otherAttempt"));
-    // An engine may name its generation only with its first token.
-    const known = current.generation ?? event.generation;
-    if (known !== event.generation) return stay(discard(state, "otherGeneration"));
-    if (event.index < current.next) return stay(discard(state, "duplicate"));
+    if (!current || !mayAnswer(state, event.attempt)) return withoutActions(countDiscard(state, "otherAttempt"));
+    // Some engines name the generation only in their first token.
+    const generation = current.generation ?? event.generation;
+    if (generation !== event.generation) return withoutActions(countDiscard(state, "otherGeneration"));
+    if (event.index < current.next) return withoutActions(countDiscard(state, "duplicate"));
     if (event.index > current.next) {
-        return onGap({ ...discard(state, "gap"), attempt: { ...current, generation: known } }, event);
+        return onGap({ ...countDiscard(state, "gap"), attempt: { ...current, generation } }, event);
     }
-    // Written out, as this runs for every token: copying by spread costs several times as much.
+    // Lists each member, as this runs for every token and an object spread takes several times as long.
     const next: RequestState = {
         cfg: state.cfg,
         phase: Phase.Streaming,
@@ -139,7 +158,7 @@
         attempt: {
             id: current.id,
             endpoint: current.endpoint,
-            generation: known,
+            generation,
             next: current.next + 1,
             resumes: 0,
             resuming: false,
@@ -154,14 +173,14 @@
     return { state: next, actions: [{ kind: "forward", index: event.index }] };
 }
 
-/** A token beyond the expected one: ask once for the missing ones, and ignore the rest of the broken stream. */
+/** Handles a token after a gap: resumes the stream once for the missing tokens, and ignores the rest of the old stream. */
 function onGap(state: RequestState, event: Extract<RequestEvent, { kind: "token" }>): Step {
-    if (state.attempt?.resuming) return stay(state);
-    return breakOff(state, "reset", `token ${event.index} came where ${state.attempt?.next} was expected`);
+    if (state.attempt?.resuming) return withoutActions(state);
+    return handleLoss(state, "reset", `token ${event.index} arrived where token ${state.attempt?.next} was expected`);
 }
 
-/** The current attempt's stream broke: resume it, try elsewhere, or end with what is known. */
-function breakOff(state: RequestState, cause: LossCause, detail: string): Step {
+/** Handles the loss of the current attempt's stream: resumes it, continues from a copy, retries elsewhere, or fails. */
+function handleLoss(state: RequestState, cause: LossCause, detail: string): Step {
     const current = state.attempt!;
     const resumable = cause !== "resumeRefused" && cause !== "connect" && cause !== "invalid";
     if (resumable && current.generation !== undefined && current.resumes < state.cfg.maxResumes) {
@@ -174,32 +193,32 @@
     }
     if (current.backUp !== undefined && CONTINUABLE.has(cause)) return continueFromCopy(state, cause, detail);
     const cancel = cancelCurrent(state);
-    return canRetry(state) ? tryElsewhere(state, cancel) : fail(state, FAIL_CODE[cause], detail, cancel);
+    return canRetry(state) ? retryElsewhere(state, cancel) : fail(state, CODE_OF_LOSS[cause], detail, cancel);
 }
 
-/** Losses after which an endpoint that keeps a copy may let the generation go on. */
+/** Losses after which the endpoint that holds a copy may continue the generation. */
 const CONTINUABLE: ReadonlySet<LossCause> = new Set(["reset", "idle", "reclaimed", "unread"]);
 
-/** The old attempt is cancelled first, so that the generation never goes on at two endpoints. */
+/** Cancels the old attempt before it asks for the copy, so that the generation never runs at two endpoints. */
 function continueFromCopy(state: RequestState, cause: LossCause, detail: string): Step {
-    const broken = { next: state.attempt!.next, cause, detail };
+    const loss = { next: state.attempt!.next, cause, detail };
     return {
-        state: { ...state, attempt: undefined, broken },
+        state: { ...state, attempt: undefined, loss },
         actions: [...cancelCurrent(state), { kind: "admitCopy", cause }],
     };
 }
 
-/** An attempt whose connection never came up: another may be made, beyond those that the request is allowed. */
-function afterNeverSent(state: RequestState, detail: string): Step {
-    if (!canRetry(state)) return fail(state, FailCode.EndpointLost, detail, cancelCurrent(state), ELSEWHERE_RETRY_MS);
-    const { state: next, actions } = tryElsewhere(state, cancelCurrent(state));
+/** Handles an attempt whose connection was never established. Its retry does not count against `maxAttempts`. */
+function retryNeverSent(state: RequestState, detail: string): Step {
+    if (!canRetry(state)) return fail(state, FailCode.EndpointLost, detail, cancelCurrent(state), OTHER_HOST_RETRY_MS);
+    const { state: next, actions } = retryElsewhere(state, cancelCurrent(state));
     return {
         state: next,
         actions: actions.map(action => action.kind === "admit" ? { ...action, neverLeft: true } : action),
     };
 }
 
-const FAIL_CODE: { readonly [K in LossCause]: FailCode } = {
+const CODE_OF_LOSS: { readonly [K in LossCause]: FailCode } = {
     connect: FailCode.EndpointLost,
     reset: FailCode.EndpointLost,
     idle: FailCode.EndpointSilent,
@@ -210,28 +229,28 @@
     unread: FailCode.CallerUnread,
 };
 
-/** What reached no endpoint from this host may come back so soon: other hosts may reach the endpoints. */
-const ELSEWHERE_RETRY_MS = 250;
-/** Attempts that may fail to connect beyond those that count. */
-const MOST_NEVER_SENT = 3;
+/** Retry delay for callers of a request that reached no endpoint: other hosts may reach the endpoints. */
+const OTHER_HOST_RETRY_MS = 250;
+/** Attempts that may fail to connect in addition to `maxAttempts`. */
+const MAX_NEVER_SENT = 3;
 
 /**
- * Whether another attempt keeps all promises: nothing went out, and it is repeatable or provably did not run. Attempts
- * count from their first byte on; those that never left are bounded on their own.
+ * Whether the request may be attempted again: nothing was sent to the caller, and the request is repeatable or provably
+ * did not run. `maxAttempts` bounds the attempts of which a byte was sent; the others have a bound of their own.
  */
 function canRetry(state: RequestState): boolean {
     const { sent } = state.record;
     const neverSent = state.attempts - sent.length;
-    if (state.committed || sent.length >= state.cfg.maxAttempts || neverSent > MOST_NEVER_SENT) return false;
+    if (state.committed || sent.length >= state.cfg.maxAttempts || neverSent > MAX_NEVER_SENT) return false;
     return state.cfg.repeatable || proveNotRun(state.record) !== undefined;
 }
 
-function tryElsewhere(state: RequestState, before: readonly RequestAction[]): Step {
+function retryElsewhere(state: RequestState, precedingActions: readonly RequestAction[]): Step {
     const avoid = [...new Set([...state.avoid, state.attempt!.endpoint])];
-    const drop: readonly RequestAction[] = state.phase === Phase.Streaming ? [{ kind: "dropHeld" }] : [];
+    const dropHeld: readonly RequestAction[] = state.phase === Phase.Streaming ? [{ kind: "dropHeld" }] : [];
     return {
         state: { ...state, phase: Phase.Waiting, attempt: undefined, avoid, tokenSeen: state.tokenSeen },
-        actions: [...before, ...drop, { kind: "admit", avoid, retry: true }],
+        actions: [...precedingActions, ...dropHeld, { kind: "admit", avoid, retry: true }],
     };
 }
 
@@ -245,30 +264,30 @@
     state: RequestState,
     code: FailCode,
     detail: string,
-    before: readonly RequestAction[],
+    precedingActions: readonly RequestAction[],
     retryAfterMs?: number,
 ): Step {
     const err = failure(proveNotRun(state.record), state.tokenSeen, code, detail, retryAfterMs);
-    return { state: { ...state, phase: Phase.Ended }, actions: [...before, { kind: "fail", err }] };
+    return { state: { ...state, phase: Phase.Ended }, actions: [...precedingActions, { kind: "fail", err }] };
 }
 
 function isCurrent(state: RequestState, attempt: string): boolean {
     return state.attempt?.id === attempt;
 }
 
-/** Whether an answer of an attempt can be meant for this request now: it is the current one and may have been sent. */
-function isAnswering(state: RequestState, attempt: string): boolean {
+/** Whether an endpoint may answer an attempt: it is the current one, and a byte of it may have been sent. */
+function mayAnswer(state: RequestState, attempt: string): boolean {
     return isCurrent(state, attempt) && state.record.sent.includes(attempt);
 }
 
-function stay(state: RequestState): Step {
+function withoutActions(state: RequestState): Step {
     return { state, actions: [] };
 }
 
-function discard(state: RequestState, reason: keyof Discards): RequestState {
+function countDiscard(state: RequestState, reason: keyof Discards): RequestState {
     return { ...state, discards: { ...state.discards, [reason]: state.discards[reason] + 1 } };
 }
 
-function discardLate(state: RequestState, event: RequestEvent): RequestState {
-    return event.kind === "token" ? discard(state, "otherAttempt") : state;
+function countLateEvent(state: RequestState, event: RequestEvent): RequestState {
+    return event.kind === "token" ? countDiscard(state, "otherAttempt") : state;
 }
--- a/packages/standins/src/endpoint-mutations.ts
+++ b/packages/standins/src/endpoint-mutations.ts
@@ -163,8 +163,8 @@
     {
         promise: "limits: another worker's answer names none of this one's",
         file: ATTEMPT,
-        find: "if (this.head.id === send.call.id && status !== MISDIRECTED) onSaid(status, this.head);",
-        replace: "onSaid(status, this.head);",
+        find: "if (this.head.id === send.call.id && status !== MISDIRECTED) onSelfReport(status, this.head);",
+        replace: "onSelfReport(status, this.head);",
         tests: [LIMITS],
     },
     {
--- a/packages/standins/src/host-mutations.ts
+++ b/packages/standins/src/host-mutations.ts
@@ -18,7 +18,7 @@
 const CUT = "packages/host/test/cut-hall.test.ts";
 const MACHINES = "platform/test/capacity.test.ts";
 const NOT_RUN = "packages/request/test/not-run.test.ts";
-const NOT_RUN_ANSWER = "packages/host/test/not-run.test.ts";
+const NOT_RUN_ANSWER = "packages/host/test/not-run-answer.test.ts";
 
 /** Broken one at a time by `npm run test:mutations`. */
 export const HOST_MUTATIONS: readonly Mutation[] = [
@@ -150,15 +150,15 @@
     },
     {
         promise: "not run: 502 and 504 are for what may have run",
-        file: "packages/host/src/calls/answer.ts",
-        find: `return ran === "no" && MAY_HAVE_RUN.has(status) ? UNAVAILABLE : status;`,
+        file: "packages/host/src/calls/caller-answer.ts",
+        find: `return ran === "no" && MAY_HAVE_RUN_STATUSES.has(status) ? UNAVAILABLE : status;`,
         replace: `return ran === "no" && status === UNAVAILABLE ? UNAVAILABLE : status;`,
         tests: [NOT_RUN_ANSWER],
     },
     {
         promise: "not run: a call that reached no endpoint is told when to come back",
         file: "packages/request/src/step.ts",
-        find: "FailCode.EndpointLost, detail, cancelCurrent(state), ELSEWHERE_RETRY_MS)",
+        find: "FailCode.EndpointLost, detail, cancelCurrent(state), OTHER_HOST_RETRY_MS)",
         replace: "FailCode.EndpointLost, detail, cancelCurrent(state))",
         tests: [NOT_RUN],
     },
--- a/packages/standins/src/mutations.ts
+++ b/packages/standins/src/mutations.ts
@@ -48,7 +48,7 @@
     {
         promise: "each token once",
         file: STEP,
-        find: `if (event.index < current.next) return stay(discard(state, "duplicate"));`,
+        find: `if (event.index < current.next) return withoutActions(countDiscard(state, "duplicate"));`,
         replace: "",
         tests: [FAULTS],
     },
@@ -62,7 +62,7 @@
     {
         promise: "from a single generation",
         file: STEP,
-        find: `if (known !== event.generation) return stay(discard(state, "otherGeneration"));`,
+        find: `if (generation !== event.generation) return withoutActions(countDiscard(state, "otherGeneration"));`,
         replace: "",
         tests: [FAULTS],
     },
@@ -96,7 +96,7 @@
     },
     {
         promise: "a key is claimed once over all hosts",
-        file: "packages/host/src/calls/claims.ts",
+        file: "packages/host/src/calls/idempotency-claims.ts",
         find: "conditions: [{ key, modRevision: 0 }],",
         replace: "conditions: [],",
         tests: [PLAIN],
@@ -188,7 +188,7 @@
     {
         promise: "an endpoint's status promises only what it says",
         file: JUDGE,
-        find: "if (PROMISES.has(status))",
+        find: "if (NOT_RUN_STATUSES.has(status))",
         replace: "if (status === 0)",
         tests: [GATEWAY],
     },
@@ -334,8 +334,8 @@
     },
     {
         promise: "quarantine: nothing is begun after three endings",
-        file: "packages/host/src/calls/run.ts",
-        find: `if (withheld && !withheld.sureMs) return this.event({ kind: "withheld", ...withheld });`,
+        file: "packages/host/src/calls/request-driver.ts",
+        find: `if (withheld && !withheld.sureMs) return this.handle({ kind: "withheld", ...withheld });`,
         replace: "",
         tests: [FATAL],
     },
