--- a/packages/host/src/calls/call-progress.ts
+++ b/packages/host/src/calls/call-progress.ts
@@ -134,12 +134,12 @@
     };
 }
 
-function recordPiece(progress: CallProgress, index: number, { event, framed }: AnswerPiece): void {
+function recordPiece(progress: CallProgress, index: number, { event: eventId, framed }: AnswerPiece): void {
     if (index === 0) progress.framed = framed;
-    if (event === undefined) return;
+    if (eventId === undefined) return;
     const { lastEvent, idsRiseByOne = true } = progress;
-    if (lastEvent !== undefined) progress.idsRiseByOne = idsRiseByOne && isNextId(lastEvent, event);
-    progress.lastEvent = event;
+    if (lastEvent !== undefined) progress.idsRiseByOne = idsRiseByOne && isNextId(lastEvent, eventId);
+    progress.lastEvent = eventId;
 }
 
 /**
--- a/packages/host/src/calls/caller-queue.ts
+++ b/packages/host/src/calls/caller-queue.ts
@@ -60,9 +60,9 @@
     }
 
     /** Calls back once the queue is empty or discarded; at once if it is empty now. */
-    whenFlushed(flushed: () => void): void {
-        if (this.waiting.length === 0) flushed();
-        else this.onFlushed = flushed;
+    whenFlushed(callback: () => void): void {
+        if (this.waiting.length === 0) callback();
+        else this.onFlushed = callback;
     }
 
     /** Discards the queue, as the answer is aborted. */
@@ -96,8 +96,8 @@
     /** Updates the call's memory account, and waits for the caller to read more. */
     private updateAccount(hasDrained: boolean): void {
         // After its end an answer emits no more `drain`: bytes in the socket's buffer count until the connection closes.
-        const inSocket = this.out.writableNeedDrain || this.hasEnded ? this.out.writableLength : 0;
-        this.memory.setUnread(this.waitingBytes + inSocket, hasDrained);
+        const socketBytes = this.out.writableNeedDrain || this.hasEnded ? this.out.writableLength : 0;
+        this.memory.setUnread(this.waitingBytes + socketBytes, hasDrained);
         if (this.isAwaitingDrain || !this.out.writableNeedDrain) return;
         this.isAwaitingDrain = true;
         this.out.once("drain", () => this.onDrain());
--- a/packages/host/src/calls/callers-server.ts
+++ b/packages/host/src/calls/callers-server.ts
@@ -123,8 +123,8 @@
     app.post("/v1/completions", (req, reply) => completion(host, req, reply, false));
     app.get("/v1/models", (req, reply) => listModels(host, req, reply));
     app.all<{ Params: { service: string } }>("/services/:service/*", (req, reply) => {
-        const admitted = authenticateCaller(host, req, reply);
-        if (admitted) servePlain(host, { ...admitted, id: req.id, service: req.params.service, req, out: reply.raw });
+        const caller = authenticateCaller(host, req, reply);
+        if (caller) servePlain(host, { ...caller, id: req.id, service: req.params.service, req, out: reply.raw });
     });
     return app;
 }
@@ -152,12 +152,12 @@
 }
 
 function completion(host: Host, req: FastifyRequest, reply: FastifyReply, chat: boolean): void {
-    const admitted = authenticateCaller(host, req, reply);
-    if (!admitted) return;
-    const raw = Buffer.isBuffer(req.body) ? req.body : Buffer.alloc(0);
+    const caller = authenticateCaller(host, req, reply);
+    if (!caller) return;
+    const bodyBytes = Buffer.isBuffer(req.body) ? req.body : Buffer.alloc(0);
     const headers = { "x-request-id": req.id };
-    const maxBytes = admitted.directory.settingsFor(admitted.workspace, undefined)["max-body"];
-    if (raw.length > maxBytes) {
+    const maxBytes = caller.directory.settingsFor(caller.workspace, undefined)["max-body"];
+    if (bodyBytes.length > maxBytes) {
         writeError(reply.raw, {
             status: 413,
             code: "body_too_large",
@@ -166,7 +166,7 @@
         }, headers);
         return;
     }
-    const body = parseJson(raw);
+    const body = parseJson(bodyBytes);
     if (body === undefined) {
         writeError(
             reply.raw,
@@ -175,12 +175,20 @@
         );
         return;
     }
-    generate(host, { ...admitted, id: req.id, body, bytes: raw.length, headers: req.headers, out: reply.raw, chat });
+    generate(host, {
+        ...caller,
+        id: req.id,
+        body,
+        bytes: bodyBytes.length,
+        headers: req.headers,
+        out: reply.raw,
+        chat,
+    });
 }
 
-function parseJson(raw: Buffer): unknown {
+function parseJson(bytes: Buffer): unknown {
     try {
-        return JSON.parse(raw.toString("utf8"));
+        return JSON.parse(bytes.toString("utf8"));
     }
     catch {
         return undefined;
@@ -188,9 +196,9 @@
 }
 
 function listModels(host: Host, req: FastifyRequest, reply: FastifyReply): void {
-    const admitted = authenticateCaller(host, req, reply);
-    if (!admitted) return;
-    const data = [...admitted.directory.models].map(([id, service]) => ({
+    const caller = authenticateCaller(host, req, reply);
+    if (!caller) return;
+    const data = [...caller.directory.models].map(([id, service]) => ({
         id,
         object: "model",
         created: 0,
--- a/packages/host/src/calls/engine-runner.ts
+++ b/packages/host/src/calls/engine-runner.ts
@@ -33,7 +33,7 @@
  *
  * @example
  * ```ts
- * new Run({ runner: engineRunner(deps), ... });
+ * new RequestDriver({ runner: engineRunner(deps), ... });
  * ```
  */
 export function engineRunner(deps: EngineRunnerDeps): AttemptRunner<EngineEventData> {
--- a/packages/host/src/calls/forward-attempt.ts
+++ b/packages/host/src/calls/forward-attempt.ts
@@ -62,7 +62,7 @@
     /** Called with the status and head of the answer, before any of it is reported. */
     readonly onAnswered: (status: number, head: AnswerHead) => void;
     /** Called with what the endpoint states about itself, if the answer is certainly its own. */
-    readonly onSelfReport: (status: number, said: AnswerHead) => void;
+    readonly onSelfReport: (status: number, head: AnswerHead) => void;
     /** Called when the endpoint refuses the call because it is not the incarnation that the call names. */
     readonly onOtherIncarnation: () => void;
     /** Aborts when the endpoint's incarnation is known to be over: its connection may stay silent forever. */
@@ -166,8 +166,8 @@
         if (this.hasEnded) return;
         if (!this.head) return this.reportLoss("reset", "the connection ended before the head of an answer");
         if (this.verdict?.kind === "refused") return this.reportRefusal();
-        const cut = !this.head.framed && !orderly && !NO_BODY_STATUSES.has(this.status);
-        if (cut) return this.reportLoss("reset", "the connection was reset before the end of the answer");
+        const isCutOff = !this.head.framed && !orderly && !NO_BODY_STATUSES.has(this.status);
+        if (isCutOff) return this.reportLoss("reset", "the connection was reset before the end of the answer");
         if (this.endsWithinEvent) return this.reportLoss("reset", "the answer ended within an event");
         this.hasEnded = true;
         this.releaseConnection();
@@ -200,13 +200,13 @@
         const { id, sink } = this.attempt;
         const isUnreported = !this.hasReported && !this.splitter;
         if (isUnreported && this.status >= MIN_FAILED_STATUS) {
-            sink.report({ kind: "failedAnswer", attempt: id, generation: id }, this.piece(this.takeHeld()));
+            sink.report({ kind: "failedAnswer", attempt: id, generation: id }, this.pieceOf(this.takeHeld()));
             return;
         }
         if (isUnreported) this.reportPiece(this.takeHeld());
         const last = this.splitter ? this.splitter.unfinished : this.takeHeld();
         const failed = this.status >= MIN_FAILED_STATUS;
-        sink.report({ kind: "finished", attempt: id, generation: id, total: this.pieces, failed }, this.piece(last));
+        sink.report({ kind: "finished", attempt: id, generation: id, total: this.pieces, failed }, this.pieceOf(last));
     }
 
     /** Whether this attempt has reported a piece. */
@@ -266,14 +266,14 @@
         return bytes;
     }
 
-    private reportPiece(bytes: Buffer, event?: string): void {
+    private reportPiece(bytes: Buffer, eventId?: string): void {
         const { id, sink } = this.attempt;
         const index = this.pieces;
         this.pieces += 1;
-        sink.report({ kind: "token", attempt: id, generation: id, index }, this.piece(bytes, event));
+        sink.report({ kind: "token", attempt: id, generation: id, index }, this.pieceOf(bytes, eventId));
     }
 
-    private piece(body: Buffer, event?: string): AnswerPiece {
+    private pieceOf(body: Buffer, event?: string): AnswerPiece {
         const framed = this.head?.framed ?? true;
         const wholeLength = this.hasEnded && framed ? this.heldBytes : undefined;
         const length = this.splitter ? undefined : this.head?.length ?? wholeLength;
--- a/packages/host/src/calls/forward-reply.ts
+++ b/packages/host/src/calls/forward-reply.ts
@@ -84,14 +84,14 @@
  * ```
  */
 export function forwardReply(deps: ForwardReplyDeps): Reply<AnswerPiece> {
-    const { out, queue, wire, callId, isClosing: closing, failedAnswer } = deps;
+    const { out, queue, wire, callId, isClosing: isClosing, failedAnswer } = deps;
     const begin = ({ status, headers, length, framed }: AnswerPiece): void => {
         if (out.headersSent) return;
         const framing = length === undefined ? [] : ["Content-Length", String(length)];
         // An answer that was ended only by its connection may be cut off: a length or chunks of ours would mark it as
         // complete. Without either the connection closes with the answer.
         out.useChunkedEncodingByDefault &&= framed;
-        const close = closing() ? ["Connection", "close"] : [];
+        const close = isClosing() ? ["Connection", "close"] : [];
         out.writeHead(status, [...headers, ...framing, ...close]);
     };
     const pass = (piece: AnswerPiece): void => {
@@ -111,13 +111,13 @@
                 queue.discard();
                 return breakAnswer(out);
             }
-            const failed = failedAnswer();
-            if (failed) {
-                pass(failed);
+            const errorAnswer = failedAnswer();
+            if (errorAnswer) {
+                pass(errorAnswer);
                 queue.end();
                 return;
             }
-            writeOwnAnswer(out, wire, { callId, err: toApiError(err), close: closing() });
+            writeOwnAnswer(out, wire, { callId, err: toApiError(err), close: isClosing() });
         },
     };
 }
--- a/packages/host/src/calls/forward.ts
+++ b/packages/host/src/calls/forward.ts
@@ -68,12 +68,12 @@
 /** Serves a call. Every call gets an answer or an aborted connection. */
 export function forward(deps: Forwarding, req: IncomingMessage, target: string, out: ServerResponse): void {
     const at = deps.clock.now();
-    const read = deps.wire.readCall(req.rawHeaders);
-    if (!read.ok) {
-        const err: ApiError = { status: 400, code: "bad_request", message: read.err.detail, ran: "no" };
+    const parsed = deps.wire.readCall(req.rawHeaders);
+    if (!parsed.ok) {
+        const err: ApiError = { status: 400, code: "bad_request", message: parsed.err.detail, ran: "no" };
         return refuse(deps, out, undefined, err);
     }
-    const head = read.value;
+    const head = parsed.value;
     // Closes the connection as well, which frees a descriptor.
     if (!deps.hasDescriptors()) return refuse(deps, out, head.id, REFUSALS.full, { close: true });
     const table = deps.table();
@@ -95,15 +95,15 @@
 }
 
 /** Reads the caller's body, if there is memory for it, and starts the call. */
-function readBodyAndStart(deps: Forwarding, call: ForwardCall, mostBytes: number): void {
+function readBodyAndStart(deps: Forwarding, call: ForwardCall, maxBytes: number): void {
     const { req, out, head, memory } = call;
     const refuseFull = (): void => refuse(deps, out, head.id, REFUSALS.memoryFull, { ...deps.memory.state });
-    const bytes = Math.min(declaredLength(req) ?? 0, mostBytes);
+    const bytes = Math.min(declaredLength(req) ?? 0, maxBytes);
     if (bytes > 0 && !memory.takeIn(bytes)) return refuseFull();
     const reading = new AbortController();
     memory.onGiveUp = () => reading.abort();
-    const takeIn = (more: number): boolean => memory.takeIn(more);
-    void readBody(req, { maxBytes: mostBytes, timeoutMs: deps.bodyMs, reserve: takeIn, signal: reading.signal }).then(
+    const reserve = (more: number): boolean => memory.takeIn(more);
+    void readBody(req, { maxBytes: maxBytes, timeoutMs: deps.bodyMs, reserve: reserve, signal: reading.signal }).then(
         body => {
             if (body.kind === "whole") start(deps, call, body.bytes);
             else if (body.kind === "tooLarge") refuse(deps, out, head.id, REFUSALS.bodyTooLarge);
@@ -154,15 +154,15 @@
     if (out.destroyed) return;
     // The shutdown may have started while the body was read.
     if (!canFinish(deps, route)) return refuse(deps, out, head.id, REFUSALS.stopping);
-    const holdMs = Math.min(route.timeoutMs, head.deadlineMs ?? route.timeoutMs);
-    const progress = createProgress(body, at + holdMs);
+    const timeoutMs = Math.min(route.timeoutMs, head.deadlineMs ?? route.timeoutMs);
+    const progress = createProgress(body, at + timeoutMs);
     const queue = new CallerQueue(out, memory);
     const fingerprint = fingerprintOfCall(call, body);
     const withheld = deps.guard.withhold(fingerprint, { software: deps.softwareOf(call.service) });
     // If the guard is not certain yet, the driver asks it again before the first attempt.
     if (withheld && !withheld.sureMs) return refuseWithheld(deps, call, fingerprint, withheld);
-    const onClose = (): void => run.handle({ kind: "callerGone" });
-    const run: RequestDriver<AnswerPiece> = new RequestDriver<AnswerPiece>({
+    const onClose = (): void => driver.handle({ kind: "callerGone" });
+    const driver: RequestDriver<AnswerPiece> = new RequestDriver<AnswerPiece>({
         cfg: {
             id: head.id,
             // A resumable stream may run more than once, so it can be started anew until its first event was sent.
@@ -193,7 +193,7 @@
         onEnd: end => {
             out.off("close", onClose);
             queueMicrotask(() => {
-                deps.runs.delete(run);
+                deps.runs.delete(driver);
                 trackDelivery(deps.runs, out, memory, queue);
             });
             deps.metrics.open.dec();
@@ -206,17 +206,17 @@
         },
     });
     deps.metrics.open.inc();
-    if (run.ended) return;
-    memory.onGiveUp = givenUp => run.handle({ kind: "givenUp", ...giveUpError(givenUp) });
-    memory.onRead = () => run.onReadResumed();
-    deps.runs.add(run);
+    if (driver.ended) return;
+    memory.onGiveUp = givenUp => driver.handle({ kind: "givenUp", ...giveUpError(givenUp) });
+    memory.onRead = () => driver.onReadResumed();
+    deps.runs.add(driver);
     if (engine?.canMove) {
         deps.copies.add(head.id, {
             onCopied: copy => {
                 // Ignores the copy of an attempt that has ended since.
                 if (copy.source.incarnation !== progress.endpoint?.incarnation) return;
                 progress.copy = copy;
-                run.handle({ kind: "copied", attempt: progress.attempt, endpoint: copy.standby.incarnation });
+                driver.handle({ kind: "copied", attempt: progress.attempt, endpoint: copy.standby.incarnation });
             },
         });
     }
--- a/packages/host/src/calls/generate.ts
+++ b/packages/host/src/calls/generate.ts
@@ -110,18 +110,18 @@
 const RESERVED_QUANTILE = 0.5;
 
 /** Serves a generation. Every call gets an answer. */
-export function generate(host: Host, incoming: GenerationCall): void {
-    const { directory, workspace, out } = incoming;
-    const headers = { "x-request-id": incoming.id };
+export function generate(host: Host, call: GenerationCall): void {
+    const { directory, workspace, out } = call;
+    const headers = { "x-request-id": call.id };
     const refuse = (err: ApiError): void => {
         host.metrics.countOutcome(err.code as FailCode, err.ran);
         host.log.info(
-            { req: incoming.id, workspace, code: err.code, ran: err.ran, detail: err.message },
+            { req: call.id, workspace, code: err.code, ran: err.ran, detail: err.message },
             "request_refused",
         );
         writeError(out, err, headers);
     };
-    const checked = checkBody(incoming.chat ? ChatBody : CompletionBody, incoming.body);
+    const checked = checkBody(call.chat ? ChatBody : CompletionBody, call.body);
     if (!checked.ok) {
         return refuse({
             status: 400,
@@ -131,7 +131,7 @@
             field: checked.err.field,
         });
     }
-    const facts = factsOf(checked.body, incoming.bytes);
+    const facts = factsOf(checked.body, call.bytes);
     const service = directory.models.get(facts.model);
     if (service === undefined) {
         return refuse({ status: 404, code: "model_not_found", message: `no such model`, ran: "no", field: "/model" });
@@ -147,19 +147,19 @@
             field: "/max_tokens",
         });
     }
-    const job = jobOf(incoming, facts, service, settings);
-    const refusal = reserveLimits(host, incoming.directory, job, settings);
+    const job = jobOf(call, facts, service, settings);
+    const refusal = reserveLimits(host, call.directory, job, settings);
     if (refusal) return refuse(limitReached(refusal));
-    start(host, incoming, checked.body, facts, job, settings);
+    start(host, call, checked.body, facts, job, settings);
 }
 
-function jobOf(incoming: GenerationCall, facts: BodyFacts, service: string, settings: Settings): Job {
+function jobOf(call: GenerationCall, facts: BodyFacts, service: string, settings: Settings): Job {
     return {
-        id: incoming.id,
-        group: { workspace: incoming.workspace, service, model: facts.model },
+        id: call.id,
+        group: { workspace: call.workspace, service, model: facts.model },
         promptTokens: facts.promptTokens,
         maxTokens: facts.maxTokens ?? settings["max-output-tokens"],
-        prefix: facts.prefix === "" ? "" : `${incoming.workspace}/${facts.prefix}`,
+        prefix: facts.prefix === "" ? "" : `${call.workspace}/${facts.prefix}`,
         prefixTokens: Math.floor(facts.promptTokens / 2),
         policy: policyOf(settings),
     };
@@ -168,7 +168,7 @@
 function reserveLimits(host: Host, directory: Directory, job: Job, settings: Settings): LimitRefusal | undefined {
     const lengths = survivalOf(host.engines.view.estimates, job.group, job.maxTokens);
     const tokens = job.promptTokens + quantileLength(lengths, 0, RESERVED_QUANTILE);
-    const taken = reserve(
+    const reserved = reserve(
         host.limits.state,
         job.id,
         job.group.workspace,
@@ -176,13 +176,13 @@
         tokens,
         host.clock.now(),
     );
-    if (!taken.ok) return taken.refusal;
-    host.limits.state = taken.state;
+    if (!reserved.ok) return reserved.refusal;
+    host.limits.state = reserved.state;
     return undefined;
 }
 
-function isNotRepeatable(incoming: GenerationCall, settings: Settings): boolean {
-    return incoming.headers["x-not-repeatable"] === "true" || !settings.repeatable;
+function isNotRepeatable(call: GenerationCall, settings: Settings): boolean {
+    return call.headers["x-not-repeatable"] === "true" || !settings.repeatable;
 }
 
 /** Returns the body for the engine: the caller's, always streamed, with the priority that the scheduler decided. */
@@ -192,22 +192,22 @@
 
 function start(
     host: Host,
-    incoming: GenerationCall,
+    call: GenerationCall,
     body: GenerationBody,
     facts: BodyFacts,
     job: Job,
     settings: Settings,
 ): void {
-    const { out, directory, id, chat } = incoming;
+    const { out, directory, id, chat } = call;
     const headers = { "x-request-id": id, "x-settings-version": String(directory.version) };
-    const { memory } = incoming;
+    const { memory } = call;
     const queue = new CallerQueue(out, memory);
-    const onHeld = (bytes: number): void => memory.hold(HeldKind.Answer, bytes);
+    const onHeldBytes = (bytes: number): void => memory.hold(HeldKind.Answer, bytes);
     const stall = createStallWatch(
         out,
         memory,
         settings["caller-stall-timeout"],
-        () => run.handle({ kind: "callerGone" }),
+        () => driver.handle({ kind: "callerGone" }),
     );
     host.metrics.open.inc();
     const path = chat ? "/v1/chat/completions" : "/v1/completions";
@@ -217,7 +217,7 @@
         method: "POST",
         host: "",
         target: path,
-        workspace: incoming.workspace,
+        workspace: call.workspace,
         body: Buffer.from(JSON.stringify(body)),
     });
     const runner = engineRunner({
@@ -230,11 +230,11 @@
         whenCallerReads: stall.whenCallerReads,
         now: () => host.clock.now(),
     });
-    const guarded = { req: id, route: job.group.service, workspace: incoming.workspace, fingerprint };
-    const run: RequestDriver<EngineEventData> = new RequestDriver<EngineEventData>({
+    const guardedCall = { req: id, route: job.group.service, workspace: call.workspace, fingerprint };
+    const driver: RequestDriver<EngineEventData> = new RequestDriver<EngineEventData>({
         cfg: {
             id,
-            repeatable: !isNotRepeatable(incoming, settings),
+            repeatable: !isNotRepeatable(call, settings),
             streamed: facts.stream,
             maxAttempts: settings.attempts,
             maxResumes: settings.resumes,
@@ -243,11 +243,11 @@
         clock: host.clock,
         job,
         placement: host.engines,
-        runner: guardRunner(runner, host.guard, guarded, urlOf),
+        runner: guardRunner(runner, host.guard, guardedCall, urlOf),
         withholdReason: attempt => host.guard.withhold(fingerprint, { attempt }),
         reply: facts.stream
             ? streamReply(out, queue, headers)
-            : wholeReply(out, onHeld, headers, chat, facts.promptTokens),
+            : wholeReply(out, onHeldBytes, headers, chat, facts.promptTokens),
         onGap: ms => host.metrics.betweenTokens.record(ms),
         onDispatch: kind => host.metrics.countDispatch(kind),
         onEnd: end => {
@@ -255,17 +255,17 @@
             memory.hold(HeldKind.Body, 0);
             memory.hold(HeldKind.Answer, 0);
             queueMicrotask(() => {
-                host.runs.delete(run);
+                host.runs.delete(driver);
                 trackDelivery(host.runs, out, memory, queue);
             });
             settleAndLog(host, job, end);
         },
     });
-    if (run.ended) return;
-    host.runs.add(run);
-    memory.onGiveUp = givenUp => run.handle({ kind: "givenUp", ...giveUpError(givenUp) });
-    memory.onRead = () => run.onReadResumed();
-    out.on("close", () => run.handle({ kind: "callerGone" }));
+    if (driver.ended) return;
+    host.runs.add(driver);
+    memory.onGiveUp = givenUp => driver.handle({ kind: "givenUp", ...giveUpError(givenUp) });
+    memory.onRead = () => driver.onReadResumed();
+    out.on("close", () => driver.handle({ kind: "callerGone" }));
 }
 
 /** Settles the reservation: tokens that were produced are charged; if the request provably did not run, all is released. */
--- a/packages/host/src/calls/generation-copies.ts
+++ b/packages/host/src/calls/generation-copies.ts
@@ -57,7 +57,7 @@
 
 /** Makes and refreshes the copies of the generations that run for one host. */
 export class Copies {
-    private readonly calls = new Map<string, CopyListener>();
+    private readonly listeners = new Map<string, CopyListener>();
     private readonly copies = new Map<string, Copy>();
     private readonly copying = new Set<string>();
 
@@ -67,22 +67,22 @@
     }
 
     /** Registers a call that has started to run. */
-    add(call: string, copied: CopyListener): void {
-        this.calls.set(call, copied);
+    add(call: string, listener: CopyListener): void {
+        this.listeners.set(call, listener);
     }
 
     /** Forgets a call's copy, as the call ended or continues from it; a copy that was not used is dropped. */
     end(call: string, used: boolean): void {
         const copy = this.copies.get(call);
         this.copies.delete(call);
-        if (!used) this.calls.delete(call);
-        if (copy && !used) void this.drop(copy);
+        if (!used) this.listeners.delete(call);
+        if (copy && !used) void this.dropAtSource(copy);
     }
 
     /** Starts to copy the generations that run on leaving endpoints and have no copy at a reachable endpoint that stays. */
     evacuate(): void {
         for (const job of jobsToEvacuate(this.deps.engines.view, this.deps.clock.now())) {
-            if (this.calls.has(job) && !this.copying.has(job)) void this.startCopying(job);
+            if (this.listeners.has(job) && !this.copying.has(job)) void this.startCopying(job);
         }
     }
 
@@ -95,14 +95,14 @@
         else this.deps.log.info({ req: job, planned: plan !== undefined }, "generation_not_copied");
         await pause(RETRY_MS);
         this.copying.delete(job);
-        if (this.calls.has(job) && !this.deps.signal.aborted) this.evacuate();
+        if (this.listeners.has(job) && !this.deps.signal.aborted) this.evacuate();
     }
 
     /** Makes the copy, and refreshes it while the generation runs at its source. */
     private async keepCopyFresh({ job }: CopyAction, source: EndpointEntry, standby: EndpointEntry): Promise<void> {
         const { engines, wire, log, metrics } = this.deps;
         const call = wire.copyCall(job, standby.address);
-        while (this.calls.has(job) && engines.view.endpoints.get(source.incarnation)?.streams.has(job)) {
+        while (this.listeners.has(job) && engines.view.endpoints.get(source.incarnation)?.streams.has(job)) {
             if (!keepsCopy(engines.view, job, standby.incarnation, this.deps.clock.now())) return this.discard(job);
             const startedAt = this.deps.clock.now();
             const answer = await this.requestCopy(source, call);
@@ -117,10 +117,10 @@
             }
             log.info({ req: job, from, to, ms, copy: answer.copy }, "generation_copied");
             const copy = { standby, source, name: answer.copy };
-            const target = this.calls.get(job);
-            if (!target) return void this.drop(copy);
+            const listener = this.listeners.get(job);
+            if (!listener) return void this.dropAtSource(copy);
             this.copies.set(job, copy);
-            target.onCopied(copy);
+            listener.onCopied(copy);
             await pause(REFRESH_MS);
         }
     }
@@ -129,7 +129,7 @@
     private discard(job: string): void {
         const copy = this.copies.get(job);
         this.copies.delete(job);
-        if (copy) void this.drop(copy);
+        if (copy) void this.dropAtSource(copy);
     }
 
     private async requestCopy({ address, incarnation }: EndpointEntry, call: EndpointCall): Promise<CopyAnswer> {
@@ -144,7 +144,7 @@
         }
     }
 
-    private async drop({ source, name }: Copy): Promise<void> {
+    private async dropAtSource({ source, name }: Copy): Promise<void> {
         // A later incarnation of the source may use the name for another copy.
         if (!this.deps.endpoint(source.incarnation)) return;
         try {
--- a/packages/host/src/calls/guard-attempt.ts
+++ b/packages/host/src/calls/guard-attempt.ts
@@ -81,7 +81,7 @@
  *
  * @example
  * ```ts
- * new Run({ runner: guardRunner(plainRunner(...), host.guard, call, urlOf), ... });
+ * new RequestDriver({ runner: guardRunner(plainRunner(...), host.guard, call, urlOf), ... });
  * ```
  */
 export function guardRunner<T>(
--- a/packages/host/src/calls/idempotency-claims.ts
+++ b/packages/host/src/calls/idempotency-claims.ts
@@ -72,7 +72,7 @@
         const key = this.keyOf(workspace, idempotencyKey);
         const claim: Claim = { request, call, at: Date.now() };
         let detail = "";
-        for (let tried = 0; tried < MAX_TRIES; tried++) {
+        for (let tries = 0; tries < MAX_TRIES; tries++) {
             const lease = await this.leaseId();
             if (!lease.ok) return { kind: "away", detail: lease.err.kind };
             const committed = await this.kv.commit(
--- a/packages/host/src/calls/judge-answer.ts
+++ b/packages/host/src/calls/judge-answer.ts
@@ -83,7 +83,7 @@
  *
  * @example
  * ```ts
- * isNext("9", "10"); // true
+ * isNextId("9", "10"); // true
  * ```
  */
 export function isNextId(last: string, id: string): boolean {
@@ -96,7 +96,7 @@
  *
  * @example
  * ```ts
- * mayFollow({ pieces: 9, lastEvent: "9", framed: true, idsRiseByOne: true }, "11"); // false
+ * canFollow({ pieces: 9, lastEvent: "9", framed: true, idsRiseByOne: true }, "11"); // false
  * ```
  */
 export function canFollow({ lastEvent, idsRiseByOne }: SentBefore, id: string): boolean {
--- a/packages/host/src/calls/plain-service.ts
+++ b/packages/host/src/calls/plain-service.ts
@@ -85,12 +85,12 @@
     callerHeader: string | string[] | undefined,
 ): boolean {
     if (callerHeader === "true" || !settings.repeatable) return true;
-    const listed = settings["not-repeatable"].some(pattern => {
+    const isListed = settings["not-repeatable"].some(pattern => {
         const [verb, where] = pattern.split(" ") as [string, string];
         const matches = where.endsWith("*") ? path.startsWith(where.slice(0, -1)) : path === where;
         return verb === method && matches;
     });
-    if (listed) return true;
+    if (isListed) return true;
     return callerHeader === "false" ? false : !SAFE_METHODS.has(method);
 }
 
@@ -122,7 +122,7 @@
     if (!reserved.ok) return refuse(limitReached(reserved.refusal));
     host.limits.state = reserved.state;
     const path = pathOf(call);
-    const once = isOnce(call.req.method, path.split("?")[0]!, settings, call.req.headers["x-not-repeatable"]);
+    const runsOnce = isOnce(call.req.method, path.split("?")[0]!, settings, call.req.headers["x-not-repeatable"]);
     const key = call.req.headers["idempotency-key"];
     const plan: PlainPlan = {
         call,
@@ -130,8 +130,8 @@
         settings,
         body,
         path,
-        runsOnce: once,
-        key: once && typeof key === "string" ? key : undefined,
+        runsOnce: runsOnce,
+        key: runsOnce && typeof key === "string" ? key : undefined,
     };
     if (plan.key === undefined) start(host, plan);
     else void claimAndStart(host, plan, plan.key);
@@ -253,7 +253,7 @@
         body,
     });
     host.metrics.open.inc();
-    const run: RequestDriver<PlainPiece> = new RequestDriver<PlainPiece>({
+    const driver: RequestDriver<PlainPiece> = new RequestDriver<PlainPiece>({
         cfg: {
             id,
             repeatable: !once,
@@ -279,7 +279,7 @@
             const ran = end.err?.ran ?? "yes";
             call.memory.hold(HeldKind.Body, 0);
             queueMicrotask(() => {
-                host.runs.delete(run);
+                host.runs.delete(driver);
                 trackDelivery(host.runs, out, call.memory, queue);
             });
             void settleClaim(host, plan, ran, end.err ? undefined : reply.recorded());
@@ -305,10 +305,10 @@
             }, "call_ended");
         },
     });
-    if (run.ended) return;
-    host.runs.add(run);
-    call.memory.onGiveUp = givenUp => run.handle({ kind: "givenUp", ...giveUpError(givenUp) });
-    out.on("close", () => run.handle({ kind: "callerGone" }));
+    if (driver.ended) return;
+    host.runs.add(driver);
+    call.memory.onGiveUp = givenUp => driver.handle({ kind: "givenUp", ...giveUpError(givenUp) });
+    out.on("close", () => driver.handle({ kind: "callerGone" }));
 }
 
 function isEncrypted({ socket }: ServerResponse): boolean {
--- a/packages/host/src/calls/request-body.ts
+++ b/packages/host/src/calls/request-body.ts
@@ -72,13 +72,13 @@
             else if (!isLengthDeclared && !reserve(chunk.length)) end({ kind: "noRoom" });
             else chunks.push(chunk);
         });
-        req.on("end", () => end({ kind: "whole", bytes: bodyOf(chunks) }));
+        req.on("end", () => end({ kind: "whole", bytes: joinChunks(chunks) }));
         req.on("error", () => end({ kind: "gone" }));
         req.on("close", () => end({ kind: "gone" }));
     });
 }
 
-function bodyOf(chunks: readonly Buffer[]): Buffer | undefined {
+function joinChunks(chunks: readonly Buffer[]): Buffer | undefined {
     if (chunks.length === 0) return undefined;
     return chunks.length === 1 ? chunks[0] : Buffer.concat(chunks);
 }
--- a/packages/host/src/calls/request-driver.ts
+++ b/packages/host/src/calls/request-driver.ts
@@ -215,9 +215,9 @@
         fail: ({ err }) => {
             this.deps.placement.withdraw(this.deps.job.id);
             // An endpoint that sent no token until the deadline has failed; one that was answering has not.
-            const silent = err.code === FailCode.DeadlinePassed && !this.state.tokenSeen;
+            const wasSilent = err.code === FailCode.DeadlinePassed && !this.state.tokenSeen;
             const outcome = this.connectFailed ? "unreachable" : PLACEMENT_OUTCOME[err.code] ?? "failed";
-            this.releaseEndpoint(silent ? "failed" : outcome);
+            this.releaseEndpoint(wasSilent ? "failed" : outcome);
             this.deps.reply.fail(err);
             this.end(err);
         },
--- a/packages/host/src/calls/silence-watch.ts
+++ b/packages/host/src/calls/silence-watch.ts
@@ -39,7 +39,7 @@
     private lastEventAt = 0;
     private paused = false;
 
-    constructor(private readonly cfg: SilenceCfg, private readonly onLostStream: (detail: string) => void) {}
+    constructor(private readonly cfg: SilenceCfg, private readonly onLost: (detail: string) => void) {}
 
     /** Restarts the watch after an event. */
     onEvent(): void {
@@ -63,12 +63,15 @@
     stop(): void {
         this.paused = false;
         for (const timer of this.timers) clearTimeout(timer);
-        for (const look of this.immediates) clearImmediate(look);
+        for (const immediate of this.immediates) clearImmediate(immediate);
         this.timers.clear();
         this.immediates.clear();
     }
 
-    /** Calls back after a time; if the event loop was blocked when it was due, {@link RECHECK_MS} later. It delays only once, as the loop may be blocked again and again. */
+    /**
+     * Calls back after a time, and {@link RECHECK_MS} later if the event loop was blocked when it was due. It delays only
+     * once, as the loop may be blocked again and again.
+     */
     private schedule(ms: number, then: () => void): void {
         const dueAt = this.cfg.awakeMs() + ms;
         this.runAfterReads(ms, () => {
@@ -84,12 +87,12 @@
      */
     private runAfterReads(ms: number, then: () => void): void {
         const timer = setTimeout(() => {
-            const look = setImmediate(() => {
-                this.immediates.delete(look);
+            const immediate = setImmediate(() => {
+                this.immediates.delete(immediate);
                 then();
             });
             this.timers.delete(timer);
-            this.immediates.add(look);
+            this.immediates.add(immediate);
         }, ms);
         this.timers.add(timer);
     }
@@ -120,6 +123,6 @@
         this.stop();
         // The copy may have disappeared, or become unusable, since the endpoint was probed.
         if (!this.cfg.canContinue()) return this.probeLater();
-        this.onLostStream(`no event for ${Math.round(this.silentMs)} ms, ${why}`);
+        this.onLost(`no event for ${Math.round(this.silentMs)} ms, ${why}`);
     }
 }
--- a/packages/host/src/calls/stall-watch.ts
+++ b/packages/host/src/calls/stall-watch.ts
@@ -14,7 +14,7 @@
  *
  * @example
  * ```ts
- * const stall = createStallWatch(out, memory, 30_000, () => run.event({ kind: "callerGone" }));
+ * const stall = createStallWatch(out, memory, 30_000, () => driver.handle({ kind: "callerGone" }));
  * await stall.whenCallerReads();
  * ```
  */
--- a/packages/host/test/caller-answer.test.ts
+++ b/packages/host/test/caller-answer.test.ts
@@ -9,8 +9,8 @@
     readonly choices: readonly { readonly message: { readonly content: string }; readonly finish_reason: string }[];
 }
 
-/** The body that a caller gets of a reply that was given these calls. */
-async function gathered(t: ExecutionContext, give: (reply: Reply<string>) => void): Promise<Whole> {
+/** Returns the body that a caller receives when a reply gets these calls. */
+async function bodyOf(t: ExecutionContext, give: (reply: Reply<string>) => void): Promise<Whole> {
     const server = createServer((_req, res: ServerResponse) => give(wholeReply(res, () => undefined, {}, true, 1)));
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     t.teardown(() => {
@@ -39,13 +39,13 @@
         reason: "length",
     },
     {
-        where: "a token's event, the last one having no choice",
+        where: "a token's event, where the last event has no choice",
         events: [event("a", "length")],
         last: "{}",
         reason: "length",
     },
     {
-        where: "a token's event, with no event behind",
+        where: "a token's event that no other event follows",
         events: [event("a", "length")],
         last: undefined,
         reason: "length",
@@ -60,8 +60,8 @@
 ];
 
 for (const { where, events, last, reason } of REASONS) {
-    test(`an answer in one body has the reason that its engine gives in ${where}`, async t => {
-        const whole = await gathered(t, reply => {
+    test(`an answer in one body has the finish reason that the engine sent in ${where}`, async t => {
+        const whole = await bodyOf(t, reply => {
             for (const data of events) reply.forward(data);
             reply.finish(last, events.length);
         });
@@ -69,8 +69,8 @@
     });
 }
 
-test("the reason of an attempt that was given up is not the answer's", async t => {
-    const whole = await gathered(t, reply => {
+test("the finish reason of an abandoned attempt is not used for the answer", async t => {
+    const whole = await bodyOf(t, reply => {
         reply.forward(event("given up", "length"));
         reply.discard();
         reply.forward(event("kept", null));
--- a/packages/host/test/caller-queue.test.ts
+++ b/packages/host/test/caller-queue.test.ts
@@ -8,8 +8,8 @@
 import { createLog } from "../src/runtime/log.js";
 import { Metrics } from "../src/runtime/metrics.js";
 
-/** A connection that takes what it is written only when told to. */
-class StuckOut extends EventEmitter {
+/** A response whose socket takes written bytes only when told to. */
+class SlowResponse extends EventEmitter {
     destroyed = false;
     writableNeedDrain = false;
     writableLength = 0;
@@ -28,7 +28,7 @@
         this.writableNeedDrain = false;
     }
 
-    /** Its other side takes all that was written. */
+    /** The caller reads all that was written. */
     take(): void {
         this.writableLength = 0;
         if (!this.writableNeedDrain) return;
@@ -37,16 +37,16 @@
     }
 }
 
-function queueTo(out: StuckOut): { readonly queue: CallerQueue; readonly memory: CallMemory } {
+function createQueue(out: SlowResponse): { readonly queue: CallerQueue; readonly memory: CallMemory } {
     const log = createLog("info", new Writable({ write: (_chunk, _encoding, done) => done() }));
     const host = new HostMemory({ budgetBytes: 50_000_000, clock: createClock(), log, metrics: new Metrics() });
     const memory = host.open("c");
     return { queue: new CallerQueue(out as unknown as QueueTarget, memory), memory };
 }
 
-test("bytes come out in their order, each part only when the one before was taken, and then the end", t => {
-    const out = new StuckOut();
-    const { queue, memory } = queueTo(out);
+test("bytes are written in order, each part only after the caller took the one before, and then the answer ends", t => {
+    const out = new SlowResponse();
+    const { queue, memory } = createQueue(out);
     const bytes = Buffer.from(Array.from({ length: 200_000 }, (_, at) => at % 251));
     queue.write(bytes.subarray(0, 10));
     queue.write(bytes.subarray(10));
@@ -63,9 +63,9 @@
     t.deepEqual(Buffer.concat(out.written), bytes);
 });
 
-test("what an ended answer has left in its connection counts until that closes", t => {
-    const out = new StuckOut();
-    const { queue, memory } = queueTo(out);
+test("bytes of an ended answer in the socket's buffer count until the connection closes", t => {
+    const out = new SlowResponse();
+    const { queue, memory } = createQueue(out);
     for (let at = 0; at < 2; at++) queue.write(Buffer.alloc(50_000));
     queue.end();
     out.take();
@@ -75,9 +75,9 @@
     t.is(memory.held.unread, 0);
 });
 
-test("a queue that is dropped writes nothing more", t => {
-    const out = new StuckOut();
-    const { queue, memory } = queueTo(out);
+test("a discarded queue writes nothing more", t => {
+    const out = new SlowResponse();
+    const { queue, memory } = createQueue(out);
     for (let at = 0; at < 3; at++) queue.write(Buffer.alloc(50_000));
     queue.discard();
     out.take();
@@ -86,13 +86,13 @@
     t.is(memory.held.unread, 0);
 });
 
-test("bytes for a caller who takes them at once are not counted", t => {
-    const out = new StuckOut();
+test("bytes that the caller takes at once are not counted", t => {
+    const out = new SlowResponse();
     out.write = bytes => {
         out.written.push(bytes);
         return true;
     };
-    const { queue, memory } = queueTo(out);
+    const { queue, memory } = createQueue(out);
     queue.write(Buffer.alloc(50_000));
     t.is(memory.held.unread, 0);
     t.is(out.written.length, 1);
--- a/packages/host/test/config-and-log.test.ts
+++ b/packages/host/test/config-and-log.test.ts
@@ -8,7 +8,7 @@
     return read.ok ? [] : read.errors.map(describeConfigError);
 }
 
-test("flags go before the environment, and that before the file", t => {
+test("flags override the environment, which overrides the file", t => {
     const sources = {
         file: { name: "host.ini", text: `${GOOD}[log]\nlevel = warn\n` },
         env: { DRUMPADDLE_LOG_LEVEL: "error", DRUMPADDLE_HOST_HALL: "k2" },
@@ -33,7 +33,7 @@
 ];
 
 for (const [text, expected] of WRONG) {
-    test(`wrong daemon settings say where and what: ${expected.source.slice(0, 50)}`, t => {
+    test(`errors in daemon settings name the place and the fault: ${expected.source.slice(0, 50)}`, t => {
         t.true(errorsOf(text).some(err => expected.test(err)), errorsOf(text).join("\n"));
     });
 }
@@ -50,7 +50,7 @@
     t.regex(printed, /name = k1-a/);
 });
 
-test("no value can forge a pair or a line of the log", t => {
+test("no value can forge a field or a line of the log", t => {
     const line = formatRecord({
         time: new Date(0),
         level: 30,
@@ -76,7 +76,7 @@
     ["GET", "/confirm/7", "false", true],
 ];
 
-test("what runs at most once: by method, by settings, by the caller's word", t => {
+test("a call runs at most once depending on its method, the settings and the caller's header", t => {
     const settings = { "not-repeatable": ["GET /confirm/*"], "repeatable": true };
     for (const [method, path, said, once] of ONCE) {
         t.is(isOnce(method, path, settings, said), once, `${method} ${path} ${said}`);
--- a/packages/host/test/idempotency-claims.test.ts
+++ b/packages/host/test/idempotency-claims.test.ts
@@ -5,7 +5,7 @@
 
 const { signal } = new AbortController();
 
-test("claims go on where the service has lost the lease that they share", async t => {
+test("keys can be claimed after the key-value service has lost the lease that claims share", async t => {
     const store = await StandInStore.start();
     t.teardown(() => store.stop());
     const kv = createPlatformStore({ url: store.url, timeoutMs: 1_000, watchMs: 1_000, watchMarginMs: 1_000 });
--- a/packages/host/test/judge-answer.test.ts
+++ b/packages/host/test/judge-answer.test.ts
@@ -11,10 +11,10 @@
     ["2", true, "2", false],
     ["2", false, "4", true],
     ["2", false, "1", false],
-    // Beyond what a floating-point number tells apart.
+    // Ids that a floating-point number cannot tell apart.
     ["9007199254740992", true, "9007199254740993", true],
     ["9007199254740993", false, "9007199254740992", false],
-    // What has no order cannot be told to follow.
+    // Ids that are not numbers have no order.
     ["17-1", false, "17-2", false],
     ["2", false, "", false],
 ];
--- a/packages/host/test/not-run-answer.test.ts
+++ b/packages/host/test/not-run-answer.test.ts
@@ -2,19 +2,19 @@
 import test from "ava";
 import { errorHeaders, toApiError } from "../src/calls/caller-answer.js";
 
-/** Callers and proxies take these for calls that may have run, and do not send them again. */
+/** Callers and proxies take these to mean that the call may have run, and do not send it again. */
 const MAY_HAVE_RUN_STATUSES = [502, 504];
 const SOON_MS = 250;
 
 for (const code of Object.values(FailCode)) {
-    test(`${code}: what has not run is never answered as if it may have run`, t => {
+    test(`${code}: a call that did not run is never answered as if it may have run`, t => {
         const { status } = toApiError(notRun(code, "nothing was sent", SOON_MS));
         t.false(MAY_HAVE_RUN_STATUSES.includes(status), `${status}`);
     });
 }
 
 for (const code of [FailCode.EndpointLost, FailCode.DeadlinePassed]) {
-    test(`${code}: 503 and a time to come back where nothing ran, else no such promise`, t => {
+    test(`${code}: 503 with a retry delay only if nothing ran`, t => {
         const apart = toApiError(notRun(code, "nothing was sent", SOON_MS));
         t.is(apart.status, 503);
         t.like(errorHeaders(apart), { "retry-after": "1", "x-should-retry": "true", "x-ran": "no" });
--- a/packages/host/test/request-driver.test.ts
+++ b/packages/host/test/request-driver.test.ts
@@ -30,14 +30,14 @@
 
 interface Driven {
     readonly sink: AttemptSink<string>;
-    /** What the decisions were told of its endpoints. */
+    /** Outcomes of attempts that the scheduler was told. */
     readonly outcomes: readonly JobOutcome[];
     readonly finished: readonly (string | undefined)[];
     readonly ends: readonly RequestEnd[];
 }
 
-/** A run that is dispatched at once, with its first attempt's sink. */
-function runningOne(): Driven {
+/** Starts a driver whose first attempt is dispatched at once, and returns the sink of that attempt. */
+function startDriver(): Driven {
     const outcomes: JobOutcome[] = [];
     const finished: (string | undefined)[] = [];
     const ends: RequestEnd[] = [];
@@ -74,16 +74,16 @@
     return { sink, outcomes, finished, ends };
 }
 
-test("an endpoint's own failure goes to the caller, and counts against the endpoint", t => {
-    const { sink, outcomes, finished, ends } = runningOne();
+test("an endpoint's error answer is sent to the caller and counts as a failure of the endpoint", t => {
+    const { sink, outcomes, finished, ends } = startDriver();
     sink.report({ kind: "failedAnswer", attempt: "r.1", generation: "r.1" }, "its own words");
     t.deepEqual(finished, ["its own words"]);
     t.deepEqual(outcomes, ["failed"]);
     t.like(ends, [{ failed: true, err: undefined }]);
 });
 
-test("a whole answer counts for its endpoint", t => {
-    const { sink, outcomes, ends } = runningOne();
+test("a complete answer counts as a success of the endpoint", t => {
+    const { sink, outcomes, ends } = startDriver();
     sink.report({ kind: "token", attempt: "r.1", generation: "r.1", index: 0 }, "a");
     sink.report({ kind: "finished", attempt: "r.1", generation: "r.1", total: 1 });
     t.deepEqual(outcomes, ["whole"]);
--- a/packages/host/test/silence-watch.test.ts
+++ b/packages/host/test/silence-watch.test.ts
@@ -3,14 +3,14 @@
 import { type AddressInfo, connect, createServer } from "node:net";
 import { SilenceWatch } from "../src/calls/silence-watch.js";
 
-interface Watched {
+interface WatchTrial {
     readonly watch: SilenceWatch;
-    readonly asked: () => number;
+    readonly probeCount: () => number;
     readonly lost: readonly string[];
 }
 
-/** A watch with short times, and what came of it. */
-function watched(answers: boolean, canContinue = (): boolean => true): Watched {
+/** Creates a watch with a short time to the probe, and records its probes and reports. */
+function createWatch(answers: boolean, canContinue = (): boolean => true): WatchTrial {
     const lost: string[] = [];
     let asked = 0;
     const cfg = {
@@ -23,23 +23,23 @@
         },
         canContinue,
     };
-    return { watch: new SilenceWatch(cfg, detail => void lost.push(detail)), asked: () => asked, lost };
+    return { watch: new SilenceWatch(cfg, detail => void lost.push(detail)), probeCount: () => asked, lost };
 }
 
 function pause(ms: number): Promise<void> {
     return new Promise(resolve => setTimeout(resolve, ms));
 }
 
-test("a silent stream whose endpoint gives no sign of life is lost, once", async t => {
-    const { watch, lost } = watched(false);
+test("a silent stream whose endpoint does not answer the probe is reported lost once", async t => {
+    const { watch, lost } = createWatch(false);
     watch.onEvent();
     while (lost.length === 0) await pause(5);
     await pause(50);
     t.is(lost.length, 1);
 });
 
-test("a silent stream whose endpoint lives is asked for once, and stays", async t => {
-    const { watch, asked, lost } = watched(true);
+test("a silent stream whose endpoint answers the probe is probed once and not lost", async t => {
+    const { watch, probeCount: asked, lost } = createWatch(true);
     watch.onEvent();
     while (asked() === 0) await pause(5);
     await pause(50);
@@ -49,8 +49,8 @@
 });
 
 for (const end of ["paused", "stopped"] as const) {
-    test(`nothing is asked while the watch is ${end}`, async t => {
-        const { watch, asked } = watched(false);
+    test(`no probe is sent while the watch is ${end}`, async t => {
+        const { watch, probeCount: asked } = createWatch(false);
         watch.onEvent();
         watch.pause();
         if (end === "stopped") watch.stop();
@@ -60,8 +60,8 @@
     });
 }
 
-test("a watch that was paused goes on with its caller", async t => {
-    const { watch, lost } = watched(false);
+test("a watch that was paused continues once the caller reads again", async t => {
+    const { watch, lost } = createWatch(false);
     watch.onEvent();
     watch.pause();
     watch.resume();
@@ -69,10 +69,10 @@
     t.is(lost.length, 1);
 });
 
-test("a host that is held up again and again still asks", async t => {
-    const { watch, asked } = watched(true);
+test("a host whose event loop is blocked again and again still probes", async t => {
+    const { watch, probeCount: asked } = createWatch(true);
     watch.onEvent();
-    // Each round of the event loop takes three times the pause after which a host that was held up looks again.
+    // Each round of the event loop takes three times as long as the delay before a late check is repeated.
     for (let round = 0; round < 40 && asked() === 0; round++) {
         const until = performance.now() + 30;
         while (performance.now() < until);
@@ -82,8 +82,8 @@
     watch.stop();
 });
 
-test("nothing is asked while bytes of the stream wait to be read by a host that is busy", async t => {
-    const { watch, asked } = watched(false);
+test("no probe is sent while a busy host has unread bytes of the stream", async t => {
+    const { watch, probeCount: asked } = createWatch(false);
     const server = createServer(socket => socket.on("data", () => watch.onEvent()));
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const client = connect({ host: "127.0.0.1", port: (server.address() as AddressInfo).port });
@@ -95,7 +95,7 @@
     client.setNoDelay(true);
     for (let round = 0; round < 20; round++) {
         client.write("x");
-        // Longer than the silence after which the watch asks, and not so long that it sees that the host was held up.
+        // Longer than the time to the probe, and too short for the watch to see that the event loop was blocked.
         const until = performance.now() + 25;
         while (performance.now() < until);
         await new Promise(resolve => setImmediate(resolve));
@@ -104,9 +104,9 @@
     t.is(asked(), 0);
 });
 
-test("a silent stream that may go on nowhere is waited for, and is lost once it may", async t => {
+test("a silent stream that cannot continue elsewhere is lost only once it can", async t => {
     let hasCopy = false;
-    const { watch, lost, asked } = watched(false, () => hasCopy);
+    const { watch, lost, probeCount: asked } = createWatch(false, () => hasCopy);
     watch.onEvent();
     await pause(100);
     t.is(lost.length, 0);
--- a/packages/request/src/step.ts
+++ b/packages/request/src/step.ts
@@ -71,9 +71,7 @@
     endpointRefused: (state, { attempt, detail, retryAfterMs }) => {
         if (!isCurrent(state, attempt) || state.phase !== Phase.Dispatched) return withoutActions(state);
         // An endpoint that named a generation has started to run the request, so its refusal proves nothing.
-        if (state.attempt?.generation !== undefined) {
-            return handleLoss(state, "invalid", "refused after it had started");
-        }
+        if (state.attempt?.generation !== undefined) return handleLoss(state, "invalid", "refused after its start");
         const refused = { ...state, record: recordRefused(state.record, attempt) };
         if (canRetry(refused)) return retryElsewhere(refused, []);
         return fail(refused, FailCode.EndpointRefused, detail, [], retryAfterMs);
@@ -107,9 +105,7 @@
         if (!mayAnswer(state, attempt)) return withoutActions(countDiscard(state, "otherAttempt"));
         if (canRetry(state)) return retryElsewhere(state, []);
         // An answer that was forwarded in part must not end with the bytes of an error answer.
-        if (state.committed) {
-            return handleLoss(state, "invalid", "the endpoint answered the continuation with an error");
-        }
+        if (state.committed) return handleLoss(state, "invalid", "the continuation was answered with an error");
         const ended: RequestState = { ...state, phase: Phase.Ended, committed: true };
         return { state: ended, actions: [{ kind: "complete", tokens: 1, failed: true }] };
     },
@@ -214,7 +210,7 @@
     const { state: next, actions } = retryElsewhere(state, cancelCurrent(state));
     return {
         state: next,
-        actions: actions.map(action => action.kind === "admit" ? { ...action, neverLeft: true } : action),
+        actions: actions.map(action => action.kind === "admit" ? { ...action, neverSent: true } : action),
     };
 }
 
--- a/packages/request/test/continue.test.ts
+++ b/packages/request/test/continue.test.ts
@@ -40,7 +40,7 @@
 const RUNNING = [admitted("e1", "e2"), sending("r.1"), token("r.1", 0), token("r.1", 1)];
 
 for (const cause of ["reset", "idle", "reclaimed"] as const) {
-    test(`a generation with a copy that is lost by ${cause} is cancelled and goes on at the next token`, t => {
+    test(`a generation with a copy that is lost by ${cause} is cancelled and continues at the next token`, t => {
         const broken = drive([...RUNNING, lost("r.1", cause)]);
         t.deepEqual(broken.actions.map(action => action.kind), ["cancel", "admitCopy"]);
         const { actions } = step(broken.state, admitted("e2", "e3"));
@@ -49,21 +49,21 @@
 }
 
 for (const cause of ["connect", "invalid", "resumeRefused"] as const) {
-    test(`a loss by ${cause} does not go on from a copy`, t => {
+    test(`after a loss by ${cause} a generation does not continue from its copy`, t => {
         const { state } = drive([...RUNNING, lost("r.1", cause)]);
         t.is(state.phase, Phase.Ended);
     });
 }
 
-test("what goes on gives each token once: those before are dropped, and a gap ends it", t => {
+test("a continuation forwards each token once: earlier tokens are dropped, and a gap ends the request", t => {
     const going = [...RUNNING, lost("r.1", "reset"), admitted("e2"), sending("r.2")];
     t.deepEqual(drive([...going, token("r.2", 1)]).actions, []);
     t.deepEqual(drive([...going, token("r.2", 2)]).actions, [{ kind: "forward", index: 2 }]);
     t.is(drive([...going, token("r.2", 3)]).state.phase, Phase.Ended);
-    t.deepEqual(drive([...going, token("r.1", 2)]).actions, [], "the attempt before is heard no more");
+    t.deepEqual(drive([...going, token("r.1", 2)]).actions, [], "tokens of the earlier attempt are ignored");
 });
 
-test("it ends whole with the count of all its tokens", t => {
+test("a continued generation completes with the count of all its tokens", t => {
     const events = [
         ...RUNNING,
         lost("r.1", "reset"),
@@ -75,7 +75,7 @@
     t.deepEqual(drive(events).actions, [{ kind: "complete", tokens: 3 }]);
 });
 
-test("where no copy is left, the loss is what its caller is told, and never that nothing ran", t => {
+test("if no copy is left, the caller is told of the loss, and not that nothing ran", t => {
     const { actions } = drive([...RUNNING, lost("r.1", "reset"), {
         kind: "notAdmitted",
         code: "no_endpoint",
@@ -84,7 +84,7 @@
     t.like(actions, [{ kind: "fail", err: { code: "endpoint_lost", ran: "yes", detail: "it broke; none" } }]);
 });
 
-test("a refusal of the copy's standby proves nothing about what ran before", t => {
+test("a refusal by the standby does not prove that nothing ran before", t => {
     const { actions } = drive([
         ...RUNNING,
         lost("r.1", "reset"),
@@ -95,7 +95,7 @@
     t.like(actions, [{ kind: "fail", err: { ran: "yes" } }]);
 });
 
-test("a copy that was made while it runs lets it go on; one of another attempt does not", t => {
+test("a generation continues from a copy that was made while it ran, but not from a copy of another attempt", t => {
     const alone = [admitted("e1"), sending("r.1"), token("r.1", 0)];
     const copied = (attempt: string): RequestEvent => ({ kind: "copied", attempt, endpoint: "e9" });
     t.is(drive([...alone, lost("r.1", "reset")]).state.phase, Phase.Ended);
@@ -103,21 +103,21 @@
     t.true(drive([...alone, copied("r.1"), lost("r.1", "reset")]).actions.some(({ kind }) => kind === "admitCopy"));
 });
 
-test("a caller that leaves while the copy is sought ends it", t => {
+test("a caller that leaves while the request waits for the copy ends the request", t => {
     const { state } = drive([...RUNNING, lost("r.1", "reset"), { kind: "callerGone" }]);
     t.is(state.phase, Phase.Ended);
 });
 
-test("attempts that never left do not use up the one that is allowed, and are bounded", t => {
+test("attempts that were never sent do not count against maxAttempts and have a bound of their own", t => {
     const events: RequestEvent[] = [];
     for (let at = 1; at <= 4; at++) {
         events.push(admitted(`e${at}`), lost(`r.${at}`, "connect"));
-        if (at < 4) t.like(drive(events).actions.at(-1), { kind: "admit", neverLeft: true });
+        if (at < 4) t.like(drive(events).actions.at(-1), { kind: "admit", neverSent: true });
     }
     t.like(drive(events).actions.at(-1), { kind: "fail", err: { ran: "no" } });
 });
 
-test("an endpoint's own failure never follows what has gone out, whether it may be repeated or not", t => {
+test("an endpoint's error answer never follows what was sent to the caller, whether the request is repeatable or not", t => {
     for (const repeatable of [false, true]) {
         const failed: RequestEvent = { kind: "failedAnswer", attempt: "r.2", generation: "r.2" };
         const { actions } = drive([...RUNNING, lost("r.1", "reset"), admitted("e2"), sending("r.2"), failed], {
@@ -128,10 +128,10 @@
     }
 });
 
-test("an endpoint's own failure is tried elsewhere where that is allowed, and else passed on", t => {
+test("an endpoint's error answer is forwarded unless the request may be retried elsewhere", t => {
     const failed: RequestEvent = { kind: "failedAnswer", attempt: "r.1", generation: "r.1" };
     const begun = [admitted("e1"), sending("r.1"), failed];
-    // One action: each carries the answer's bytes out.
+    // Exactly one action, as each would write the answer's bytes.
     t.deepEqual(drive(begun).actions, [{ kind: "complete", tokens: 1, failed: true }]);
     t.like(drive(begun, { repeatable: true, maxAttempts: 2 }).actions.at(-1), { kind: "admit", retry: true });
 });
--- a/packages/request/test/not-run.test.ts
+++ b/packages/request/test/not-run.test.ts
@@ -10,7 +10,7 @@
 
 const CFG: RequestCfg = { id: "r", repeatable: false, streamed: true, maxAttempts: 1, maxResumes: 0, deadline: 1e9 };
 
-/** What the caller is told after these events; undefined where it is told no failure. */
+/** Returns the error that the caller gets after these events; undefined if the request does not fail. */
 function failureAfter(events: readonly RequestEvent[]): RequestError | undefined {
     let { state, actions } = createRequest(CFG);
     const all: RequestAction[] = [...actions];
@@ -21,7 +21,7 @@
     return all.flatMap(action => action.kind === "fail" ? [action.err] : [])[0];
 }
 
-/** A connection to this endpoint does not come up. */
+/** Returns the events of an attempt whose connection cannot be established. */
 function unreachable(endpoint: string, number: number): readonly RequestEvent[] {
     const attempt = `r.${number}`;
     return [
@@ -35,7 +35,7 @@
     { kind: "sending", attempt: "r.1" },
 ];
 
-test("a request that reached no endpoint is told as not run, with a time to come back", t => {
+test("a request that reached no endpoint fails as not run, with a retry delay", t => {
     const err = failureAfter(["e1", "e2", "e3", "e4"].flatMap((endpoint, at) => unreachable(endpoint, at + 1)));
     t.like(err, { ran: "no", code: "endpoint_lost", detail: "connect timeout" });
     t.true(err!.retryAfterMs! > 0);
@@ -43,19 +43,19 @@
 
 for (
     const [where, events] of [
-        ["while it waits", []],
-        ["after a connection that did not come up", unreachable("e1", 1)],
-        ["before its first byte", SENT.slice(0, 1)],
+        ["while the request waits", []],
+        ["after a connection that could not be established", unreachable("e1", 1)],
+        ["before the first byte was sent", SENT.slice(0, 1)],
     ] as const
 ) {
-    test(`a deadline that passes ${where} is told as not run, with a time to come back`, t => {
+    test(`a deadline that passes ${where} fails the request as not run, with a retry delay`, t => {
         const err = failureAfter([...events, { kind: "deadline" }]);
         t.like(err, { ran: "no", code: "deadline_passed" });
         t.true(err!.retryAfterMs! > 0);
     });
 }
 
-test("a deadline that passes once a byte may have left promises nothing", t => {
+test("a deadline that passes once a byte may have been sent gives neither a proof nor a retry delay", t => {
     const err = failureAfter([...SENT, { kind: "deadline" }]);
     t.like(err, { ran: "unknown", code: "deadline_passed" });
     t.is(err!.retryAfterMs, undefined);
--- a/packages/standins/src/memory-mutations.ts
+++ b/packages/standins/src/memory-mutations.ts
@@ -93,7 +93,7 @@
     {
         promise: "memory: what waits for a caller is counted",
         file: QUEUE,
-        find: "this.memory.setUnread(this.waitingBytes + inSocket, hasDrained);",
+        find: "this.memory.setUnread(this.waitingBytes + socketBytes, hasDrained);",
         replace: "this.memory.setUnread(0, hasDrained);",
         tests: [READERS],
     },
