--- a/packages/host/src/calls/call-progress.ts
+++ b/packages/host/src/calls/call-progress.ts
@@ -18,7 +18,7 @@
     /** In milliseconds on the monotonic clock. */
     readonly deadline: number;
     /** Id of the latest attempt. */
-    attempt: string;
+    attemptId: string;
     /** Endpoint of the latest attempt; undefined if it is no longer registered. */
     endpoint: EndpointEntry | undefined;
     /** Estimated slowness of that endpoint when the attempt began, as a factor of the mean of its kind. */
@@ -28,7 +28,7 @@
     /** A copy that was made because the endpoint is leaving; preferred to the one at {@link standby}. */
     copy: Copy | undefined;
     /** Id of the last event that was sent to the caller. */
-    lastEvent: string | undefined;
+    lastEventId: string | undefined;
     /** Whether each event's id was one above the id before it; undefined before the second id. */
     idsRiseByOne: boolean | undefined;
     /** Whether a length or chunks mark the end of the caller's answer; set with its first piece. */
@@ -55,12 +55,12 @@
     return {
         body,
         deadline,
-        attempt: "",
+        attemptId: "",
         endpoint: undefined,
         slowness: undefined,
         standby: undefined,
         copy: undefined,
-        lastEvent: undefined,
+        lastEventId: undefined,
         idsRiseByOne: undefined,
         framed: true,
         lastAnswer: undefined,
@@ -88,13 +88,13 @@
  *
  * @example
  * ```ts
- * sentBefore(progress, 7)?.lastEvent; // "7"
+ * sentBefore(progress, 7)?.lastEventId; // "7"
  * ```
  */
 export function sentBefore(progress: CallProgress, pieces: number | undefined): SentBefore | undefined {
     if (pieces === undefined || pieces === 0) return undefined;
-    const { lastEvent, framed, idsRiseByOne = false } = progress;
-    return { pieces, lastEvent, framed, idsRiseByOne };
+    const { lastEventId, framed, idsRiseByOne = false } = progress;
+    return { pieces, lastEventId, framed, idsRiseByOne };
 }
 
 /**
@@ -106,13 +106,13 @@
  * ```
  */
 export function continuationOf(
-    { lastEvent }: CallProgress,
+    { lastEventId }: CallProgress,
     callId: string,
     endpoint: EndpointEntry,
     copy: Copy | undefined,
 ): Continuation {
-    if (copy) return { source: copy.source.address, copy: copy.name, lastEvent };
-    return { source: endpoint.address, copy: callId, lastEvent };
+    if (copy) return { source: copy.source.address, copy: copy.name, lastEvent: lastEventId };
+    return { source: endpoint.address, copy: callId, lastEvent: lastEventId };
 }
 
 /**
@@ -134,12 +134,12 @@
     };
 }
 
-function recordPiece(progress: CallProgress, index: number, { event: eventId, framed }: AnswerPiece): void {
+function recordPiece(progress: CallProgress, index: number, { eventId, framed }: AnswerPiece): void {
     if (index === 0) progress.framed = framed;
     if (eventId === undefined) return;
-    const { lastEvent, idsRiseByOne = true } = progress;
-    if (lastEvent !== undefined) progress.idsRiseByOne = idsRiseByOne && isNextId(lastEvent, eventId);
-    progress.lastEvent = eventId;
+    const { lastEventId, idsRiseByOne = true } = progress;
+    if (lastEventId !== undefined) progress.idsRiseByOne = idsRiseByOne && isNextId(lastEventId, eventId);
+    progress.lastEventId = eventId;
 }
 
 /**
--- a/packages/host/src/calls/caller-answer.ts
+++ b/packages/host/src/calls/caller-answer.ts
@@ -62,7 +62,7 @@
  *
  * @example
  * ```ts
- * toApiError(notRun("endpoint_lost", "connect timeout", 250)).status; // 503
+ * toApiError(notRunError("endpoint_lost", "connect timeout", 250)).status; // 503
  * ```
  */
 export function toApiError(err: RequestError): ApiError {
@@ -100,7 +100,7 @@
     return headers;
 }
 
-/** Writes an error as the answer, unless an answer was begun. */
+/** Writes an error as the answer, unless an answer was started. */
 export function writeError(out: ServerResponse, err: ApiError, headers: Readonly<Record<string, string>> = {}): void {
     if (out.headersSent || out.destroyed) return;
     out.writeHead(err.status, { ...headers, ...errorHeaders(err), "content-type": "application/json" });
@@ -151,7 +151,7 @@
     };
 }
 
-interface Chunk {
+interface CompletionChunk {
     readonly id?: string;
     readonly created?: number;
     readonly model?: string;
@@ -179,8 +179,8 @@
     let bytes = 0;
     // Some engines send the finish reason before their last event.
     let finishReason: string | undefined;
-    const take = (data: string): Chunk => {
-        const chunk = JSON.parse(data) as Chunk;
+    const take = (data: string): CompletionChunk => {
+        const chunk = JSON.parse(data) as CompletionChunk;
         const choice = chunk.choices?.[0];
         const text = choice?.delta?.content ?? choice?.text ?? "";
         texts.push(text);
@@ -198,7 +198,7 @@
             finishReason = undefined;
         },
         finish: (last, tokens) => {
-            const chunk: Chunk = last === undefined ? {} : take(last);
+            const chunk: CompletionChunk = last === undefined ? {} : take(last);
             const text = texts.join("");
             const finish_reason = finishReason ?? "stop";
             const choice = chat
--- a/packages/host/src/calls/forward-attempt.ts
+++ b/packages/host/src/calls/forward-attempt.ts
@@ -31,7 +31,7 @@
     /** Whether a length or chunks mark the end of the answer. If not, the answer to the caller must also end with its connection. */
     readonly framed: boolean;
     /** Id of the event, if the piece is an event with an id. */
-    readonly event: string | undefined;
+    readonly eventId: string | undefined;
 }
 
 /** One attempt of a forwarded call. */
@@ -153,7 +153,7 @@
     }
 
     onData(chunk: Buffer): void {
-        if (this.hasEnded || this.verdict?.kind !== "take") return;
+        if (this.hasEnded || this.verdict?.kind !== "accept") return;
         if (this.splitter) return this.reportEvents(this.splitter.push(chunk), this.splitter.unfinished.length);
         this.held.push(chunk);
         this.heldBytes += chunk.length;
@@ -273,11 +273,11 @@
         sink.report({ kind: "token", attempt: id, generation: id, index }, this.pieceOf(bytes, eventId));
     }
 
-    private pieceOf(body: Buffer, event?: string): AnswerPiece {
+    private pieceOf(body: Buffer, eventId?: string): AnswerPiece {
         const framed = this.head?.framed ?? true;
         const wholeLength = this.hasEnded && framed ? this.heldBytes : undefined;
         const length = this.splitter ? undefined : this.head?.length ?? wholeLength;
-        return { status: this.status, headers: this.head?.passed ?? [], body, length, framed, event };
+        return { status: this.status, headers: this.head?.passed ?? [], body, length, framed, eventId };
     }
 
     /** Pauses reading while the caller is too far behind. */
@@ -305,7 +305,7 @@
     }
 
     private reportLoss(loss: LossCause, detail: string): void {
-        // Without the id of the last data, no copy can be told from where to continue.
+        // Without the id of the last event, a copy does not know from where to continue.
         const cannotContinue = this.hasReported && (!this.splitter || this.lastDataHasNoId);
         const { id, sink } = this.attempt;
         this.abandon();
--- a/packages/host/src/calls/forward-call.ts
+++ b/packages/host/src/calls/forward-call.ts
@@ -69,7 +69,7 @@
 /** A call, with what is fixed when it arrives. */
 export interface ForwardCall {
     /** When the call arrived, in milliseconds on the monotonic clock. */
-    readonly at: number;
+    readonly arrivedAt: number;
     readonly req: IncomingMessage;
     readonly out: ServerResponse;
     /** Path with the query. */
--- a/packages/host/src/calls/forward-job.ts
+++ b/packages/host/src/calls/forward-job.ts
@@ -31,7 +31,7 @@
 }
 
 /** Returns for how long a first event is of use: until the caller leaves or the call times out. */
-function usefulMsOf({ route, head }: ForwardCall): number {
+function usefulForMs({ route, head }: ForwardCall): number {
     const patienceMs = Math.min(route.patienceMs ?? Infinity, route.timeoutMs, head.deadlineMs ?? Infinity);
     return Math.max(route.objectiveMs, patienceMs);
 }
@@ -49,7 +49,7 @@
         weightStall: 1,
         weightPrefix: 0,
         maxWaitMs: route.objectiveMs,
-        usefulMs: usefulMsOf(call),
+        usefulMs: usefulForMs(call),
         queueLimit: MAX_WAITING_CALLS,
         // The gateway bounds retries by one budget for all hosts instead.
         retryShare: 0,
@@ -63,6 +63,7 @@
     return allowedHalls.reduce((both, halls) => both.filter(hall => halls.includes(hall)));
 }
 
+/** Describes a call as a job for the scheduler. */
 export function jobOf(call: ForwardCall, isSuspect: boolean, halls: readonly string[] | undefined): Job {
     const { head, route, workspace, service, engine } = call;
     const { generation } = head;
--- a/packages/host/src/calls/forward-reply.ts
+++ b/packages/host/src/calls/forward-reply.ts
@@ -30,7 +30,7 @@
     return ran !== "no" && NOT_RUN_STATUSES.has(status) ? BAD_GATEWAY : status;
 }
 
-/** Writes an error of the gateway itself, unless an answer was begun. */
+/** Writes an error of the gateway itself, unless an answer was started. */
 export function writeOwnAnswer(out: ServerResponse, wire: PlatformWire, { callId, err, close }: OwnAnswer): void {
     if (out.headersSent || out.destroyed) return;
     const status = statusWithinProof(err.status, err.ran);
@@ -84,7 +84,7 @@
  * ```
  */
 export function forwardReply(deps: ForwardReplyDeps): Reply<AnswerPiece> {
-    const { out, queue, wire, callId, isClosing: isClosing, failedAnswer } = deps;
+    const { out, queue, wire, callId, isClosing, failedAnswer } = deps;
     const begin = ({ status, headers, length, framed }: AnswerPiece): void => {
         if (out.headersSent) return;
         const framing = length === undefined ? [] : ["Content-Length", String(length)];
--- a/packages/host/src/calls/forward-runner.ts
+++ b/packages/host/src/calls/forward-runner.ts
@@ -26,7 +26,7 @@
             const endpoint = knownStandby(progress, incarnation) ?? deps.endpoint(incarnation);
             const copy = progress.copy?.standby.incarnation === incarnation ? progress.copy : undefined;
             progress.copy = undefined;
-            progress.attempt = attempt;
+            progress.attemptId = attempt;
             progress.bodyUnread = undefined;
             progress.endpoint = endpoint;
             progress.slowness = deps.engines.slownessOf(incarnation);
@@ -49,7 +49,7 @@
             }
             if (continueAt !== undefined) {
                 deps.log.info(
-                    { req: head.id, endpoint: incarnation, event: continueAt, last: progress.lastEvent },
+                    { req: head.id, endpoint: incarnation, event: continueAt, last: progress.lastEventId },
                     "call_continued",
                 );
             }
--- a/packages/host/src/calls/forward.ts
+++ b/packages/host/src/calls/forward.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { HeldKind } from "@drumpaddle/policy";
-import { FailCode, notRun } from "@drumpaddle/request";
+import { FailCode, notRunError } from "@drumpaddle/request";
 import { pickService, type Route, RouteKind } from "@drumpaddle/routes";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Withheld } from "../endpoints/request-guard.js";
@@ -67,7 +67,7 @@
 
 /** Serves a call. Every call gets an answer or an aborted connection. */
 export function forward(deps: Forwarding, req: IncomingMessage, target: string, out: ServerResponse): void {
-    const at = deps.clock.now();
+    const arrivedAt = deps.clock.now();
     const parsed = deps.wire.readCall(req.rawHeaders);
     if (!parsed.ok) {
         const err: ApiError = { status: 400, code: "bad_request", message: parsed.err.detail, ran: "no" };
@@ -90,7 +90,19 @@
     const engine = table.service(service)?.engine;
     const memory = deps.memory.open(head.id);
     out.on("close", () => memory.close());
-    const call = { at, req, out, target, head, route, workspace, service, engine, version: table.version, memory };
+    const call = {
+        arrivedAt,
+        req,
+        out,
+        target,
+        head,
+        route,
+        workspace,
+        service,
+        engine,
+        version: table.version,
+        memory,
+    };
     readBodyAndStart(deps, call, limits.bodyBytes);
 }
 
@@ -103,7 +115,7 @@
     const reading = new AbortController();
     memory.onGiveUp = () => reading.abort();
     const reserve = (more: number): boolean => memory.takeIn(more);
-    void readBody(req, { maxBytes: maxBytes, timeoutMs: deps.bodyMs, reserve: reserve, signal: reading.signal }).then(
+    void readBody(req, { maxBytes, timeoutMs: deps.bodyMs, reserve, signal: reading.signal }).then(
         body => {
             if (body.kind === "whole") start(deps, call, body.bytes);
             else if (body.kind === "tooLarge") refuse(deps, out, head.id, REFUSALS.bodyTooLarge);
@@ -126,7 +138,7 @@
     const { code, detail, retryAfterMs } = withheld;
     deps.guard.refused(head.id, fingerprint, withheld);
     deps.metrics.countOutcome("refused", "no");
-    const err = toApiError(notRun(code, detail, retryAfterMs));
+    const err = toApiError(notRunError(code, detail, retryAfterMs));
     writeOwnAnswer(out, deps.wire, { callId: head.id, err, close: deps.runs.stopping });
 }
 
@@ -150,12 +162,12 @@
 }
 
 function start(deps: Forwarding, call: ForwardCall, body: Buffer | undefined): void {
-    const { at, out, head, route, engine, memory } = call;
+    const { arrivedAt, out, head, route, engine, memory } = call;
     if (out.destroyed) return;
     // The shutdown may have started while the body was read.
     if (!canFinish(deps, route)) return refuse(deps, out, head.id, REFUSALS.stopping);
     const timeoutMs = Math.min(route.timeoutMs, head.deadlineMs ?? route.timeoutMs);
-    const progress = createProgress(body, at + timeoutMs);
+    const progress = createProgress(body, arrivedAt + timeoutMs);
     const queue = new CallerQueue(out, memory);
     const fingerprint = fingerprintOfCall(call, body);
     const withheld = deps.guard.withhold(fingerprint, { software: deps.softwareOf(call.service) });
@@ -216,7 +228,7 @@
                 // Ignores the copy of an attempt that has ended since.
                 if (copy.source.incarnation !== progress.endpoint?.incarnation) return;
                 progress.copy = copy;
-                driver.handle({ kind: "copied", attempt: progress.attempt, endpoint: copy.standby.incarnation });
+                driver.handle({ kind: "copied", attempt: progress.attemptId, endpoint: copy.standby.incarnation });
             },
         });
     }
@@ -261,7 +273,7 @@
         most: call.head.generation?.maxTokens,
         hint: call.head.generation?.hintTokens,
         first_ms: end.firstTokenMs === undefined ? undefined : Math.round(end.firstTokenMs),
-        ms: Math.round(deps.clock.now() - call.at),
+        ms: Math.round(deps.clock.now() - call.arrivedAt),
     }, "call_ended");
 }
 
--- a/packages/host/src/calls/generate.ts
+++ b/packages/host/src/calls/generate.ts
@@ -268,7 +268,7 @@
     out.on("close", () => driver.handle({ kind: "callerGone" }));
 }
 
-/** Settles the reservation: tokens that were produced are charged; if the request provably did not run, all is released. */
+/** Settles the reservation and logs the end of a request. Used tokens are charged; a request that did not run is charged nothing. */
 function settleAndLog(host: Host, job: Job, end: RequestEnd): void {
     const ran = end.err?.ran ?? "yes";
     const settlement = ran === "no"
--- a/packages/host/src/calls/guard-attempt.ts
+++ b/packages/host/src/calls/guard-attempt.ts
@@ -25,7 +25,7 @@
 }
 
 /** Losses that a crash of the endpoint may have caused. */
-const MAY_BE_CRASH: ReadonlySet<LossCause> = new Set(["reset", "idle"]);
+const POSSIBLE_CRASHES: ReadonlySet<LossCause> = new Set(["reset", "idle"]);
 
 /**
  * Wraps a sink so that the guard learns of the start and the end of an attempt before the request's state machine does.
@@ -52,7 +52,7 @@
         },
         lost: ({ cause }) => {
             onOver();
-            if (sentAt === undefined || !MAY_BE_CRASH.has(cause)) return;
+            if (sentAt === undefined || !POSSIBLE_CRASHES.has(cause)) return;
             guard.broke(endpoint, { ...run, ranMs: guard.now() - sentAt, wasSuspect });
         },
         endpointRefused: onOver,
--- a/packages/host/src/calls/idempotency-claims.ts
+++ b/packages/host/src/calls/idempotency-claims.ts
@@ -44,7 +44,7 @@
     /** The key-value service did not answer, so this request was not dispatched. */
     | { readonly kind: "away"; readonly detail: string };
 
-/** Larger answers are not recorded; a repeated call then gets the error of {@link ClaimResult} `taken`. */
+/** Larger answers are not recorded; a repeated call then gets an error that says that it is not known whether the first one ran. */
 export const MAX_RECORDED_BYTES = 65_536;
 /** How long a claim is stored at least. */
 const CLAIM_TTL_S = 86_400;
@@ -67,7 +67,7 @@
         return `${this.prefix}/claim/${workspace}/${createHash("sha256").update(idempotencyKey).digest("hex")}`;
     }
 
-    /** Claims a key for a request. After a lost reply the same write is repeated; if it conflicts, the stored claim tells whose it is. */
+    /** Claims a key for a request. After a lost reply the same write is repeated; if it conflicts, the stored claim shows who holds the key. */
     async claim(workspace: string, idempotencyKey: string, request: string, call: string): Promise<ClaimResult> {
         const key = this.keyOf(workspace, idempotencyKey);
         const claim: Claim = { request, call, at: Date.now() };
--- a/packages/host/src/calls/judge-answer.ts
+++ b/packages/host/src/calls/judge-answer.ts
@@ -10,7 +10,7 @@
 export interface SentBefore {
     readonly pieces: number;
     /** Id of the last event among them that had an id. */
-    readonly lastEvent: string | undefined;
+    readonly lastEventId: string | undefined;
     /** Whether each id was one above the id before it, so that a gap means missing events. */
     readonly idsRiseByOne: boolean;
     /** Whether a length or chunks mark the end of the caller's answer. */
@@ -19,7 +19,7 @@
 
 /** How to handle an answer. */
 export type Verdict =
-    | { readonly kind: "take" }
+    | { readonly kind: "accept" }
     | { readonly kind: "refused" }
     | { readonly kind: "invalid"; readonly detail: string };
 
@@ -52,23 +52,23 @@
  * ```
  */
 export function judgeAnswer(call: string, status: number, head: AnswerHead, before: SentBefore | undefined): Verdict {
-    if (head.id !== undefined && head.id !== call) return invalid(`an answer to ${head.id}`);
+    if (head.id !== undefined && head.id !== call) return invalid(`an answer to call ${head.id}`);
     if (head.notRun || status === MISDIRECTED) return { kind: "refused" };
-    if (NOT_RUN_STATUSES.has(status)) return invalid(`${status} without a word on whether it ran`);
-    if (head.encoded) return invalid("an encoded body");
+    if (NOT_RUN_STATUSES.has(status)) return invalid(`${status} that does not state whether the call ran`);
+    if (head.encoded) return invalid("an answer with an encoded body");
     if (status >= 200 && status < 300) {
-        if (head.id === undefined) return invalid("a success that names no call");
+        if (head.id === undefined) return invalid("a success without a call id");
         if (!head.sealed) return invalid("a success without a seal");
     }
-    return before ? judgeContinuation(status, head, before) : { kind: "take" };
+    return before ? judgeContinuation(status, head, before) : { kind: "accept" };
 }
 
 function judgeContinuation(status: number, head: AnswerHead, { framed }: SentBefore): Verdict {
     // Only events can follow events: the caller would take the end of any other answer, such as a 500, for the end of the stream.
-    if (!isStream(status, head)) return invalid(`${status} where a stream was to go on`);
+    if (!isStream(status, head)) return invalid(`${status} instead of the continuation of a stream`);
     // The continuation may be cut off unnoticed, and the final chunk to the caller would then mark it as complete.
-    if (framed && !head.framed) return invalid("a continuation whose end is not told");
-    return { kind: "take" };
+    if (framed && !head.framed) return invalid("a continuation without a length or chunks");
+    return { kind: "accept" };
 }
 
 const WHOLE_NUMBER = /^\d+$/;
@@ -91,17 +91,17 @@
 }
 
 /**
- * Whether an event can follow what was sent to the caller. Ids must rise; ids that are not numbers have no order, so no
- * event can follow them.
+ * Whether an event with an id can follow what was sent to the caller. Its id must exceed the last one that was sent, and by
+ * just one if all ids did so far. Ids that are not numbers have no order, so no event can follow them.
  *
  * @example
  * ```ts
- * canFollow({ pieces: 9, lastEvent: "9", framed: true, idsRiseByOne: true }, "11"); // false
+ * canFollow({ pieces: 9, lastEventId: "9", framed: true, idsRiseByOne: true }, "11"); // false
  * ```
  */
-export function canFollow({ lastEvent, idsRiseByOne }: SentBefore, id: string): boolean {
-    if (lastEvent === undefined) return true;
-    return idsRiseByOne ? isNextId(lastEvent, id) : (idDifference(lastEvent, id) ?? 0n) > 0n;
+export function canFollow({ lastEventId, idsRiseByOne }: SentBefore, id: string): boolean {
+    if (lastEventId === undefined) return true;
+    return idsRiseByOne ? isNextId(lastEventId, id) : (idDifference(lastEventId, id) ?? 0n) > 0n;
 }
 
 function invalid(detail: string): Verdict {
--- a/packages/host/src/calls/plain-service.ts
+++ b/packages/host/src/calls/plain-service.ts
@@ -73,6 +73,8 @@
 /**
  * Whether a call runs at most once.
  *
+ * @param callerHeader The call's `x-not-repeatable` header.
+ *
  * @example
  * ```ts
  * isOnce("POST", "/holds/7", { "not-repeatable": ["POST /holds/*"], repeatable: true }, undefined); // true
@@ -130,7 +132,7 @@
         settings,
         body,
         path,
-        runsOnce: runsOnce,
+        runsOnce,
         key: runsOnce && typeof key === "string" ? key : undefined,
     };
     if (plan.key === undefined) start(host, plan);
@@ -241,7 +243,7 @@
 }
 
 function start(host: Host, plan: PlainPlan): void {
-    const { call, job, settings, body, path, runsOnce: once } = plan;
+    const { call, job, settings, body, path, runsOnce } = plan;
     const { out, id } = call;
     const queue = new CallerQueue(out, call.memory);
     const reply = passThroughReply(call, queue);
@@ -256,7 +258,7 @@
     const driver: RequestDriver<PlainPiece> = new RequestDriver<PlainPiece>({
         cfg: {
             id,
-            repeatable: !once,
+            repeatable: !runsOnce,
             streamed: true,
             maxAttempts: settings.attempts,
             maxResumes: 0,
--- a/packages/host/src/calls/request-driver.ts
+++ b/packages/host/src/calls/request-driver.ts
@@ -158,7 +158,7 @@
     }
 
     /** Whether the request waits for an endpoint. */
-    get waiting(): boolean {
+    get isWaiting(): boolean {
         return this.state.phase === Phase.Waiting;
     }
 
--- a/packages/host/test/judge-answer.test.ts
+++ b/packages/host/test/judge-answer.test.ts
@@ -1,8 +1,8 @@
 import test from "ava";
 import { canFollow, type SentBefore } from "../src/calls/judge-answer.js";
 
-function sentBefore(lastEvent: string, idsRiseByOne: boolean): SentBefore {
-    return { pieces: 2, lastEvent, framed: true, idsRiseByOne };
+function sentBefore(lastEventId: string, idsRiseByOne: boolean): SentBefore {
+    return { pieces: 2, lastEventId, framed: true, idsRiseByOne };
 }
 
 const CASES: readonly (readonly [string, boolean, string, boolean])[] = [
--- a/packages/host/test/silence-watch.test.ts
+++ b/packages/host/test/silence-watch.test.ts
@@ -12,18 +12,18 @@
 /** Creates a watch with a short time to the probe, and records its probes and reports. */
 function createWatch(answers: boolean, canContinue = (): boolean => true): WatchTrial {
     const lost: string[] = [];
-    let asked = 0;
+    let probeCount = 0;
     const cfg = {
         probeAfterMs: 10,
         lostAfterMs: 60_000,
         awakeMs: () => performance.now(),
         isAlive: async () => {
-            asked += 1;
+            probeCount += 1;
             return Promise.resolve(answers);
         },
         canContinue,
     };
-    return { watch: new SilenceWatch(cfg, detail => void lost.push(detail)), probeCount: () => asked, lost };
+    return { watch: new SilenceWatch(cfg, detail => void lost.push(detail)), probeCount: () => probeCount, lost };
 }
 
 function pause(ms: number): Promise<void> {
@@ -39,24 +39,24 @@
 });
 
 test("a silent stream whose endpoint answers the probe is probed once and not lost", async t => {
-    const { watch, probeCount: asked, lost } = createWatch(true);
+    const { watch, probeCount, lost } = createWatch(true);
     watch.onEvent();
-    while (asked() === 0) await pause(5);
+    while (probeCount() === 0) await pause(5);
     await pause(50);
-    t.is(asked(), 1);
+    t.is(probeCount(), 1);
     t.is(lost.length, 0);
     watch.stop();
 });
 
 for (const end of ["paused", "stopped"] as const) {
     test(`no probe is sent while the watch is ${end}`, async t => {
-        const { watch, probeCount: asked } = createWatch(false);
+        const { watch, probeCount } = createWatch(false);
         watch.onEvent();
         watch.pause();
         if (end === "stopped") watch.stop();
         if (end === "stopped") watch.resume();
         await pause(80);
-        t.is(asked(), 0);
+        t.is(probeCount(), 0);
     });
 }
 
@@ -70,20 +70,20 @@
 });
 
 test("a host whose event loop is blocked again and again still probes", async t => {
-    const { watch, probeCount: asked } = createWatch(true);
+    const { watch, probeCount } = createWatch(true);
     watch.onEvent();
     // Each round of the event loop takes three times as long as the delay before a late check is repeated.
-    for (let round = 0; round < 40 && asked() === 0; round++) {
+    for (let round = 0; round < 40 && probeCount() === 0; round++) {
         const until = performance.now() + 30;
         while (performance.now() < until);
         await new Promise(resolve => setImmediate(resolve));
     }
-    t.is(asked(), 1);
+    t.is(probeCount(), 1);
     watch.stop();
 });
 
 test("no probe is sent while a busy host has unread bytes of the stream", async t => {
-    const { watch, probeCount: asked } = createWatch(false);
+    const { watch, probeCount } = createWatch(false);
     const server = createServer(socket => socket.on("data", () => watch.onEvent()));
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const client = connect({ host: "127.0.0.1", port: (server.address() as AddressInfo).port });
@@ -101,16 +101,16 @@
         await new Promise(resolve => setImmediate(resolve));
     }
     watch.stop();
-    t.is(asked(), 0);
+    t.is(probeCount(), 0);
 });
 
 test("a silent stream that cannot continue elsewhere is lost only once it can", async t => {
     let hasCopy = false;
-    const { watch, lost, probeCount: asked } = createWatch(false, () => hasCopy);
+    const { watch, lost, probeCount } = createWatch(false, () => hasCopy);
     watch.onEvent();
     await pause(100);
     t.is(lost.length, 0);
-    t.is(asked(), 0);
+    t.is(probeCount(), 0);
     hasCopy = true;
     while (lost.length === 0) await pause(5);
     t.is(lost.length, 1);
--- a/packages/request/src/error.ts
+++ b/packages/request/src/error.ts
@@ -65,11 +65,11 @@
  *
  * @example
  * ```ts
- * notRun("overloaded", "queue is full", 500).ran; // "no"
+ * notRunError("overloaded", "queue is full", 500).ran; // "no"
  * ```
  */
-export function notRun(code: FailCode, detail: string, retryAfterMs?: number): RequestError {
-    return failure(proveNotRun(NOTHING_SENT), false, code, detail, retryAfterMs);
+export function notRunError(code: FailCode, detail: string, retryAfterMs?: number): RequestError {
+    return requestError(proveNotRun(NOTHING_SENT), false, code, detail, retryAfterMs);
 }
 
 /**
@@ -78,10 +78,10 @@
  *
  * @example
  * ```ts
- * failure(proveNotRun(NOTHING_SENT), false, "overloaded", "queue is full", 500).ran; // "no"
+ * requestError(proveNotRun(NOTHING_SENT), false, "overloaded", "queue is full", 500).ran; // "no"
  * ```
  */
-export function failure(
+export function requestError(
     proof: NotRunProof | undefined,
     tokenSeen: boolean,
     code: FailCode,
--- a/packages/request/src/index.ts
+++ b/packages/request/src/index.ts
@@ -1,11 +1,11 @@
 export {
     FailCode,
-    failure,
     type MayHaveRunError,
-    notRun,
     type NotRunError,
+    notRunError,
     type Ran,
     type RequestError,
+    requestError,
 } from "./error.js";
 export {
     type DispatchRecord,
--- a/packages/request/src/step.ts
+++ b/packages/request/src/step.ts
@@ -8,7 +8,7 @@
  *
  * @module
  */
-import { FailCode, failure } from "./error.js";
+import { FailCode, requestError } from "./error.js";
 import { proveNotRun, recordNeverSent, recordRefused, recordSent } from "./proof.js";
 import {
     type Attempt,
@@ -204,7 +204,7 @@
     };
 }
 
-/** Handles an attempt whose connection was never established. Its retry does not count against `maxAttempts`. */
+/** Handles an attempt whose connection was never established. Such attempts do not count against `maxAttempts`. */
 function retryNeverSent(state: RequestState, detail: string): Step {
     if (!canRetry(state)) return fail(state, FailCode.EndpointLost, detail, cancelCurrent(state), OTHER_HOST_RETRY_MS);
     const { state: next, actions } = retryElsewhere(state, cancelCurrent(state));
@@ -263,7 +263,7 @@
     precedingActions: readonly RequestAction[],
     retryAfterMs?: number,
 ): Step {
-    const err = failure(proveNotRun(state.record), state.tokenSeen, code, detail, retryAfterMs);
+    const err = requestError(proveNotRun(state.record), state.tokenSeen, code, detail, retryAfterMs);
     return { state: { ...state, phase: Phase.Ended }, actions: [...precedingActions, { kind: "fail", err }] };
 }
 
