--- a/packages/host/src/calls/call-progress.ts
+++ b/packages/host/src/calls/call-progress.ts
@@ -23,7 +23,10 @@
     endpoint: EndpointEntry | undefined;
     /** Estimated slowness of that endpoint when the attempt began, as a factor of the mean of its kind. */
     slowness: number | undefined;
-    /** Standby endpoint that receives a copy of the generation as it grows. Kept here, as its registration may be gone when it is needed. */
+    /**
+     * Standby endpoint that receives a copy of the generation as it grows. Kept here, as its registration may be gone
+     * when it is needed.
+     */
     standby: EndpointEntry | undefined;
     /** A copy that was made because the endpoint is leaving; preferred to the one at {@link standby}. */
     copy: Copy | undefined;
@@ -35,7 +38,10 @@
     framed: boolean;
     /** Status and framing of the latest answer of an endpoint. */
     lastAnswer: { readonly status: number; readonly framed: boolean } | undefined;
-    /** How much of the body the endpoint had not read when its attempt was abandoned, and for how long; undefined if it read all. */
+    /**
+     * How much of the body the endpoint had not read when its attempt was abandoned, and for how long; undefined if it
+     * read all.
+     */
     bodyUnread: { readonly bytes: number; readonly ms: number } | undefined;
     /** The latest complete error answer of an endpoint; sent to the caller if no later attempt is answered. */
     failedAnswer: AnswerPiece | undefined;
@@ -98,7 +104,8 @@
 }
 
 /**
- * Returns from which copy an endpoint continues a generation: one that its source made, or the one that it received itself.
+ * Returns from which copy an endpoint continues a generation: one that its source made, or the one that it received
+ * itself.
  *
  * @example
  * ```ts
--- a/packages/host/src/calls/caller-answer.ts
+++ b/packages/host/src/calls/caller-answer.ts
@@ -88,8 +88,8 @@
 }
 
 /**
- * Returns the headers of an error. `x-should-retry` is true only if the request provably did not run and a delay is given:
- * client libraries must not repeat a request on their own that may have run.
+ * Returns the headers of an error. `x-should-retry` is true only if the request provably did not run and a delay is
+ * given: client libraries must not repeat a request on their own that may have run.
  */
 export function errorHeaders(err: ApiError): Record<string, string> {
     const headers: Record<string, string> = {
@@ -113,8 +113,8 @@
 }
 
 /**
- * Creates a reply that forwards an engine's events as they arrive. An error after the first event is sent as an event, and
- * the stream then ends without `[DONE]`.
+ * Creates a reply that forwards an engine's events as they arrive. An error after the first event is sent as an event,
+ * and the stream then ends without `[DONE]`.
  */
 export function streamReply(
     out: ServerResponse,
--- a/packages/host/src/calls/caller-queue.ts
+++ b/packages/host/src/calls/caller-queue.ts
@@ -1,6 +1,6 @@
 /**
- * Queues the part of an answer that a slow caller has not read yet. The queue is kept here rather than in the socket's own
- * buffer, so that the host knows exactly how many bytes it holds, and sees each part that the caller reads.
+ * Queues the part of an answer that a slow caller has not read yet. The queue is kept here rather than in the socket's
+ * own buffer, so that the host knows exactly how many bytes it holds, and sees each part that the caller reads.
  *
  * @module
  */
@@ -95,7 +95,8 @@
 
     /** Updates the call's memory account, and waits for the caller to read more. */
     private updateAccount(hasDrained: boolean): void {
-        // After its end an answer emits no more `drain`: bytes in the socket's buffer count until the connection closes.
+        // After its end an answer emits no more `drain`: bytes in the socket's buffer count until the connection
+        // closes.
         const socketBytes = this.out.writableNeedDrain || this.hasEnded ? this.out.writableLength : 0;
         this.memory.setUnread(this.waitingBytes + socketBytes, hasDrained);
         if (this.isAwaitingDrain || !this.out.writableNeedDrain) return;
--- a/packages/host/src/calls/callers-server.ts
+++ b/packages/host/src/calls/callers-server.ts
@@ -54,7 +54,9 @@
 /** The memory account of each request. */
 const memories = new WeakMap<IncomingMessage, CallMemory>();
 
-/** Accounts for the memory of requests. Refuses bodies that do not fit: before reading them if their length is declared. */
+/**
+ * Accounts for the memory of requests. Refuses bodies that do not fit: before reading them if their length is declared.
+ */
 function accountMemory(app: FastifyInstance, host: Host): void {
     app.addHook("onRequest", (req, reply, done) => {
         const memory = host.memory.open(req.id);
--- a/packages/host/src/calls/forward-attempt.ts
+++ b/packages/host/src/calls/forward-attempt.ts
@@ -1,6 +1,7 @@
 /**
- * Makes one attempt of a forwarded call: sends it to an endpoint, checks the head of the answer, and reports the answer to
- * the call's state machine in pieces. A stream is reported event by event, any other answer as one piece unless it is long.
+ * Makes one attempt of a forwarded call: sends it to an endpoint, checks the head of the answer, and reports the answer
+ * to the call's state machine in pieces. A stream is reported event by event, any other answer as one piece unless it
+ * is long.
  *
  * @module
  */
@@ -28,7 +29,10 @@
     readonly body: Buffer;
     /** Length of the complete body; undefined if it is not known yet. */
     readonly length: number | undefined;
-    /** Whether a length or chunks mark the end of the answer. If not, the answer to the caller must also end with its connection. */
+    /**
+     * Whether a length or chunks mark the end of the answer. If not, the answer to the caller must also end with its
+     * connection.
+     */
     readonly framed: boolean;
     /** Id of the event, if the piece is an event with an id. */
     readonly eventId: string | undefined;
@@ -53,9 +57,14 @@
     readonly holdLimit: () => number;
     /** Called with the number of bytes of the answer that are held now. */
     readonly onHeld: (bytes: number) => void;
-    /** Receives a function that returns for how long the endpoint has not read all of the body, in milliseconds; 0 if it has. */
+    /**
+     * Receives a function that returns for how long the endpoint has not read all of the body, in milliseconds; 0 if it
+     * has.
+     */
     readonly trackBodyStall: (unreadMs: () => number) => void;
-    /** Called when the attempt is abandoned while the endpoint has not read all of the body for {@link SLOW_READER_MS}. */
+    /**
+     * Called when the attempt is abandoned while the endpoint has not read all of the body for {@link SLOW_READER_MS}.
+     */
     readonly onBodyUnread: (bytes: number, ms: number) => void;
     /** Returns the time in milliseconds. */
     readonly now: () => number;
@@ -70,7 +79,10 @@
     readonly signal: AbortSignal;
 }
 
-/** Answers up to this size are held until they are complete, so that the call can still be retried or refused if they break. */
+/**
+ * Answers up to this size are held until they are complete, so that the call can still be retried or refused if they
+ * break.
+ */
 const MAX_HELD_BYTES = 262_144;
 /** Events are forwarded as a whole; larger ones are accepted only if there is memory for them. */
 const MAX_EVENT_BYTES = 1_000_000;
@@ -245,8 +257,8 @@
     }
 
     /**
-     * Whether a stream ended within an event that another endpoint can still send completely. A first answer with a length
-     * or chunks, or without a copy, is forwarded as the endpoint sent it.
+     * Whether a stream ended within an event that another endpoint can still send completely. A first answer with a
+     * length or chunks, or without a copy, is forwarded as the endpoint sent it.
      */
     private get endsWithinEvent(): boolean {
         const isPartial = this.splitter !== undefined && this.splitter.unfinished.length > 0;
--- a/packages/host/src/calls/forward-job.ts
+++ b/packages/host/src/calls/forward-job.ts
@@ -9,11 +9,14 @@
 
 /** Maximum number of calls that wait on a host. */
 const MAX_WAITING_CALLS = 500;
-/** Probability with which admitted work must fit an engine's memory: above the default of 0.9, as a preemption makes its stream late. */
+/**
+ * Probability with which admitted work must fit an engine's memory: above the default of 0.9, as a preemption makes its
+ * stream late.
+ */
 const ADMISSION_QUANTILE = 0.95;
 /**
- * Streams that may produce this many tokens, about two seconds of an engine's time, are copied to a standby. Shorter ones
- * are unlikely to lose their engine: in the target fleet one engine in six is reclaimed every 3.3 s.
+ * Streams that may produce this many tokens, about two seconds of an engine's time, are copied to a standby. Shorter
+ * ones are unlikely to lose their engine: in the target fleet one engine in six is reclaimed every 3.3 s.
  */
 const BACK_UP_MIN_TOKENS = 256;
 const MAX_RANK = 9;
@@ -56,7 +59,10 @@
     };
 }
 
-/** Returns the halls that may serve a call: those in the home regions of both its route and its workspace; undefined if all may. */
+/**
+ * Returns the halls that may serve a call: those in the home regions of both its route and its workspace; undefined if
+ * all may.
+ */
 export function hallsOf(deps: Forwarding, { route, workspace }: ForwardCall): readonly string[] | undefined {
     const allowedHalls = [route.homes, workspace?.homes].flatMap(homes => homes ? [deps.hallsIn(homes)] : []);
     if (allowedHalls.length === 0) return undefined;
--- a/packages/host/src/calls/forward-reply.ts
+++ b/packages/host/src/calls/forward-reply.ts
@@ -48,8 +48,8 @@
 }
 
 /**
- * Aborts an answer so that its caller notices. Without chunked encoding the connection is reset: the caller could take its
- * orderly end for the end of an answer without a declared length.
+ * Aborts an answer so that its caller notices. Without chunked encoding the connection is reset: the caller could take
+ * its orderly end for the end of an answer without a declared length.
  *
  * @example
  * ```ts
--- a/packages/host/src/calls/forward-silence.ts
+++ b/packages/host/src/calls/forward-silence.ts
@@ -10,19 +10,22 @@
 import type { SilenceCfg } from "./silence-watch.js";
 
 /**
- * The endpoint of a silent stream is probed after this share of the route's maximum gap, and has {@link PROBE_TIMEOUT_MS}
- * to answer: the rest of the gap is enough to continue elsewhere in time.
+ * The endpoint of a silent stream is probed after this share of the route's maximum gap, and has {@link
+ * PROBE_TIMEOUT_MS} to answer: the rest of the gap is enough to continue elsewhere in time.
  */
 const PROBE_GAP_SHARE = 0.4;
 /** Endpoints in the same region answer a probe within 10 ms, including the connection setup. */
 const PROBE_TIMEOUT_MS = 35;
 /**
- * A silent stream counts as lost after this many times the route's maximum gap, even if its endpoint is alive. For
- * the streams that the system is designed for that is 1.1 s: the stream is late by then in any case, and callers leave after two seconds or more.
+ * A silent stream counts as lost after this many times the route's maximum gap, even if its endpoint is alive. For the
+ * streams that the system is designed for that is 1.1 s: the stream is late by then in any case, and callers leave
+ * after two seconds or more.
  */
 const LOST_GAPS = 6;
 
-/** Returns when a stream counts as lost; undefined if no standby receives a copy of it or its route sets no maximum gap. */
+/**
+ * Returns when a stream counts as lost; undefined if no standby receives a copy of it or its route sets no maximum gap.
+ */
 export function silenceCfgOf(
     deps: Forwarding,
     { head, route: { gapMs } }: ForwardCall,
--- a/packages/host/src/calls/forward.ts
+++ b/packages/host/src/calls/forward.ts
@@ -282,7 +282,10 @@
     return fingerprintOf({ method, host: head.host, target, workspace: workspace?.name ?? "", body });
 }
 
-/** Returns the outcome to log. An endpoint's error answer that no later attempt replaced was sent to the caller, whatever failed after it. */
+/**
+ * Returns the outcome to log. An endpoint's error answer that no later attempt replaced was sent to the caller,
+ * whatever failed after it.
+ */
 function outcomeOf({ failedAnswer }: CallProgress, { err, failed, state }: RequestEnd): Outcome {
     const failurePassedOn = err !== undefined && failedAnswer !== undefined && !state.committed;
     if (failed || failurePassedOn) return "endpoint_failed";
--- a/packages/host/src/calls/generate.ts
+++ b/packages/host/src/calls/generate.ts
@@ -81,8 +81,8 @@
 }
 
 /**
- * Returns this host's share of a workspace's limits: the share of its hall, split evenly over the hall's live hosts. Each
- * host computes it alone, so a hall that is disconnected stays within its share.
+ * Returns this host's share of a workspace's limits: the share of its hall, split evenly over the hall's live hosts.
+ * Each host computes it alone, so a hall that is disconnected stays within its share.
  */
 export function limitsOf(host: Host, directory: Directory, settings: Settings): WorkspaceLimits {
     const limits = {
@@ -268,7 +268,10 @@
     out.on("close", () => driver.handle({ kind: "callerGone" }));
 }
 
-/** Settles the reservation and logs the end of a request. Used tokens are charged; a request that did not run is charged nothing. */
+/**
+ * Settles the reservation and logs the end of a request. Used tokens are charged; a request that did not run is charged
+ * nothing.
+ */
 function settleAndLog(host: Host, job: Job, end: RequestEnd): void {
     const ran = end.err?.ran ?? "yes";
     const settlement = ran === "no"
--- a/packages/host/src/calls/generation-copies.ts
+++ b/packages/host/src/calls/generation-copies.ts
@@ -50,7 +50,10 @@
 const COPY_TIMEOUT_MS = 5_000;
 /** How often a copy is refreshed, so that the standby has few tokens to catch up on and the copy does not expire. */
 const REFRESH_MS = 800;
-/** Delay before a failed copy is retried, at another standby if one has room: endpoints announce their end about two seconds ahead. */
+/**
+ * Delay before a failed copy is retried, at another standby if one has room: endpoints announce their end about two
+ * seconds ahead.
+ */
 const RETRY_MS = 250;
 /** Time for an endpoint to drop a copy. */
 const DROP_TIMEOUT_MS = 1_000;
@@ -79,7 +82,9 @@
         if (copy && !used) void this.dropAtSource(copy);
     }
 
-    /** Starts to copy the generations that run on leaving endpoints and have no copy at a reachable endpoint that stays. */
+    /**
+     * Starts to copy the generations that run on leaving endpoints and have no copy at a reachable endpoint that stays.
+     */
     evacuate(): void {
         for (const job of jobsToEvacuate(this.deps.engines.view, this.deps.clock.now())) {
             if (this.listeners.has(job) && !this.copying.has(job)) void this.startCopying(job);
--- a/packages/host/src/calls/given-up.ts
+++ b/packages/host/src/calls/given-up.ts
@@ -16,15 +16,23 @@
 /** A call whose request has ended while its caller still reads has no timers or events to handle. */
 const NO_HANDLERS = { handle: () => undefined, onWake: () => undefined } as const satisfies OpenRequest;
 
-/** Counts a call as open until all that is queued for its caller was written, so that a shutdown does not cut the answer. */
-export function trackDelivery(runs: OpenRuns, out: ServerResponse, memory: CallMemory, queue: CallerQueue): void {
+/**
+ * Counts a call as open until all that is queued for its caller was written, so that a shutdown does not cut the
+ * answer.
+ */
+export function trackDelivery(
+    openRequests: OpenRuns,
+    out: ServerResponse,
+    memory: CallMemory,
+    queue: CallerQueue,
+): void {
     const delivering: OpenRequest = { ...NO_HANDLERS };
     memory.onGiveUp = () => {
         queue.discard();
         breakAnswer(out);
     };
-    runs.add(delivering);
-    queue.whenFlushed(() => runs.delete(delivering));
+    openRequests.add(delivering);
+    queue.whenFlushed(() => openRequests.delete(delivering));
 }
 
 /** Returns the error of a call that the host ended for its memory. */
--- a/packages/host/src/calls/host.ts
+++ b/packages/host/src/calls/host.ts
@@ -52,34 +52,37 @@
 
 /** The requests that the host is serving. */
 export class OpenRuns {
-    private readonly runs = new Set<OpenRequest>();
-    private emptied: (() => void) | undefined;
+    private readonly requests = new Set<OpenRequest>();
+    private onEmpty: (() => void) | undefined;
     /** Whether the host is shutting down. */
     stopping = false;
 
     get size(): number {
-        return this.runs.size;
+        return this.requests.size;
     }
 
-    add(run: OpenRequest): void {
-        this.runs.add(run);
+    add(request: OpenRequest): void {
+        this.requests.add(request);
     }
 
-    delete(run: OpenRequest): void {
-        this.runs.delete(run);
-        if (this.runs.size === 0) this.emptied?.();
+    delete(request: OpenRequest): void {
+        this.requests.delete(request);
+        if (this.requests.size === 0) this.onEmpty?.();
     }
 
     /** Notifies every request that the host was suspended. */
     woke(): void {
-        for (const run of [...this.runs]) run.onWake();
+        for (const request of [...this.requests]) request.onWake();
     }
 
-    /** Notifies every request that the host is shutting down: waiting ones end, running ones continue. Resolves when all have ended. */
+    /**
+     * Notifies every request that the host is shutting down: waiting ones end, running ones continue. Resolves when all
+     * have ended.
+     */
     drain(): Promise<void> {
         this.stopping = true;
-        for (const run of [...this.runs]) run.handle({ kind: "stopping" });
-        return this.runs.size === 0 ? Promise.resolve() : new Promise(resolve => this.emptied = resolve);
+        for (const request of [...this.requests]) request.handle({ kind: "stopping" });
+        return this.requests.size === 0 ? Promise.resolve() : new Promise(resolve => this.onEmpty = resolve);
     }
 }
 
--- a/packages/host/src/calls/idempotency-claims.ts
+++ b/packages/host/src/calls/idempotency-claims.ts
@@ -2,9 +2,9 @@
  * Runs a call at most once over all hosts: the host claims the caller's idempotency key in the platform's key-value
  * service before it dispatches the call, and records the answer under the claim.
  *
- * A claim is one conditional write. A later call with the same key gets the recorded answer, or an error that says that it
- * is not known whether the first call ran. While the service is unreachable nothing can be claimed, so no such call is
- * dispatched.
+ * A claim is one conditional write. A later call with the same key gets the recorded answer, or an error that says that
+ * it is not known whether the first call ran. While the service is unreachable nothing can be claimed, so no such call
+ * is dispatched.
  *
  * @module
  */
@@ -44,7 +44,10 @@
     /** The key-value service did not answer, so this request was not dispatched. */
     | { readonly kind: "away"; readonly detail: string };
 
-/** Larger answers are not recorded; a repeated call then gets an error that says that it is not known whether the first one ran. */
+/**
+ * Larger answers are not recorded; a repeated call then gets an error that says that it is not known whether the first
+ * one ran.
+ */
 export const MAX_RECORDED_BYTES = 65_536;
 /** How long a claim is stored at least. */
 const CLAIM_TTL_S = 86_400;
@@ -67,7 +70,10 @@
         return `${this.prefix}/claim/${workspace}/${createHash("sha256").update(idempotencyKey).digest("hex")}`;
     }
 
-    /** Claims a key for a request. After a lost reply the same write is repeated; if it conflicts, the stored claim shows who holds the key. */
+    /**
+     * Claims a key for a request. After a lost reply the same write is repeated; if it conflicts, the stored claim
+     * shows who holds the key.
+     */
     async claim(workspace: string, idempotencyKey: string, request: string, call: string): Promise<ClaimResult> {
         const key = this.keyOf(workspace, idempotencyKey);
         const claim: Claim = { request, call, at: Date.now() };
@@ -101,7 +107,10 @@
         return claim.answer ? { kind: "recorded", answer: claim.answer } : { kind: "taken" };
     }
 
-    /** Records an answer under this request's claim. If this fails, a repeated call gets an error; it still does not run again. */
+    /**
+     * Records an answer under this request's claim. If this fails, a repeated call gets an error; it still does not run
+     * again.
+     */
     async record(workspace: string, idempotencyKey: string, request: string, answer: Recorded): Promise<boolean> {
         return this.changeOwnClaim(workspace, idempotencyKey, request, (entry, claim) => ({
             conditions: [{ key: entry.key, modRevision: entry.modRevision }],
--- a/packages/host/src/calls/judge-answer.ts
+++ b/packages/host/src/calls/judge-answer.ts
@@ -26,7 +26,10 @@
 const OK = 200;
 /** The status with which an endpoint refuses a call that names an earlier incarnation of it. */
 export const MISDIRECTED = 421;
-/** Statuses that tell a caller that its request did not run. An endpoint's answer with one of them is valid only if it also states that. */
+/**
+ * Statuses that tell a caller that its request did not run. An endpoint's answer with one of them is valid only if it
+ * also states that.
+ */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /**
@@ -64,7 +67,8 @@
 }
 
 function judgeContinuation(status: number, head: AnswerHead, { framed }: SentBefore): Verdict {
-    // Only events can follow events: the caller would take the end of any other answer, such as a 500, for the end of the stream.
+    // Only events can follow events: the caller would take the end of any other answer, such as a 500, for the end of
+    // the stream.
     if (!isStream(status, head)) return invalid(`${status} instead of the continuation of a stream`);
     // The continuation may be cut off unnoticed, and the final chunk to the caller would then mark it as complete.
     if (framed && !head.framed) return invalid("a continuation without a length or chunks");
@@ -91,8 +95,8 @@
 }
 
 /**
- * Whether an event with an id can follow what was sent to the caller. Its id must exceed the last one that was sent, and by
- * just one if all ids did so far. Ids that are not numbers have no order, so no event can follow them.
+ * Whether an event with an id can follow what was sent to the caller. Its id must exceed the last one that was sent,
+ * and by just one if all ids did so far. Ids that are not numbers have no order, so no event can follow them.
  *
  * @example
  * ```ts
--- a/packages/host/src/calls/plain-service.ts
+++ b/packages/host/src/calls/plain-service.ts
@@ -1,9 +1,9 @@
 /**
- * Serves one call of a plain service, which is any HTTP service that is not an engine. The answer is passed through as it
- * arrives.
+ * Serves one call of a plain service, which is any HTTP service that is not an engine. The answer is passed through as
+ * it arrives.
  *
- * A call of a method that is not safe runs at most once, unless the caller allows that it is repeated and the settings do
- * not forbid it.
+ * A call of a method that is not safe runs at most once, unless the caller allows that it is repeated and the settings
+ * do not forbid it.
  *
  * @module
  */
@@ -47,13 +47,19 @@
 interface PlainPiece {
     readonly status: number;
     readonly headers: IncomingHttpHeaders;
-    /** Whether a length or chunks mark the end of the answer. If not, the answer to the caller must also end with its connection. */
+    /**
+     * Whether a length or chunks mark the end of the answer. If not, the answer to the caller must also end with its
+     * connection.
+     */
     readonly framed: boolean;
     readonly body: Readable;
 }
 
 const SAFE_METHODS: ReadonlySet<string> = new Set(["GET", "HEAD", "OPTIONS"]);
-/** Headers that are not forwarded: those of one connection (RFC 9110, section 7.6.1), and those that the host sets or consumes. */
+/**
+ * Headers that are not forwarded: those of one connection (RFC 9110, section 7.6.1), and those that the host sets or
+ * consumes.
+ */
 const UNFORWARDED_HEADERS: ReadonlySet<string> = new Set([
     "connection",
     "keep-alive",
@@ -318,9 +324,9 @@
 }
 
 /**
- * Begins an answer. An answer that only the end of its connection ends may be cut off, and chunks of ours would mark it as
- * complete, so the connection to the caller ends with it too. An encrypted connection cannot be reset: there the answer
- * is chunked, and a missing last chunk shows that it was cut off.
+ * Begins an answer. An answer that only the end of its connection ends may be cut off, and chunks of ours would mark it
+ * as complete, so the connection to the caller ends with it too. An encrypted connection cannot be reset: there the
+ * answer is chunked, and a missing last chunk shows that it was cut off.
  */
 function writeHead(out: ServerResponse, status: number, framed: boolean, headers: OutgoingHttpHeaders): void {
     out.useChunkedEncodingByDefault &&= framed || isEncrypted(out);
--- a/packages/host/src/calls/request-driver.ts
+++ b/packages/host/src/calls/request-driver.ts
@@ -1,6 +1,6 @@
 /**
- * Drives one request: feeds events into the request's state machine and performs the actions that it returns. The driver
- * owns the attempt's connection, the timers and the reply; the state machine makes every decision.
+ * Drives one request: feeds events into the request's state machine and performs the actions that it returns. The
+ * driver owns the attempt's connection, the timers and the reply; the state machine makes every decision.
  *
  * @module
  */
@@ -34,7 +34,9 @@
 
 /** Receives what an attempt reports. */
 export interface AttemptSink<T> {
-    /** Reports an event, with the piece of the answer that belongs to it. Returns whether the event changed the attempt. */
+    /**
+     * Reports an event, with the piece of the answer that belongs to it. Returns whether the event changed the attempt.
+     */
     report(event: RequestEvent, piece?: T): boolean;
 }
 
@@ -51,7 +53,10 @@
 
 /** Makes the attempts of a request in one protocol. */
 export interface AttemptRunner<T> {
-    /** Starts an attempt and reports to the sink until the signal aborts. Reports `sending` before the first byte is sent. */
+    /**
+     * Starts an attempt and reports to the sink until the signal aborts. Reports `sending` before the first byte is
+     * sent.
+     */
     start(plan: AttemptPlan, sink: AttemptSink<T>, signal: AbortSignal): void;
     resume(
         attempt: string,
@@ -97,7 +102,10 @@
 /** Maximum delay of the first retry; it doubles with each further attempt. */
 const RETRY_BASE_MS = 50;
 
-/** How often the driver asks the guard again while its answer is not certain: whether an endpoint crashed is known within 250 ms. */
+/**
+ * How often the driver asks the guard again while its answer is not certain: whether an endpoint crashed is known
+ * within 250 ms.
+ */
 const MAX_GUARD_CHECKS = 6;
 
 const CODE_OF_REFUSAL: { readonly [K in RefuseReason]: FailCode } = {
@@ -147,7 +155,9 @@
         else this.deadlineTimer = this.startDeadlineTimer();
     }
 
-    /** Leaves the pause out of the gaps when the host resumes reading an answer that it had paused for a slow caller. */
+    /**
+     * Leaves the pause out of the gaps when the host resumes reading an answer that it had paused for a slow caller.
+     */
     onReadResumed(): void {
         this.lastTokenAt = this.deps.clock.now();
     }
@@ -183,7 +193,8 @@
         admit: ({ avoid, retry, neverSent }) => {
             // A refusal is not a failure: it must not lead to the endpoint's ejection.
             this.releaseEndpoint(neverSent ? "unreachable" : this.endpointRefused ? "refused" : "failed");
-            // An attempt that was never sent put no load on an endpoint: it needs no delay and no share of the retry budget.
+            // An attempt that was never sent put no load on an endpoint: it needs no delay and no share of the retry
+            // budget.
             if (!retry || neverSent) return this.submit(avoid, false);
             // Full jitter spreads the retries of requests that lost the same endpoint.
             const maxDelayMs = RETRY_BASE_MS * 2 ** (this.state.attempts - 1);
@@ -207,7 +218,8 @@
         },
         dropHeld: () => this.deps.reply.discard(),
         complete: ({ tokens, failed = false }) => {
-            // An endpoint that fails at once looks idle: if its errors counted as good answers, it would attract more requests.
+            // An endpoint that fails at once looks idle: if its errors counted as good answers, it would attract more
+            // requests.
             this.releaseEndpoint(failed ? "failed" : "whole");
             this.deps.reply.finish(this.currentPiece, tokens);
             this.end(undefined, failed);
@@ -223,7 +235,9 @@
         },
     };
 
-    /** Starts an attempt unless the guard withholds the request. While the guard is not certain, the driver asks again. */
+    /**
+     * Starts an attempt unless the guard withholds the request. While the guard is not certain, the driver asks again.
+     */
     private dispatch(action: Extract<RequestAction, { kind: "dispatch" }>, checksLeft: number): void {
         const { attempt, endpoint, backUp, continueAt } = action;
         const withheld = this.deps.withholdReason?.(attempt, endpoint);
@@ -231,7 +245,8 @@
             this.retryTimer = setTimeout(() => this.dispatch(action, checksLeft - 1), withheld.sureMs);
             return;
         }
-        // A guard that is still not certain is no reason to refuse: where many callers send the same call, some always break off.
+        // A guard that is still not certain is no reason to refuse: where many callers send the same call, some always
+        // break off.
         if (withheld && !withheld.sureMs) return this.handle({ kind: "withheld", ...withheld });
         const again = continueAt === undefined ? "retry" : "continue";
         this.deps.onDispatch(this.state.attempts === 1 ? "first" : again);
@@ -330,7 +345,9 @@
     }
 }
 
-/** Losses that do not count against the endpoint: it was reclaimed, or closed a connection that the caller did not read. */
+/**
+ * Losses that do not count against the endpoint: it was reclaimed, or closed a connection that the caller did not read.
+ */
 const NOT_ENDPOINT_FAULT: ReadonlySet<LossCause> = new Set(["reclaimed", "unread"]);
 
 /** The outcome of an attempt for the scheduler, for failures that do not mean that the endpoint failed. */
--- a/packages/host/src/calls/silence-watch.ts
+++ b/packages/host/src/calls/silence-watch.ts
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Calls back after a time, and {@link RECHECK_MS} later if the event loop was blocked when it was due. It delays only
-     * once, as the loop may be blocked again and again.
+     * Calls back after a time, and {@link RECHECK_MS} later if the event loop was blocked when it was due. It delays
+     * only once, as the loop may be blocked again and again.
      */
     private schedule(ms: number, then: () => void): void {
         const dueAt = this.cfg.awakeMs() + ms;
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Calls back after a time and after the input that has arrived by then was read. Node runs timers before it reads, so a
-     * busy host would otherwise take its own delay for a silence.
+     * Calls back after a time and after the input that has arrived by then was read. Node runs timers before it reads,
+     * so a busy host would otherwise take its own delay for a silence.
      */
     private runAfterReads(ms: number, then: () => void): void {
         const timer = setTimeout(() => {
--- a/packages/host/src/calls/stall-watch.ts
+++ b/packages/host/src/calls/stall-watch.ts
@@ -7,8 +7,8 @@
 import type { CallMemory } from "../runtime/call-memory.js";
 
 /**
- * Applies backpressure from a caller: the engine's stream is paused while the caller is too far behind, and a caller that
- * has read nothing for too long counts as gone.
+ * Applies backpressure from a caller: the engine's stream is paused while the caller is too far behind, and a caller
+ * that has read nothing for too long counts as gone.
  *
  * @param limitMs How long the caller may read nothing, in milliseconds.
  *
--- a/packages/request/src/proof.ts
+++ b/packages/request/src/proof.ts
@@ -1,6 +1,6 @@
 /**
- * Proof that a request did not run. An error with `ran: "no"` needs such a proof, and only {@link proveNotRun} makes one,
- * from the record of what was sent: either no byte was, or each endpoint refused its attempt before running it.
+ * Proof that a request did not run. An error with `ran: "no"` needs such a proof, and only {@link proveNotRun} makes
+ * one, from the record of what was sent: either no byte was, or each endpoint refused its attempt before running it.
  *
  * @module
  */
--- a/packages/request/src/state.ts
+++ b/packages/request/src/state.ts
@@ -1,5 +1,6 @@
 /**
- * The state of one request as an immutable value, the events that change it, and the actions that the host then performs.
+ * The state of one request as an immutable value, the events that change it, and the actions that the host then
+ * performs.
  *
  * @module
  */
@@ -69,13 +70,16 @@
 export interface RequestState {
     readonly cfg: RequestCfg;
     readonly phase: Phase;
+    /** Number of attempts so far. */
     readonly attempts: number;
     readonly attempt?: Attempt | undefined;
     /** Set while the scheduler looks for the endpoint that continues the generation. */
     readonly loss?: GenerationLoss | undefined;
+    /** Which attempts were sent, and which of them were refused. */
     readonly record: DispatchRecord;
     /** Whether any byte of an answer was sent to the caller. */
     readonly committed: boolean;
+    /** Whether any attempt has sent a token. */
     readonly tokenSeen: boolean;
     readonly discards: Discards;
     /** Endpoints that failed this request; the scheduler avoids them while it has others. */
@@ -91,12 +95,14 @@
     | "invalid"
     | "resumeRefused"
     | "reclaimed"
-    /** The endpoint closed the connection, which the host did not read as the caller did not read the answer. */
+    /** The endpoint closed a connection that the host did not read, as the caller did not read the answer. */
     | "unread";
 
 /** Events of a request. */
 export type RequestEvent =
+    /** The scheduler chose an endpoint. */
     | { readonly kind: "admitted"; readonly endpoint: string; readonly backUp?: string | undefined }
+    /** The scheduler has no endpoint for the request. */
     | {
         readonly kind: "notAdmitted";
         readonly code: FailCode;
@@ -105,12 +111,14 @@
     }
     /** The first byte of the attempt is about to be sent. */
     | { readonly kind: "sending"; readonly attempt: string }
+    /** The endpoint refused the attempt before running it. */
     | {
         readonly kind: "endpointRefused";
         readonly attempt: string;
         readonly detail: string;
         readonly retryAfterMs?: number | undefined;
     }
+    /** The endpoint has started to answer. */
     | { readonly kind: "opened"; readonly attempt: string; readonly generation: string }
     | { readonly kind: "token"; readonly attempt: string; readonly generation: string; readonly index: number }
     /** The endpoint reports that the generation is complete with this many tokens. */
@@ -124,6 +132,7 @@
     }
     /** The endpoint sent a complete error answer, which is forwarded unless the request may be retried elsewhere. */
     | { readonly kind: "failedAnswer"; readonly attempt: string; readonly generation: string }
+    /** The host lost the stream of the attempt. */
     | { readonly kind: "lost"; readonly attempt: string; readonly cause: LossCause; readonly detail: string }
     /** A copy of the running generation was made at an endpoint, which can continue it. */
     | { readonly kind: "copied"; readonly attempt: string; readonly endpoint: string }
--- a/packages/request/src/step.ts
+++ b/packages/request/src/step.ts
@@ -2,9 +2,9 @@
  * The transition function of a request: `step(state, event)` returns the next state and the actions. It is pure; time
  * enters as events.
  *
- * It keeps these invariants under any order of events: a token is forwarded only if its attempt, generation and index are
- * the expected ones; a request is not started anew once any byte was sent to the caller, nor if it is not repeatable and
- * may have run; nothing is forwarded after the end.
+ * It keeps these invariants under any order of events: a token is forwarded only if its attempt, generation and index
+ * are the expected ones; a request is not started anew once any byte was sent to the caller, nor if it is not
+ * repeatable and may have run; nothing is forwarded after the end.
  *
  * @module
  */
@@ -169,7 +169,9 @@
     return { state: next, actions: [{ kind: "forward", index: event.index }] };
 }
 
-/** Handles a token after a gap: resumes the stream once for the missing tokens, and ignores the rest of the old stream. */
+/**
+ * Handles a token after a gap: resumes the stream once for the missing tokens, and ignores the rest of the old stream.
+ */
 function onGap(state: RequestState, event: Extract<RequestEvent, { kind: "token" }>): Step {
     if (state.attempt?.resuming) return withoutActions(state);
     return handleLoss(state, "reset", `token ${event.index} arrived where token ${state.attempt?.next} was expected`);
--- a/packages/standins/src/memory-mutations.ts
+++ b/packages/standins/src/memory-mutations.ts
@@ -114,7 +114,7 @@
     {
         promise: "memory: a stop waits for what its callers have still to read",
         file: "packages/host/src/calls/given-up.ts",
-        find: "runs.add(delivering);",
+        find: "openRequests.add(delivering);",
         replace: "",
         tests: [READERS],
     },
