--- a/packages/host/test/judge-answer.test.ts
+++ b/packages/host/test/judge-answer.test.ts
@@ -1,8 +1,8 @@
 import test from "ava";
-import { mayFollow, type SentBefore } from "../src/calls/judge-answer.js";
+import { canFollow, type SentBefore } from "../src/calls/judge-answer.js";
 
-function sentBefore(lastEvent: string, idsRiseByOne: boolean): SentBefore {
-    return { pieces: 2, lastEvent, framed: true, idsRiseByOne };
+function sentBefore(lastEventId: string, idsRiseByOne: boolean): SentBefore {
+    return { pieces: 2, lastEventId, framed: true, idsRiseByOne };
 }
 
 const CASES: readonly (readonly [string, boolean, string, boolean])[] = [
@@ -11,10 +11,10 @@
     ["2", true, "2", false],
     ["2", false, "4", true],
     ["2", false, "1", false],
-    // Beyond what a floating-point number tells apart.
+    // Ids that a floating-point number cannot tell apart.
     ["9007199254740992", true, "9007199254740993", true],
     ["9007199254740993", false, "9007199254740992", false],
-    // What has no order cannot be told to follow.
+    // Ids that are not numbers have no order.
     ["17-1", false, "17-2", false],
     ["2", false, "", false],
 ];
@@ -22,6 +22,6 @@
 for (const [last, idsRiseByOne, id, follows] of CASES) {
     const how = idsRiseByOne ? "rose by one" : "rose";
     test(`event "${id}" ${follows ? "may" : "may not"} follow "${last}" where ids ${how}`, t => {
-        t.is(mayFollow(sentBefore(last, idsRiseByOne), id), follows);
+        t.is(canFollow(sentBefore(last, idsRiseByOne), id), follows);
     });
 }
