--- a/packages/policy/src/waiting.ts
+++ b/packages/policy/src/admission-queue.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { place, placeFar } from "./place.js";
-import { onStart, urgency, type Waiting } from "./queue.js";
+import { onStart, urgency, type Waiting } from "./queue-order.js";
 import { isInTime, isServed, refuse, refuseForRoom, refuseUnserved } from "./refusal.js";
 import { countRequest, earnRetry, spendRetry, takeRepeat } from "./retry-budget.js";
 import type { Decision, SchedulerAction, SchedulerState } from "./scheduler-state.js";
--- a/packages/policy/src/advise.ts
+++ b/packages/policy/src/advise.ts
@@ -6,10 +6,10 @@
 import { mayUse } from "./breaker.js";
 import { assess, chooseBackup, serves } from "./choose.js";
 import type { Wanted } from "./demand.js";
+import { mayLetIn } from "./endpoint-admission.js";
+import { isLimited } from "./endpoint-limit.js";
 import type { EndpointView } from "./endpoint.js";
-import { mayLetIn } from "./let-in.js";
-import { isLimited } from "./limit.js";
-import type { Advice, Question } from "./question.js";
+import type { Advice, Question } from "./placement-question.js";
 import type { SchedulerState } from "./scheduler-state.js";
 
 /**
--- a/packages/policy/src/choose.ts
+++ b/packages/policy/src/choose.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import { mayUse } from "./breaker.js";
-import { peakOf } from "./curve.js";
 import type { Demand, Wanted } from "./demand.js";
+import { isLimited } from "./endpoint-limit.js";
 import {
     type EndpointView,
     isAllowed,
@@ -18,11 +18,11 @@
 import { beginsInTime } from "./forecast.js";
 import type { Variant } from "./job.js";
 import { outlookAt } from "./lateness.js";
-import { isLimited } from "./limit.js";
+import { peakOf } from "./memory-curve.js";
 import { batchWithin } from "./pace.js";
-import { readingMs, type ReadingRate } from "./reading.js";
+import { readingMs, type ReadingRate } from "./prefill-rate.js";
 import type { SpeedPools } from "./speed-pool.js";
-import { poolOf } from "./speeds.js";
+import { poolOf } from "./speed-tracking.js";
 
 /** A wait for prompts to be read of this share of a request's objective counts as much as full memory. */
 const WAIT_SCALE = 0.5;
--- a/packages/policy/src/demand.ts
+++ b/packages/policy/src/demand.ts
@@ -4,9 +4,9 @@
  * @module
  */
 import { probit } from "simple-statistics";
-import { type Curve, streamCurve } from "./curve.js";
-import { meanLength, type Survival } from "./estimate.js";
 import type { Job } from "./job.js";
+import { meanLength, type Survival } from "./length-estimate.js";
+import { type Curve, streamCurve } from "./memory-curve.js";
 
 /** What a request asks of an endpoint; hosts tell it to owners. */
 export interface Demand {
--- a/packages/policy/src/dispatch.ts
+++ b/packages/policy/src/dispatch.ts
@@ -3,12 +3,12 @@
  *
  * @module
  */
-import { backUp, backUpAt, evacuate, evacuateAt, runningOf } from "./carry.js";
+import { backUp, backUpAt, evacuate, evacuateAt, runningOf } from "./backups.js";
 import { usable } from "./choose.js";
 import { demandOf, wantedOf } from "./demand.js";
 import type { EndpointView } from "./endpoint.js";
-import { knownLength, type Survival, survivalOf } from "./estimate.js";
 import { type Job, PRIORITY_RANK } from "./job.js";
+import { knownLength, type Survival, survivalOf } from "./length-estimate.js";
 import type { AskedStandby, Decision, SchedulerState } from "./scheduler-state.js";
 
 /** Up to this many hosts tell each other often enough that only crowded endpoints are asked for. */
--- a/packages/policy/src/let-in.ts
+++ b/packages/policy/src/endpoint-admission.ts
@@ -5,9 +5,9 @@
  * @module
  */
 import { coldLetsIn, isCold } from "./cold.js";
+import { isLimited, limitLetsIn } from "./endpoint-limit.js";
 import { type EndpointView, isResting } from "./endpoint.js";
 import type { LetIn, SendBounds } from "./fleet.js";
-import { isLimited, limitLetsIn } from "./limit.js";
 
 /** Nothing that was let in counts for longer. */
 const KEPT_MS = 10_000;
--- a/packages/policy/src/endpoint.ts
+++ b/packages/policy/src/endpoint.ts
@@ -5,12 +5,12 @@
  * @module
  */
 import { type Breaker, CLOSED } from "./breaker.js";
-import { addCurve, type Curve, HORIZON, streamCurve, zeroCurve } from "./curve.js";
-import type { Survival } from "./estimate.js";
 import type { Job } from "./job.js";
+import type { Survival } from "./length-estimate.js";
+import { addCurve, type Curve, HORIZON, streamCurve, zeroCurve } from "./memory-curve.js";
 import { createPace, type PaceFit } from "./pace.js";
-import { NOTHING_SHOWN, type Shown } from "./shown.js";
-import { type Speed, UNKNOWN_SPEED } from "./speed.js";
+import { type Speed, UNKNOWN_SPEED } from "./speed-estimate.js";
+import { NOTHING_SHOWN, type Shown } from "./speed-samples.js";
 
 /**
  * Sources that may say that an endpoint is leaving; each takes back only its own word. `endpoint`: it said so when it was asked;
--- a/packages/policy/src/forecast.ts
+++ b/packages/policy/src/forecast.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { type EndpointView, unreadAt } from "./endpoint.js";
-import type { DrainRate } from "./queue.js";
+import type { DrainRate } from "./queue-order.js";
 
 /** Starts of waiting requests that lie further back say nothing about the room of now, in milliseconds. */
 const DRAIN_VALID_MS = 10_000;
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,10 +1,11 @@
 export { advise } from "./advise.js";
+export { jobsToEvacuate, keepsCopy } from "./backups.js";
 export { type Breaker, CLOSED, mayUse, onResult, onUnreachable, onUnused, onUse } from "./breaker.js";
-export { jobsToEvacuate, keepsCopy } from "./carry.js";
 export { assess, type Candidate, usable } from "./choose.js";
 export { allowance, coldUntil, isCold } from "./cold.js";
-export { addCurve, type Curve, HORIZON, peakOf, streamCurve, zeroCurve } from "./curve.js";
 export { type Demand, demandOf, type Wanted, wantedOf } from "./demand.js";
+export { mayLetIn, maySend } from "./endpoint-admission.js";
+export { isLimited, limitPart } from "./endpoint-limit.js";
 export { EndpointTable } from "./endpoint-table.js";
 export {
     type ColdCfg,
@@ -28,6 +29,9 @@
     unreadAt,
     unreadTokens,
 } from "./endpoint.js";
+export { ALONE, type Fleet } from "./fleet.js";
+export { beginsInTime, nextReturn, NO_RETURNS, type Returns, roomIn } from "./forecast.js";
+export { DEFAULT_VARIANT, type Job, type JobPolicy, type Priority, PRIORITY_RANK, type Variant } from "./job.js";
 export {
     chanceToReach,
     createEstimates,
@@ -40,22 +44,7 @@
     quantileLength,
     type Survival,
     survivalOf,
-} from "./estimate.js";
-export { ALONE, type Fleet } from "./fleet.js";
-export { beginsInTime, nextReturn, NO_RETURNS, type Returns, roomIn } from "./forecast.js";
-export { DEFAULT_VARIANT, type Job, type JobPolicy, type Priority, PRIORITY_RANK, type Variant } from "./job.js";
-export { mayLetIn, maySend } from "./let-in.js";
-export { isLimited, limitPart } from "./limit.js";
-export {
-    createLimits,
-    type LimitRefusal,
-    type LimitState,
-    reserve,
-    type ReserveResult,
-    settle,
-    type Settlement,
-    type WorkspaceLimits,
-} from "./limits.js";
+} from "./length-estimate.js";
 export {
     budgetOf,
     createAccount,
@@ -72,10 +61,11 @@
     readAheadBytes,
     totalHeld,
 } from "./memory-account.js";
+export { addCurve, type Curve, HORIZON, peakOf, streamCurve, zeroCurve } from "./memory-curve.js";
 export { batchWithin, createPace, observePace, type PaceFit, type PaceLine, paceLine } from "./pace.js";
 export { NO_PAUSES, observePauses, pauseChance, type PauseTable } from "./pause-risk.js";
-export type { Advice, Question } from "./question.js";
-export { createReadingRate, observeReading, readingMs, type ReadingRate } from "./reading.js";
+export type { Advice, Question } from "./placement-question.js";
+export { createReadingRate, observeReading, readingMs, type ReadingRate } from "./prefill-rate.js";
 export {
     countRequest,
     createFleetBudget,
@@ -98,7 +88,18 @@
     type SchedulerState,
 } from "./scheduler-state.js";
 export { canGoOn, decide, isProgressDue, PROGRESS_EVERY } from "./scheduler.js";
-export { addShown, NOTHING_SHOWN, type Sample, samplesOf, type Shown, shownSince } from "./shown.js";
+export {
+    type Estimate,
+    estimateOf,
+    observeSpeed,
+    type Residual,
+    type Speed,
+    speedAge,
+    takeToldSpeed,
+    type ToldSpeed,
+    toldSpeedOf,
+    UNKNOWN_SPEED,
+} from "./speed-estimate.js";
 export {
     comparePool,
     EMPTY_POOL,
@@ -111,16 +112,15 @@
     type SpeedPool,
     type SpeedPools,
 } from "./speed-pool.js";
+export { addShown, NOTHING_SHOWN, type Sample, samplesOf, type Shown, shownSince } from "./speed-samples.js";
+export { kindOf, type KnownSpeed, knownSpeed, poolOf } from "./speed-tracking.js";
 export {
-    type Estimate,
-    estimateOf,
-    observeSpeed,
-    type Residual,
-    type Speed,
-    speedAge,
-    takeToldSpeed,
-    type ToldSpeed,
-    toldSpeedOf,
-    UNKNOWN_SPEED,
-} from "./speed.js";
-export { kindOf, type KnownSpeed, knownSpeed, poolOf } from "./speeds.js";
+    createLimits,
+    type LimitRefusal,
+    type LimitState,
+    reserve,
+    type ReserveResult,
+    settle,
+    type Settlement,
+    type WorkspaceLimits,
+} from "./workspace-limits.js";
--- a/packages/policy/src/job.ts
+++ b/packages/policy/src/job.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Group } from "./estimate.js";
+import type { Group } from "./length-estimate.js";
 
 /** Rank of a request's class; the higher goes first and is displaced last. */
 export const PRIORITY_RANK = { live: 20, normal: 10, batch: 0 } as const;
--- a/packages/policy/src/curve.ts
+++ b/packages/policy/src/memory-curve.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import { chanceToReach, type Survival } from "./estimate.js";
+import { chanceToReach, type Survival } from "./length-estimate.js";
 
 /** Points of the horizon, in tokens from now. Streams of one engine advance together, a token a step. */
 export const HORIZON: readonly number[] = [0, 32, 96, 224, 480, 992, 2_016, 4_064, 8_160];
--- a/packages/policy/src/owner-answers.ts
+++ b/packages/policy/src/owner-answers.ts
@@ -3,16 +3,16 @@
  *
  * @module
  */
+import { drain } from "./admission-queue.js";
+import { backUpAt } from "./backups.js";
 import { onUse } from "./breaker.js";
-import { backUpAt } from "./carry.js";
 import { dispatch, lengthsOf, send, standbyAnswered, without } from "./dispatch.js";
+import { maySend } from "./endpoint-admission.js";
+import { isLimited } from "./endpoint-limit.js";
 import { addStream, isResting, takesNew } from "./endpoint.js";
-import { maySend } from "./let-in.js";
-import { isLimited } from "./limit.js";
 import { letIntoPlaced, takeBack } from "./place.js";
 import { type Decision, type SchedulerEvent, type SchedulerState, withView } from "./scheduler-state.js";
 import { setIn } from "./shard-map.js";
-import { drain } from "./waiting.js";
 
 /** An owner's word: the request goes where it says, or goes back to those that wait. */
 export function answered(
--- a/packages/policy/src/place.ts
+++ b/packages/policy/src/place.ts
@@ -9,11 +9,11 @@
 import { assess, type Candidate, usable } from "./choose.js";
 import { wantedOf } from "./demand.js";
 import { alwaysAsksOwners, asksOwners, dispatch, lengthsOf, unusable, wantsBackup, without } from "./dispatch.js";
+import { maySend, withLetIn } from "./endpoint-admission.js";
+import { isLimited } from "./endpoint-limit.js";
 import { addStream, isResting, removeStream, streamCount } from "./endpoint.js";
 import type { Variant } from "./job.js";
-import { maySend, withLetIn } from "./let-in.js";
-import { isLimited } from "./limit.js";
-import type { Waiting } from "./queue.js";
+import type { Waiting } from "./queue-order.js";
 import { type Decision, type SchedulerState, withView } from "./scheduler-state.js";
 import { deleteIn, setIn } from "./shard-map.js";
 
--- a/packages/policy/src/question.ts
+++ b/packages/policy/src/placement-question.ts
@@ -3,8 +3,8 @@
  *
  * @module
  */
-import type { Curve } from "./curve.js";
 import type { Demand } from "./demand.js";
+import type { Curve } from "./memory-curve.js";
 
 /** What another host asks. */
 export interface Question {
--- a/packages/policy/src/refusal.ts
+++ b/packages/policy/src/refusal.ts
@@ -4,13 +4,13 @@
  *
  * @module
  */
-import { type BoundedRoom, boundedRoom, isBounded } from "./bounded-room.js";
 import { serves, usable } from "./choose.js";
 import { nextReturn, roomIn } from "./forecast.js";
 import type { Job } from "./job.js";
-import type { Waiting } from "./queue.js";
-import { readingMs } from "./reading.js";
+import { readingMs } from "./prefill-rate.js";
+import type { Waiting } from "./queue-order.js";
 import type { Decision, RefuseReason, SchedulerAction, SchedulerState } from "./scheduler-state.js";
+import { type BoundedRoom, boundedRoom, isBounded } from "./throttling.js";
 
 const LEAST_RETRY_AFTER_MS = 250;
 /** When an endpoint for a model will be there again is not known; a caller is asked to come back after this. */
--- a/packages/policy/src/scheduler-state.ts
+++ b/packages/policy/src/scheduler-state.ts
@@ -3,21 +3,21 @@
  *
  * @module
  */
+import type { Remembered } from "./departed-endpoints.js";
 import { EndpointTable } from "./endpoint-table.js";
 import type { EndpointCfg, EndpointView, LeavingSource, LoadReport, Others, Said } from "./endpoint.js";
-import { createEstimates, type Estimates } from "./estimate.js";
 import { ALONE, type SendBounds } from "./fleet.js";
 import { NO_RETURNS, type Returns } from "./forecast.js";
 import { DEFAULT_VARIANT, type Job, type Variant } from "./job.js";
-import type { Question } from "./question.js";
-import type { DrainRate, Waiting } from "./queue.js";
-import { createReadingRate, type ReadingRate } from "./reading.js";
-import type { Remembered } from "./remembered.js";
+import { createEstimates, type Estimates } from "./length-estimate.js";
+import type { Question } from "./placement-question.js";
+import { createReadingRate, type ReadingRate } from "./prefill-rate.js";
+import type { DrainRate, Waiting } from "./queue-order.js";
 import { createRetryBudget, type FleetBudget, type RetryBudget } from "./retry-budget.js";
 import { emptyMap, type ShardMap } from "./shard-map.js";
-import type { Shown } from "./shown.js";
+import type { ToldSpeed } from "./speed-estimate.js";
 import type { SpeedPools } from "./speed-pool.js";
-import type { ToldSpeed } from "./speed.js";
+import type { Shown } from "./speed-samples.js";
 
 /** All that one host knows for its decisions. */
 export interface SchedulerState extends SendBounds {
--- a/packages/policy/src/scheduler.ts
+++ b/packages/policy/src/scheduler.ts
@@ -6,11 +6,15 @@
  *
  * @module
  */
+import { arrive, drain } from "./admission-queue.js";
+import { dropBackup, evacuate } from "./backups.js";
 import { onResult, onUnreachable, onWayBack } from "./breaker.js";
-import { dropBackup, evacuate } from "./carry.js";
 import { BACKUP_ROOM_SHARE, EVACUATION_ROOM_SHARE } from "./choose.js";
 import { mayGoOnAt } from "./cold.js";
+import { recall, remember } from "./departed-endpoints.js";
 import { askStandby, decideStandbyAlone, dispatch, wantsBackup } from "./dispatch.js";
+import { withLetIn } from "./endpoint-admission.js";
+import { isLimited, limitLetsIn } from "./endpoint-limit.js";
 import { EndpointTable } from "./endpoint-table.js";
 import {
     createEndpoint,
@@ -26,13 +30,9 @@
     takeRest,
     takeSaid,
 } from "./endpoint.js";
-import { withLetIn } from "./let-in.js";
-import { isLimited, limitLetsIn } from "./limit.js";
 import { answered, decideAlone } from "./owner-answers.js";
 import { takeBack } from "./place.js";
 import { isServed, NO_ENDPOINT_RETRY_MS, refuse } from "./refusal.js";
-import { recall, remember } from "./remembered.js";
-import { ended, progress } from "./running.js";
 import {
     type Decision,
     type SchedulerAction,
@@ -41,8 +41,8 @@
     withView,
 } from "./scheduler-state.js";
 import { deleteIn, getIn, setIn } from "./shard-map.js";
-import { takeShown, takeTold } from "./speeds.js";
-import { arrive, drain } from "./waiting.js";
+import { takeShown, takeTold } from "./speed-tracking.js";
+import { ended, progress } from "./stream-events.js";
 
 /** An owner that has not answered by then is not waited for: the host decides by what it knows. */
 const ASK_TIMEOUT_MS = 100;
--- a/packages/policy/src/speed-pool.ts
+++ b/packages/policy/src/speed-pool.ts
@@ -10,8 +10,8 @@
  */
 import { observePace, type PaceFit, paceLine, paceOf } from "./pace.js";
 import { BUCKET_LOG, NO_PAUSES, observePauses, type PauseTable } from "./pause-risk.js";
-import type { Sample, StretchShown } from "./shown.js";
-import { type Estimate, estimateOf, type Residual, type Speed } from "./speed.js";
+import { type Estimate, estimateOf, type Residual, type Speed } from "./speed-estimate.js";
+import type { Sample, StretchShown } from "./speed-samples.js";
 
 /** Of 500 samples back, a sample still weighs a third. */
 const DECAY = 0.998;
--- a/packages/policy/src/speeds.ts
+++ b/packages/policy/src/speed-tracking.ts
@@ -6,7 +6,7 @@
  */
 import { type EndpointView, streamCount } from "./endpoint.js";
 import { type SchedulerState, withView } from "./scheduler-state.js";
-import { addShown, type Sample, samplesOf, type Shown } from "./shown.js";
+import { estimateOf, observeSpeed, speedAge, takeToldSpeed, type ToldSpeed } from "./speed-estimate.js";
 import {
     comparePool,
     EMPTY_POOL,
@@ -17,7 +17,7 @@
     type SpeedPool,
     type SpeedPools,
 } from "./speed-pool.js";
-import { estimateOf, observeSpeed, speedAge, takeToldSpeed, type ToldSpeed } from "./speed.js";
+import { addShown, type Sample, samplesOf, type Shown } from "./speed-samples.js";
 
 /** This host among those that show something of an endpoint. */
 const OWN = "";
--- a/packages/policy/src/running.ts
+++ b/packages/policy/src/stream-events.ts
@@ -3,17 +3,17 @@
  *
  * @module
  */
+import { dropBackup } from "./backups.js";
 import { type Breaker, onResult, onUnreachable, onUnused } from "./breaker.js";
-import { dropBackup } from "./carry.js";
 import { lengthsOf, without } from "./dispatch.js";
 import { moveStream, removeStream, type Running, streamCount } from "./endpoint.js";
-import { observe } from "./estimate.js";
+import { observe } from "./length-estimate.js";
 import { observePace } from "./pace.js";
-import { observeReading } from "./reading.js";
+import { observeReading } from "./prefill-rate.js";
 import { type JobOutcome, type SchedulerEvent, type SchedulerState, withView } from "./scheduler-state.js";
 import { deleteIn, getIn } from "./shard-map.js";
-import type { Sample } from "./shown.js";
-import { showOwn } from "./speeds.js";
+import type { Sample } from "./speed-samples.js";
+import { showOwn } from "./speed-tracking.js";
 
 /** The state after a stream went on. */
 export function progress(
--- a/packages/policy/src/bounded-room.ts
+++ b/packages/policy/src/throttling.ts
@@ -4,8 +4,8 @@
  *
  * @module
  */
+import { isLimited, limitPerMs, openings } from "./endpoint-limit.js";
 import { type EndpointView, isResting } from "./endpoint.js";
-import { isLimited, limitPerMs, openings } from "./limit.js";
 import type { SchedulerState } from "./scheduler-state.js";
 
 /** What bounded endpoints let a host send. */
--- a/packages/standins/src/endpoint-mutations.ts
+++ b/packages/standins/src/endpoint-mutations.ts
@@ -6,7 +6,7 @@
 import type { Mutation } from "./mutation.js";
 
 const POLICY = "packages/policy/test/policy.test.ts";
-const CARRY = "packages/policy/test/carry.test.ts";
+const CARRY = "packages/policy/test/backups.test.ts";
 const LIVES = "platform/test/lives.test.ts";
 const ROUTES = "packages/routes/test/routes.test.ts";
 const ATTEMPT = "packages/host/src/calls/forward-attempt.ts";
@@ -18,8 +18,8 @@
 const REST = "platform/test/endpoint-rest.test.ts";
 const REST_POLICY = "packages/policy/test/rest.test.ts";
 const LEAVING = "platform/test/endpoint-leaving.test.ts";
-const LIMIT_SOURCE = "packages/policy/src/limit.ts";
-const LIMIT = "packages/policy/test/limit.test.ts";
+const LIMIT_SOURCE = "packages/policy/src/endpoint-limit.ts";
+const LIMIT = "packages/policy/test/endpoint-limit.test.ts";
 const LIMIT_FLEET = "packages/hall/test/limit.test.ts";
 const LIMITS = "platform/test/endpoint-limits.test.ts";
 const EVACUATION = "platform/test/evacuation.test.ts";
@@ -190,14 +190,14 @@
     },
     {
         promise: "says it leaves: it holds while its registration comes and goes",
-        file: "packages/policy/src/remembered.ts",
+        file: "packages/policy/src/departed-endpoints.ts",
         find: "if (!words) return view;",
         replace: "if (words) return view;",
         tests: [LEAVING],
     },
     {
         promise: "rest: nothing goes to an endpoint that wants it",
-        file: "packages/policy/src/let-in.ts",
+        file: "packages/policy/src/endpoint-admission.ts",
         find: "return !isResting(view, now) && mayLetIn(state, view, now);",
         replace: "return mayLetIn(state, view, now);",
         tests: [REST],
--- a/packages/standins/src/host-mutations.ts
+++ b/packages/standins/src/host-mutations.ts
@@ -139,7 +139,7 @@
         file: "packages/policy/src/choose.ts",
         find: "const AWAY_CALLS = 0.5;",
         replace: "const AWAY_CALLS = 1.5;",
-        tests: ["packages/policy/test/away.test.ts"],
+        tests: ["packages/policy/test/remote-hall.test.ts"],
     },
     {
         promise: "a host whose descriptors run out refuses as not run",
--- a/packages/standins/src/speed-mutations.ts
+++ b/packages/standins/src/speed-mutations.ts
@@ -10,7 +10,7 @@
 const WORDS = "packages/hall/test/speed-words.test.ts";
 const MESSAGES = "packages/host/test/endpoint-speeds.test.ts";
 const POOL_SOURCE = "packages/policy/src/speed-pool.ts";
-const SPEED_SOURCE = "packages/policy/src/speed.ts";
+const SPEED_SOURCE = "packages/policy/src/speed-estimate.ts";
 const CHOOSE = "packages/policy/src/choose.ts";
 const LATENESS = "packages/policy/src/lateness.ts";
 const LOAD_SHARE = "packages/hall/src/load-share.ts";
@@ -82,7 +82,7 @@
     },
     {
         promise: "the pause of going on is held against no endpoint",
-        file: "packages/policy/src/running.ts",
+        file: "packages/policy/src/stream-events.ts",
         find: "    if (wasMoved) return undefined;\n",
         replace: "",
         tests: [CHOICE],
