--- a/packages/policy/src/admission-queue.ts
+++ b/packages/policy/src/admission-queue.ts
@@ -3,88 +3,95 @@
  *
  * @module
  */
-import { place, placeFar } from "./place.js";
-import { onStart, urgency, type Waiting } from "./queue-order.js";
-import { isInTime, isServed, refuse, refuseForRoom, refuseUnserved } from "./refusal.js";
-import { countRequest, earnRetry, spendRetry, takeRepeat } from "./retry-budget.js";
+import { place, placeIncludingDoubted } from "./place.js";
+import { observeStart, urgency, type WaitingRequest } from "./queue-order.js";
+import { canStartInTime, isServable, refuse, refuseForCapacity, refuseUnservable } from "./refusal.js";
+import { countRequest, earnRetry, spendRepeat, spendRetry } from "./retry-budget.js";
 import type { Decision, SchedulerAction, SchedulerState } from "./scheduler-state.js";
 
 /** How many waiting requests are tried when room may have come. */
-const TRIES_PER_DRAIN = 8;
+const MAX_TRIES_PER_PASS = 8;
 /** A waiting request that has used this share of its wait lets no later one pass it. */
-const HOLD_SHARE = 0.5;
+const NO_OVERTAKING_SHARE = 0.5;
 
 /** The state after a request was counted or a repeated one paid for; undefined where the budget is used up. */
-function payFor(state: SchedulerState, { job, avoid, retry }: Waiting, now: number): SchedulerState | undefined {
-    if (state.fleetRetries) {
+function chargeBudget(
+    state: SchedulerState,
+    { job, avoid, retry }: WaitingRequest,
+    now: number,
+): SchedulerState | undefined {
+    if (state.fleetRetryBudget) {
         // What was never sent anywhere comes again without being a repeat, and is not another request either.
         if (!retry && avoid.length > 0) return state;
-        const fleetRetries = retry
-            ? takeRepeat(state.fleetRetries, state.hosts, now)
-            : countRequest(state.fleetRetries, now);
-        return fleetRetries && { ...state, fleetRetries };
+        const fleetRetryBudget = retry
+            ? spendRepeat(state.fleetRetryBudget, state.hosts, now)
+            : countRequest(state.fleetRetryBudget, now);
+        return fleetRetryBudget && { ...state, fleetRetryBudget };
     }
     const keys = [`w/${job.group.workspace}`, ...avoid.map(id => `e/${id}`)];
-    const retries = retry ? spendRetry(state.retries, keys) : earnRetry(state.retries, keys, job.policy.retryShare);
-    return retries && { ...state, retries };
+    const retryBudget = retry
+        ? spendRetry(state.retryBudget, keys)
+        : earnRetry(state.retryBudget, keys, job.policy.retryShare);
+    return retryBudget && { ...state, retryBudget };
 }
 
 /** A request that has come, or comes again: it is placed, waits, or is refused at once. */
-export function arrive(state: SchedulerState, waiting: Waiting, now: number): Decision {
+export function onArrival(state: SchedulerState, waiting: WaitingRequest, now: number): Decision {
     const { job } = waiting;
-    const paid = payFor(state, waiting, now);
+    const paid = chargeBudget(state, waiting, now);
     if (!paid) {
         return { state, actions: [refuse(job.id, "retryBudget", "the retry budget is used up", job.policy.maxWaitMs)] };
     }
-    if (!isServed(paid, job)) return { state: paid, actions: [refuseUnserved(job)] };
+    if (!isServable(paid, job)) return { state: paid, actions: [refuseUnservable(job)] };
     if (state.waiting.length === 0) {
         const placed = place(paid, waiting, now);
         if (placed) return placed;
     }
     const position = state.waiting.length + 1;
     const isFull = position > job.policy.queueLimit;
-    if (isFull || !isInTime(paid, waiting, position, now)) {
+    if (isFull || !canStartInTime(paid, waiting, position, now)) {
         const reason = isFull ? "queueFull" : "waitTooLong";
-        return placeFar(paid, waiting, now) ?? refuseForRoom(paid, waiting, reason, position, now);
+        return placeIncludingDoubted(paid, waiting, now) ?? refuseForCapacity(paid, waiting, reason, position, now);
     }
-    return drain({ ...paid, waiting: [...state.waiting, waiting] }, now);
+    return serveQueue({ ...paid, waiting: [...state.waiting, waiting] }, now);
 }
 
 /** Gives up waits that cannot succeed, then starts what fits, the most urgent first. */
-export function drain(state: SchedulerState, now: number): Decision {
+export function serveQueue(state: SchedulerState, now: number): Decision {
     if (state.waiting.length === 0) return { state, actions: [] };
     const actions: SchedulerAction[] = [];
-    const kept: Waiting[] = [];
+    const kept: WaitingRequest[] = [];
     let next = state;
     for (const waiting of state.waiting) {
         const { job } = waiting;
         const position = kept.length + 1;
-        if (!isInTime(state, waiting, position, now)) {
-            const ended = placeFar(next, waiting, now) ?? refuseForRoom(next, waiting, "waitTooLong", position, now);
-            next = ended.state;
-            actions.push(...ended.actions);
+        if (!canStartInTime(state, waiting, position, now)) {
+            const result = placeIncludingDoubted(next, waiting, now)
+                ?? refuseForCapacity(next, waiting, "waitTooLong", position, now);
+            next = result.state;
+            actions.push(...result.actions);
         }
-        else if (!isServed(state, job)) actions.push(refuseUnserved(job));
+        else if (!isServable(state, job)) actions.push(refuseUnservable(job));
         else kept.push(waiting);
     }
     next = { ...next, waiting: kept };
     for (const waiting of mostUrgent(next, now)) {
         const placed = place(next, waiting, now);
         if (!placed) {
-            if (now - waiting.since > waiting.job.policy.maxWaitMs * HOLD_SHARE) break;
+            if (now - waiting.since > waiting.job.policy.maxWaitMs * NO_OVERTAKING_SHARE) break;
             continue;
         }
         next = {
             ...placed.state,
             waiting: placed.state.waiting.filter(other => other !== waiting),
-            drain: onStart(next.drain, now, waiting.since),
+            drainRate: observeStart(next.drainRate, now, waiting.since),
         };
         actions.push(...placed.actions);
     }
     return { state: next, actions };
 }
 
-function mostUrgent(state: SchedulerState, now: number): readonly Waiting[] {
+function mostUrgent(state: SchedulerState, now: number): readonly WaitingRequest[] {
     const running = new Map<string, number>();
     let total = 0;
     for (const view of state.endpoints.values()) {
@@ -98,5 +105,5 @@
         return { waiting, urgency: urgency(waiting, share, now) };
     });
     ranked.sort((a, b) => b.urgency - a.urgency);
-    return ranked.slice(0, TRIES_PER_DRAIN).map(({ waiting }) => waiting);
+    return ranked.slice(0, MAX_TRIES_PER_PASS).map(({ waiting }) => waiting);
 }
--- a/packages/policy/src/backups.ts
+++ b/packages/policy/src/backups.ts
@@ -4,15 +4,15 @@
  *
  * @module
  */
-import { chooseBackup, EVACUATION_ROOM_SHARE, isUnreachable } from "./choose.js";
-import { wantedOf } from "./demand.js";
-import { addBackup, type EndpointView, removeBackup, type Running, takesNew } from "./endpoint.js";
+import { chooseStandby, EVACUATION_ROOM_SHARE, isUnreachable } from "./choose.js";
+import { profileOf } from "./demand.js";
+import { addBackup, type EndpointView, removeBackup, type RunningStream, takesNew } from "./endpoint.js";
 import type { Job } from "./job.js";
-import { type Decision, type SchedulerState, withView } from "./scheduler-state.js";
+import { type Decision, type SchedulerState, updateEndpoint } from "./scheduler-state.js";
 import { deleteIn, getIn, setIn } from "./shard-map.js";
 
 /** Chooses who keeps a request's copy and counts the copy there. */
-export function backUp(
+export function reserveBackup(
     state: SchedulerState,
     job: Job,
     endpoint: string,
@@ -21,18 +21,18 @@
 ): { readonly state: SchedulerState; readonly standby: string | undefined } {
     const running = state.endpoints.get(endpoint)?.streams.get(job.id);
     if (!running) return { state, standby: undefined };
-    const wanted = { ...wantedOf(job, running.survival), curve: running.curve };
-    const standby = chooseBackup(state.endpoints.values(), wanted, endpoint, now, state.hall, roomShare);
+    const profile = { ...profileOf(job, running.survival), curve: running.curve };
+    const standby = chooseStandby(state.endpoints.values(), profile, endpoint, now, state.hall, roomShare);
     if (standby === undefined) return { state, standby };
-    return { state: backUpAt(state, job.id, endpoint, standby), standby };
+    return { state: reserveBackupAt(state, job.id, endpoint, standby), standby };
 }
 
 /** Counts a running request's copy at the endpoint that keeps it. */
-export function backUpAt(state: SchedulerState, job: string, endpoint: string, standby: string): SchedulerState {
+export function reserveBackupAt(state: SchedulerState, job: string, endpoint: string, standby: string): SchedulerState {
     const running = state.endpoints.get(endpoint)?.streams.get(job);
     if (!running || !state.endpoints.get(standby)) return state;
-    const kept = withView(state, standby, view => addBackup(view, running));
-    return { ...kept, backedUp: setIn(kept.backedUp, job, standby) };
+    const kept = updateEndpoint(state, standby, view => addBackup(view, running));
+    return { ...kept, standbys: setIn(kept.standbys, job, standby) };
 }
 
 /** Whether an endpoint is about to end, or no longer declared: what runs there is to go on elsewhere. */
@@ -57,7 +57,7 @@
         if (!isLeaving(view) || isUnreachable(view, now)) continue;
         for (const { job } of view.streams.values()) {
             if (job.backUp !== true) continue;
-            const standby = getIn(state.backedUp, job.id);
+            const standby = getIn(state.standbys, job.id);
             const kept = standby !== undefined && keepsCopy(state, job.id, standby, now);
             if (!kept) jobs.push(job.id);
         }
@@ -75,14 +75,14 @@
  */
 export function keepsCopy(state: SchedulerState, job: string, endpoint: string, now: number): boolean {
     const view = state.endpoints.get(endpoint);
-    return view !== undefined && getIn(state.backedUp, job) === endpoint && takesNew(view) && !isUnreachable(view, now);
+    return view !== undefined && getIn(state.standbys, job) === endpoint && takesNew(view) && !isUnreachable(view, now);
 }
 
 /** A running request with where it runs. */
-export function runningOf(
+export function findRunning(
     state: SchedulerState,
     job: string,
-): { readonly from: string; readonly running: Running } | undefined {
+): { readonly from: string; readonly running: RunningStream } | undefined {
     const from = getIn(state.placed, job);
     const running = from === undefined ? undefined : state.endpoints.get(from)?.streams.get(job);
     return from === undefined || !running ? undefined : { from, running };
@@ -90,28 +90,34 @@
 
 /** The state after a request's copy was planned by what this host knows, and the copy to be made. */
 export function evacuate(state: SchedulerState, job: string, now: number): Decision {
-    const found = runningOf(state, job);
+    const found = findRunning(state, job);
     if (!found) return { state, actions: [{ kind: "noCopy", job }] };
     const { from, running } = found;
-    const { state: next, standby } = backUp(dropBackup(state, job), running.job, from, now, EVACUATION_ROOM_SHARE);
+    const { state: next, standby } = reserveBackup(
+        dropBackup(state, job),
+        running.job,
+        from,
+        now,
+        EVACUATION_ROOM_SHARE,
+    );
     if (standby === undefined) return { state, actions: [{ kind: "noCopy", job }] };
     return { state: next, actions: [{ kind: "copy", job, from, to: standby }] };
 }
 
 /** The same with the standby that an owner named; none where it named none. */
 export function evacuateAt(state: SchedulerState, job: string, standby: string | undefined): Decision {
-    const found = runningOf(state, job);
+    const found = findRunning(state, job);
     if (!found || standby === undefined || !state.endpoints.get(standby)) {
         return { state, actions: [{ kind: "noCopy", job }] };
     }
-    const next = backUpAt(dropBackup(state, job), job, found.from, standby);
+    const next = reserveBackupAt(dropBackup(state, job), job, found.from, standby);
     return { state: next, actions: [{ kind: "copy", job, from: found.from, to: standby }] };
 }
 
 /** The state without the copy of a request. */
 export function dropBackup(state: SchedulerState, job: string): SchedulerState {
-    const standby = getIn(state.backedUp, job);
+    const standby = getIn(state.standbys, job);
     if (standby === undefined) return state;
-    const freed = withView(state, standby, view => removeBackup(view, job));
-    return { ...freed, backedUp: deleteIn(freed.backedUp, job) };
+    const freed = updateEndpoint(state, standby, view => removeBackup(view, job));
+    return { ...freed, standbys: deleteIn(freed.standbys, job) };
 }
--- a/packages/policy/src/breaker.ts
+++ b/packages/policy/src/breaker.ts
@@ -18,19 +18,19 @@
 
 const FAILURES_TO_OPEN = 3;
 const FIRST_OPEN_MS = 1_000;
-const LONGEST_OPEN_MS = 30_000;
+const MAX_OPEN_MS = 30_000;
 
 /** A breaker that lets everything through. */
 export const CLOSED: Breaker = { failures: 0, openUntil: 0, probing: false };
 
 /** Whether a breaker lets a request through: closed, or open long enough that one probe may go. */
-export function mayUse(breaker: Breaker, now: number): boolean {
+export function allowsRequest(breaker: Breaker, now: number): boolean {
     if (breaker.openUntil === 0) return true;
     return now >= breaker.openUntil && !breaker.probing;
 }
 
 /** The breaker after a request was sent: an open one has its probe on the way. */
-export function onUse(breaker: Breaker): Breaker {
+export function onSent(breaker: Breaker): Breaker {
     return breaker.openUntil === 0 ? breaker : { ...breaker, probing: true };
 }
 
@@ -46,7 +46,7 @@
     if (good) return CLOSED;
     const failures = breaker.failures + 1;
     if (failures < FAILURES_TO_OPEN) return { failures, openUntil: 0, probing: false };
-    const open = Math.min(LONGEST_OPEN_MS, FIRST_OPEN_MS * 2 ** (failures - FAILURES_TO_OPEN));
+    const open = Math.min(MAX_OPEN_MS, FIRST_OPEN_MS * 2 ** (failures - FAILURES_TO_OPEN));
     return { failures, openUntil: now + open, probing: false };
 }
 
@@ -57,11 +57,11 @@
 }
 
 /** The breaker after a probe ended with nothing learnt, as when its caller left. */
-export function onUnused(breaker: Breaker): Breaker {
+export function onInconclusive(breaker: Breaker): Breaker {
     return breaker.probing ? { ...breaker, probing: false } : breaker;
 }
 
 /** The breaker after the way to an endpoint that could not be reached is there again: one request may find out at once. */
-export function onWayBack(breaker: Breaker, now: number): Breaker {
+export function onReachable(breaker: Breaker, now: number): Breaker {
     return breaker.unreachable ? { ...breaker, openUntil: Math.min(breaker.openUntil, now), probing: false } : breaker;
 }
--- a/packages/policy/src/choose.ts
+++ b/packages/policy/src/choose.ts
@@ -3,35 +3,35 @@
  *
  * @module
  */
-import { mayUse } from "./breaker.js";
-import type { Demand, Wanted } from "./demand.js";
+import { allowsRequest } from "./breaker.js";
+import type { Demand, RequestProfile } from "./demand.js";
 import { isLimited } from "./endpoint-limit.js";
 import {
     type EndpointView,
-    isAllowed,
+    isHallAllowed,
     plannedShare,
     stalledStreams,
     streamCount,
     takesNew,
     unreadAt,
 } from "./endpoint.js";
-import { beginsInTime } from "./forecast.js";
+import { startsInTime } from "./forecast.js";
 import type { Variant } from "./job.js";
 import { outlookAt } from "./lateness.js";
 import { peakOf } from "./memory-curve.js";
 import { batchWithin } from "./pace.js";
-import { readingMs, type ReadingRate } from "./prefill-rate.js";
+import { prefillMs, type PrefillRate } from "./prefill-rate.js";
 import type { SpeedPools } from "./speed-pool.js";
 import { poolOf } from "./speed-tracking.js";
 
 /** A wait for prompts to be read of this share of a request's objective counts as much as full memory. */
 const WAIT_SCALE = 0.5;
 /** What an engine of another hall costs in the score: a stream there is lost when the halls lose each other. */
-const AWAY_COST = 0.5;
+const REMOTE_HALL_COST = 0.5;
 /** What one costs that names a limit, as the standby of a copy: going on there takes a request of its limit. */
-const LIMITED_COST = 2;
+const LIMITED_STANDBY_COST = 2;
 /** The same for plain services, in open calls: less than one, so that it decides between equals only. */
-const AWAY_CALLS = 0.5;
+const REMOTE_HALL_CALLS = 0.5;
 /** What an engine costs in the score where streams wait too long for their first token: above all else but no room at all. */
 const STALLED_COST = 3;
 /** What a request that is certain to be late costs in the score: as much as an endpoint's whole memory. */
@@ -41,9 +41,9 @@
 /** A new or returning endpoint takes this many streams at once, and more as it proves itself. */
 const RAMP_START = 8;
 const RAMP_MS = 10_000;
-const RAMP_FULL = 256;
+const RAMP_END = 256;
 /** Endpoints of a model that are ejected at the same time, at most; beyond that ejection is ignored. */
-const MOST_EJECTED_SHARE = 0.5;
+const MAX_EJECTED_SHARE = 0.5;
 
 /** An endpoint that would take a request, with what speaks for it; a lower score is better. */
 export interface Candidate {
@@ -56,13 +56,13 @@
 }
 
 /** What is the same for every endpoint, whatever the request. */
-export interface Around {
+export interface PlacementContext {
     readonly variant: Variant;
     /** Live hosts of the hall, this one included. */
     readonly hosts: number;
     /** Hall that endpoints are preferred of; none where it is absent. */
     readonly hall?: string | undefined;
-    readonly readingRate: ReadingRate;
+    readonly prefillRate: PrefillRate;
     readonly speeds: SpeedPools;
 }
 
@@ -74,50 +74,50 @@
  * not ejected. Where more than half of a model's endpoints are ejected, ejection is ignored: the fault is then hardly
  * theirs. Those that can probably not be reached are left out while there are others.
  *
- * @param far Whether endpoints of halls in doubt are among them all the same.
+ * @param includeDoubted Whether endpoints of halls in doubt are among them all the same.
  *
  * @example
  * ```ts
  * usable(views, { model: "m" }, [], now).length;
  * ```
  */
-export function usable(
+export function usableEndpoints(
     views: Iterable<EndpointView>,
     wanted: Pick<Demand, "model" | "halls">,
     avoid: readonly string[],
     now: number,
-    far = false,
+    includeDoubted = false,
 ): readonly EndpointView[] {
     const serving = [...views].filter(view => serves(view, wanted));
     // What cannot be reached stays out, however many they are: a hall may be cut off from the others.
-    const cut = cutHalls(serving, now);
+    const unreachable = unreachableHalls(serving, now);
     const reachable = serving.filter(view => !isUnreachable(view, now));
-    const uncut = reachable.filter(view => !cut.has(view.cfg.hall));
-    const near = uncut.filter(view => !view.isInDoubt);
-    const choices = far ? [reachable, serving] : [near, uncut, reachable, serving];
+    const inReachableHalls = reachable.filter(view => !unreachable.has(view.cfg.hall));
+    const undoubted = inReachableHalls.filter(view => !view.isInDoubt);
+    const choices = includeDoubted ? [reachable, serving] : [undoubted, inReachableHalls, reachable, serving];
     const known = choices.find(views => views.length > 0) ?? [];
-    const closed = known.filter(view => mayUse(view.breaker, now));
-    const kept = closed.length >= known.length * (1 - MOST_EJECTED_SHARE) ? closed : known;
-    const fresh = kept.filter(view => !avoid.includes(view.cfg.id));
-    return fresh.length > 0 ? fresh : kept;
+    const notEjected = known.filter(view => allowsRequest(view.breaker, now));
+    const kept = notEjected.length >= known.length * (1 - MAX_EJECTED_SHARE) ? notEjected : known;
+    const notAvoided = kept.filter(view => !avoid.includes(view.cfg.id));
+    return notAvoided.length > 0 ? notAvoided : kept;
 }
 
 /** Whether an endpoint takes new requests of this kind, as far as it is not a matter of load or failures. */
 export function serves(view: EndpointView, { model, halls }: Pick<Demand, "model" | "halls">): boolean {
-    return takesNew(view) && view.cfg.models.includes(model) && isAllowed(view, halls);
+    return takesNew(view) && view.cfg.models.includes(model) && isHallAllowed(view, halls);
 }
 
 /** Whether no connection to an endpoint came up lately. */
 export function isUnreachable({ breaker }: EndpointView, now: number): boolean {
-    return breaker.unreachable === true && !mayUse(breaker, now);
+    return breaker.unreachable === true && !allowsRequest(breaker, now);
 }
 
 /** A hall is taken for cut off where this share of its endpoints, and at least so many, cannot be reached. */
-const CUT_SHARE = 0.5;
-const CUT_LEAST = 2;
+const UNREACHABLE_HALL_SHARE = 0.5;
+const UNREACHABLE_HALL_MIN = 2;
 
 /** Halls that cannot be reached, by what was found out about some of their endpoints: the others need not be tried. */
-function cutHalls(views: readonly EndpointView[], now: number): ReadonlySet<string> {
+function unreachableHalls(views: readonly EndpointView[], now: number): ReadonlySet<string> {
     const halls = new Map<string, { endpoints: number; lost: number }>();
     for (const view of views) {
         const hall = halls.get(view.cfg.hall) ?? { endpoints: 0, lost: 0 };
@@ -125,7 +125,9 @@
         if (isUnreachable(view, now)) hall.lost += 1;
         halls.set(view.cfg.hall, hall);
     }
-    const cut = [...halls].filter(([, { endpoints, lost }]) => lost >= CUT_LEAST && lost >= CUT_SHARE * endpoints);
+    const cut = [...halls].filter(([, { endpoints, lost }]) =>
+        lost >= UNREACHABLE_HALL_MIN && lost >= UNREACHABLE_HALL_SHARE * endpoints
+    );
     return new Set(cut.map(([hall]) => hall));
 }
 
@@ -152,24 +154,24 @@
  * chooseBackup(views, wantedOf(job, lengths), "engine-1", now); // "engine-4"
  * ```
  */
-export function chooseBackup(
+export function chooseStandby(
     views: Iterable<EndpointView>,
-    { demand, curve, z }: Wanted,
+    { demand, curve, z }: RequestProfile,
     primary: string,
     now: number,
     hall?: string,
     roomShare = BACKUP_ROOM_SHARE,
 ): string | undefined {
     const known = [...views];
-    const runsAway = hall !== undefined && known.find(view => view.cfg.id === primary)?.cfg.hall !== hall;
+    const runsRemotely = hall !== undefined && known.find(view => view.cfg.id === primary)?.cfg.hall !== hall;
     let chosen: { readonly id: string; readonly cost: number } | undefined;
-    for (const view of usable(known, demand, [primary], now)) {
+    for (const view of usableEndpoints(known, demand, [primary], now)) {
         if (view.cfg.id === primary) continue;
         const used = peakOf([view.curve, view.others.curve, curve], z) / view.cfg.memoryTokens;
-        const isAway = hall !== undefined && hall !== view.cfg.hall;
-        const cost = used + (isAway ? AWAY_COST : 0) + (isLimited(view) ? LIMITED_COST : 0);
-        const most = runsAway && !isAway ? Math.max(roomShare, EVACUATION_ROOM_SHARE) : roomShare;
-        if (used <= most && cost < (chosen?.cost ?? Infinity)) chosen = { id: view.cfg.id, cost };
+        const isRemote = hall !== undefined && hall !== view.cfg.hall;
+        const cost = used + (isRemote ? REMOTE_HALL_COST : 0) + (isLimited(view) ? LIMITED_STANDBY_COST : 0);
+        const maxUsed = runsRemotely && !isRemote ? Math.max(roomShare, EVACUATION_ROOM_SHARE) : roomShare;
+        if (used <= maxUsed && cost < (chosen?.cost ?? Infinity)) chosen = { id: view.cfg.id, cost };
     }
     return chosen?.id;
 }
@@ -178,8 +180,8 @@
 function streamLimit(view: EndpointView, gapTargetMs: number, variant: Variant, now: number): number {
     // One that says how long it is cold is used in full as soon as it is warm.
     const ramp = view.cfg.cold
-        ? RAMP_FULL
-        : RAMP_START + (RAMP_FULL - RAMP_START) * Math.max(0, now - view.since) / RAMP_MS;
+        ? RAMP_END
+        : RAMP_START + (RAMP_END - RAMP_START) * Math.max(0, now - view.since) / RAMP_MS;
     const pace = variant.pace ? batchWithin(view.pace, gapTargetMs) : Number.MAX_SAFE_INTEGER;
     return Math.min(ramp, pace);
 }
@@ -196,8 +198,8 @@
 /** How a request would fit an endpoint; undefined where it must not be added to it now. */
 export function fitOf(
     view: EndpointView,
-    { demand, curve, z }: Wanted,
-    { variant, hosts }: Around,
+    { demand, curve, z }: RequestProfile,
+    { variant, hosts }: PlacementContext,
     now: number,
 ): Fit | undefined {
     const share = variant.share === "owner" ? plannedShare(view, hosts, now) : 1;
@@ -221,33 +223,38 @@
  * assess(view, wantedOf(job, lengths), state, now)?.score;
  * ```
  */
-export function assess(view: EndpointView, wanted: Wanted, around: Around, now: number): Candidate | undefined {
-    const { demand } = wanted;
-    const { variant, hall, readingRate, speeds } = around;
+export function assess(
+    view: EndpointView,
+    profile: RequestProfile,
+    context: PlacementContext,
+    now: number,
+): Candidate | undefined {
+    const { demand } = profile;
+    const { variant, hall, prefillRate, speeds } = context;
     const { promptTokens, weightTail, weightStall, weightPrefix } = demand;
     if (variant.admission === "none") {
-        const away = hall !== undefined && hall !== view.cfg.hall ? AWAY_CALLS : 0;
+        const away = hall !== undefined && hall !== view.cfg.hall ? REMOTE_HALL_CALLS : 0;
         return { id: view.cfg.id, score: streamCount(view) + away, crowded: false, lateness: 0 };
     }
-    const fit = fitOf(view, wanted, around, now);
+    const fit = fitOf(view, profile, context, now);
     if (!fit) return undefined;
     const outlook = variant.speeds ? outlookAt(view, demand, poolOf(speeds, view), now) : undefined;
-    const firstMs = outlook?.firstMs ?? readingMs(readingRate, unreadAt(view) + promptTokens);
-    if (variant.forecast && !beginsInTime(view, firstMs, demand.leftMs)) return undefined;
+    const firstTokenMs = outlook?.firstTokenMs ?? prefillMs(prefillRate, unreadAt(view) + promptTokens);
+    if (variant.forecast && !startsInTime(view, firstTokenMs, demand.leftMs)) return undefined;
     const { streams, streamLimit: limit, peak, room } = fit;
-    const cached = variant.prefix && view.prefixes.has(demand.prefix)
+    const cachedShare = variant.prefix && view.prefixes.has(demand.prefix)
         ? demand.prefixTokens / Math.max(1, promptTokens)
         : 0;
-    const away = hall !== undefined && hall !== view.cfg.hall ? AWAY_COST : 0;
+    const away = hall !== undefined && hall !== view.cfg.hall ? REMOTE_HALL_COST : 0;
     // Where endpoints are alike, its own prompt takes as long at each.
-    const waitMs = outlook?.firstMs ?? readingMs(readingRate, unreadAt(view));
+    const waitMs = outlook?.firstTokenMs ?? prefillMs(prefillRate, unreadAt(view));
     const lateness = outlook?.lateness ?? 0;
     const wait = waitMs / (WAIT_SCALE * demand.objectiveMs);
     const stalled = stalledStreams(view, now) + view.others.stalled > 0 ? STALLED_COST : 0;
     const score = stalled + wait + away
-        + weightTail * streams / Math.min(limit, RAMP_FULL)
+        + weightTail * streams / Math.min(limit, RAMP_END)
         + weightStall * peak / room
-        - weightPrefix * cached
+        - weightPrefix * cachedShare
         + LATE_COST * lateness;
     const crowded = peak > CROWDED_SHARE * room || streams > CROWDED_SHARE * limit;
     return { id: view.cfg.id, score, crowded, lateness };
--- a/packages/policy/src/cold.ts
+++ b/packages/policy/src/cold.ts
@@ -22,21 +22,21 @@
  * @module
  */
 import type { EndpointView } from "./endpoint.js";
-import type { Fleet, SendBounds } from "./fleet.js";
+import type { AdmissionBounds, Fleet } from "./fleet.js";
 
 /** Parts of the bound that are kept apart, as the module's text says. */
-const PARTS = 4;
+const BOUND_PARTS = 4;
 /**
  * What is let in counts for this long: the second that the bound is for, and as much again for a permit (100 ms) and a
  * connection (500 ms) on their way, so that requests that were let in apart do not arrive together.
  */
-const COUNTED_MS = 2_000;
+const COUNT_WINDOW_MS = 2_000;
 
 /**
  * A host that starts knows the whole fleet after this, unless it is cut off; then it takes what it hears for the whole. Cuts that
  * last longer than this and meet a restart of most of a part's hosts are not covered: platforms restart hosts one by one.
  */
-const LEARNT_MS = 10_000;
+const FLEET_LEARN_MS = 10_000;
 
 /** Whether an endpoint is cold at a time, or may be, as it may have begun another life. */
 export function isCold(view: EndpointView, now: number): boolean {
@@ -44,12 +44,12 @@
 }
 
 /** When an endpoint is warm, as far as it is known. */
-export function coldUntil({ cfg, doubtUntil }: EndpointView): number {
-    return Math.max(cfg.cold?.until ?? -Infinity, doubtUntil ?? -Infinity);
+export function coldUntil({ cfg, restartDoubtUntil }: EndpointView): number {
+    return Math.max(cfg.cold?.until ?? -Infinity, restartDoubtUntil ?? -Infinity);
 }
 
 /**
- * Requests that a host may let into a cold endpoint within {@link COUNTED_MS}.
+ * Requests that a host may let into a cold endpoint within {@link COUNT_WINDOW_MS}.
  *
  * @param perS The bound over all hosts, in requests a second.
  * @param ownedSince Since when this host has owned the endpoint; undefined where another does.
@@ -60,11 +60,11 @@
  * allowance(44, { ...fleet, place: 40, live: 66, most: 66 }, undefined, 20_000); // 0
  * ```
  */
-export function allowance(perS: number, fleet: Fleet, ownedSince: number | undefined, now: number): number {
+export function coldAllowance(perS: number, fleet: Fleet, ownedSince: number | undefined, now: number): number {
     const { since, place, live, most } = fleet;
-    if (since === undefined || now - since < LEARNT_MS || 2 * live <= most) return 0;
-    const part = Math.floor(perS / PARTS);
-    if (ownedSince !== undefined) return now - ownedSince < COUNTED_MS ? 0 : part;
+    if (since === undefined || now - since < FLEET_LEARN_MS || 2 * live <= most) return 0;
+    const part = Math.floor(perS / BOUND_PARTS);
+    if (ownedSince !== undefined) return now - ownedSince < COUNT_WINDOW_MS ? 0 : part;
     return Math.floor(part / most) + (place < part % most ? 1 : 0);
 }
 
@@ -74,16 +74,16 @@
  *
  * @param times When it let requests in there.
  */
-export function coldLetsIn(
+export function coldAdmits(
     view: EndpointView,
     times: readonly number[],
-    { fleet, ownedSince }: Pick<SendBounds, "fleet" | "ownedSince">,
+    { fleet, ownedSince }: Pick<AdmissionBounds, "fleet" | "ownedSince">,
     now: number,
 ): boolean {
     if (!isCold(view, now)) return true;
     const { id, cold } = view.cfg;
-    const counted = times.filter(at => now - at < COUNTED_MS);
-    return counted.length < allowance(cold!.perS, fleet, ownedSince.get(id), now);
+    const counted = times.filter(at => now - at < COUNT_WINDOW_MS);
+    return counted.length < coldAllowance(cold!.perS, fleet, ownedSince.get(id), now);
 }
 
 /**
@@ -92,7 +92,7 @@
  *
  * @param promptTokens Prompt of the stream, which its copy holds at least.
  */
-export function mayGoOnAt(view: EndpointView, promptTokens: number, now: number): boolean {
+export function mayContinueWhileCold(view: EndpointView, promptTokens: number, now: number): boolean {
     if (!isCold(view, now)) return true;
-    return view.cfg.memoryTokens / Math.max(1, promptTokens) <= view.cfg.cold!.perS / PARTS;
+    return view.cfg.memoryTokens / Math.max(1, promptTokens) <= view.cfg.cold!.perS / BOUND_PARTS;
 }
--- a/packages/policy/src/demand.ts
+++ b/packages/policy/src/demand.ts
@@ -28,7 +28,7 @@
 }
 
 /** A request with what is the same for every endpoint, worked out once. */
-export interface Wanted {
+export interface RequestProfile {
     readonly demand: Demand;
     readonly curve: Curve;
     /** Standard deviations at which the peak is asked for. */
@@ -66,7 +66,7 @@
  * assess(view, wantedOf(job, lengths), state, now);
  * ```
  */
-export function wantedOf(job: Job, survival: Survival, waitedMs = 0): Wanted {
+export function profileOf(job: Job, survival: Survival, waitedMs = 0): RequestProfile {
     const curve = streamCurve(survival, job.promptTokens, 0);
     return { demand: demandOf(job, survival, waitedMs), curve, z: probit(job.policy.quantile) };
 }
--- a/packages/policy/src/departed-endpoints.ts
+++ b/packages/policy/src/departed-endpoints.ts
@@ -4,11 +4,11 @@
  *
  * @module
  */
-import { type EndpointView, type KnownSaid, saysLeaving, setLeaving } from "./endpoint.js";
+import { type EndpointView, type KnownLimit, saysLeaving, setLeaving } from "./endpoint.js";
 
 /** What one of them had said. */
-interface Words {
-    readonly said: KnownSaid | undefined;
+interface RetainedState {
+    readonly said: KnownLimit | undefined;
     readonly leaves: boolean;
     readonly restUntil: number | undefined;
     /** When it was no longer declared. */
@@ -16,21 +16,23 @@
 }
 
 /** By endpoint. */
-export type Remembered = ReadonlyMap<string, Words>;
+export type RetainedStates = ReadonlyMap<string, RetainedState>;
 
 /** Longer than a store is away: no life comes back after that. */
-const KEPT_MS = 600_000;
+const RETAIN_MS = 600_000;
 
 /**
  * The words of endpoints that are declared no more, with those that were remembered before.
  *
  * @param gone Endpoints that were declared until now.
  */
-export function remember(before: Remembered, gone: readonly EndpointView[], now: number): Remembered {
-    const spoke = gone.filter(view => view.said !== undefined || view.restUntil !== undefined || saysLeaving(view));
-    if (before.size + spoke.length === 0) return before;
-    const kept = [...before].filter(([, { goneAt }]) => now - goneAt < KEPT_MS);
-    const added = spoke.map(view => {
+export function retainDeparted(before: RetainedStates, gone: readonly EndpointView[], now: number): RetainedStates {
+    const worthKeeping = gone.filter(view =>
+        view.said !== undefined || view.restUntil !== undefined || saysLeaving(view)
+    );
+    if (before.size + worthKeeping.length === 0) return before;
+    const kept = [...before].filter(([, { goneAt }]) => now - goneAt < RETAIN_MS);
+    const added = worthKeeping.map(view => {
         const { cfg, said, restUntil } = view;
         return [cfg.id, { said, restUntil, leaves: saysLeaving(view), goneAt: now }] as const;
     });
@@ -38,9 +40,9 @@
 }
 
 /** A newly declared endpoint with what it had said before. */
-export function recall(view: EndpointView, remembered: Remembered, now: number): EndpointView {
-    const words = remembered.get(view.cfg.id);
-    if (!words) return view;
-    const { said, restUntil, leaves } = words;
+export function restoreRetained(view: EndpointView, states: RetainedStates, now: number): EndpointView {
+    const known = states.get(view.cfg.id);
+    if (!known) return view;
+    const { said, restUntil, leaves } = known;
     return { ...setLeaving(view, "answer", leaves, now), said, restUntil };
 }
--- a/packages/policy/src/dispatch.ts
+++ b/packages/policy/src/dispatch.ts
@@ -3,20 +3,20 @@
  *
  * @module
  */
-import { backUp, backUpAt, evacuate, evacuateAt, runningOf } from "./backups.js";
-import { usable } from "./choose.js";
-import { demandOf, wantedOf } from "./demand.js";
+import { evacuate, evacuateAt, findRunning, reserveBackup, reserveBackupAt } from "./backups.js";
+import { usableEndpoints } from "./choose.js";
+import { demandOf, profileOf } from "./demand.js";
 import type { EndpointView } from "./endpoint.js";
 import { type Job, PRIORITY_RANK } from "./job.js";
-import { knownLength, type Survival, survivalOf } from "./length-estimate.js";
-import type { AskedStandby, Decision, SchedulerState } from "./scheduler-state.js";
+import { type Survival, survivalOf, survivalOfKnownLength } from "./length-estimate.js";
+import type { Decision, PendingStandbyAsk, SchedulerState } from "./scheduler-state.js";
 
 /** Up to this many hosts tell each other often enough that only crowded endpoints are asked for. */
-const FEW_HOSTS = 12;
+const SMALL_FLEET_HOSTS = 12;
 
 /** How long a job's output may be, by the evidence so far. */
-export function lengthsOf(state: SchedulerState, job: Job): Survival {
-    if (state.variant.oracle && job.knownTokens !== undefined) return knownLength(job.knownTokens);
+export function survivalFor(state: SchedulerState, job: Job): Survival {
+    if (state.variant.oracle && job.knownTokens !== undefined) return survivalOfKnownLength(job.knownTokens);
     return survivalOf(state.estimates, job.group, job.maxTokens);
 }
 
@@ -27,11 +27,11 @@
 
 /** Whether owners are asked for every request, whatever this host believes. */
 export function alwaysAsksOwners(state: SchedulerState): boolean {
-    return asksOwners(state) && state.variant.askAlways && state.hosts > FEW_HOSTS;
+    return asksOwners(state) && state.variant.askAlways && state.hosts > SMALL_FLEET_HOSTS;
 }
 
 /** Endpoints that are not among those that may be used. */
-export function unusable(state: SchedulerState, views: readonly EndpointView[]): readonly string[] {
+export function idsOutside(state: SchedulerState, views: readonly EndpointView[]): readonly string[] {
     const ids = new Set(views.map(view => view.cfg.id));
     return state.endpoints.values().map(view => view.cfg.id).filter(id => !ids.has(id));
 }
@@ -44,13 +44,18 @@
 /** Sends a placed request, with the endpoint that is to keep its copy where it is worth one. */
 export function dispatch(state: SchedulerState, job: Job, endpoint: string, now: number): Decision {
     const { state: next, standby } = wantsBackup(state, job)
-        ? backUp(state, job, endpoint, now)
+        ? reserveBackup(state, job, endpoint, now)
         : { state, standby: undefined };
-    return send(next, job, endpoint, standby);
+    return dispatchWithStandby(next, job, endpoint, standby);
 }
 
 /** Sends a placed request whose standby is known. */
-export function send(state: SchedulerState, job: Job, endpoint: string, standby: string | undefined): Decision {
+export function dispatchWithStandby(
+    state: SchedulerState,
+    job: Job,
+    endpoint: string,
+    standby: string | undefined,
+): Decision {
     const priority = state.variant.priorities ? PRIORITY_RANK[job.policy.priority] : 0;
     return { state, actions: [{ kind: "dispatch", job: job.id, endpoint, priority, backUp: standby }] };
 }
@@ -59,19 +64,19 @@
 export function askStandby(
     state: SchedulerState,
     job: string,
-    purpose: AskedStandby["purpose"],
+    purpose: PendingStandbyAsk["purpose"],
     roomShare: number,
     now: number,
 ): Decision | undefined {
-    const found = runningOf(state, job);
+    const found = findRunning(state, job);
     if (!found || !alwaysAsksOwners(state) || state.owned.size > 0) return undefined;
     const { from, running } = found;
-    const views = usable(state.endpoints.values(), demandOf(running.job, running.survival), [from], now);
+    const views = usableEndpoints(state.endpoints.values(), demandOf(running.job, running.survival), [from], now);
     const question = {
-        ...wantedOf(running.job, running.survival),
+        ...profileOf(running.job, running.survival),
         curve: running.curve,
         hall: state.hall ?? "",
-        exclude: unusable(state, views),
+        exclude: idsOutside(state, views),
         backUp: true,
         standbyOf: { endpoint: from, roomShare },
     };
@@ -82,27 +87,27 @@
 }
 
 /** An owner's word on a standby. */
-export function standbyAnswered(state: SchedulerState, job: string, standby: string | undefined): Decision {
+export function onStandbyAnswer(state: SchedulerState, job: string, standby: string | undefined): Decision {
     const { purpose } = state.askedStandby.get(job)!;
-    const next = { ...state, askedStandby: without(state.askedStandby, job) };
+    const next = { ...state, askedStandby: withoutKey(state.askedStandby, job) };
     if (purpose === "evacuate") return evacuateAt(next, job, standby);
-    const found = runningOf(next, job);
+    const found = findRunning(next, job);
     if (!found) return { state: next, actions: [] };
-    const kept = standby === undefined ? next : backUpAt(next, job, found.from, standby);
-    return send(kept, found.running.job, found.from, standby);
+    const kept = standby === undefined ? next : reserveBackupAt(next, job, found.from, standby);
+    return dispatchWithStandby(kept, found.running.job, found.from, standby);
 }
 
 /** Decides alone on a standby whose owner does not answer. */
 export function decideStandbyAlone(state: SchedulerState, job: string, now: number): Decision {
     const { purpose } = state.askedStandby.get(job)!;
-    const next = { ...state, askedStandby: without(state.askedStandby, job) };
+    const next = { ...state, askedStandby: withoutKey(state.askedStandby, job) };
     if (purpose === "evacuate") return evacuate(next, job, now);
-    const found = runningOf(next, job);
+    const found = findRunning(next, job);
     return found ? dispatch(next, found.running.job, found.from, now) : { state: next, actions: [] };
 }
 
 /** The map without a key. */
-export function without<V>(map: ReadonlyMap<string, V>, key: string): ReadonlyMap<string, V> {
+export function withoutKey<V>(map: ReadonlyMap<string, V>, key: string): ReadonlyMap<string, V> {
     const next = new Map(map);
     next.delete(key);
     return next;
--- a/packages/policy/src/endpoint-admission.ts
+++ b/packages/policy/src/endpoint-admission.ts
@@ -4,13 +4,13 @@
  *
  * @module
  */
-import { coldLetsIn, isCold } from "./cold.js";
-import { isLimited, limitLetsIn } from "./endpoint-limit.js";
+import { coldAdmits, isCold } from "./cold.js";
+import { isLimited, limitAdmits } from "./endpoint-limit.js";
 import { type EndpointView, isResting } from "./endpoint.js";
-import type { LetIn, SendBounds } from "./fleet.js";
+import type { AdmissionBounds, RecentAdmissions } from "./fleet.js";
 
 /** Nothing that was let in counts for longer. */
-const KEPT_MS = 10_000;
+const RETAIN_MS = 10_000;
 
 /**
  * Whether this host may send a request to an endpoint now, or let another host's in as its owner.
@@ -20,13 +20,13 @@
  * const open = views.filter(view => mayLetIn(state, view, now));
  * ```
  */
-export function mayLetIn(
-    state: SendBounds,
+export function mayAdmit(
+    state: AdmissionBounds,
     view: EndpointView,
     now: number,
 ): boolean {
     const times = state.letIn.get(view.cfg.id) ?? [];
-    return coldLetsIn(view, times, state, now) && limitLetsIn(view, times, state.fleet, now);
+    return coldAdmits(view, times, state, now) && limitAdmits(view, times, state.fleet, now);
 }
 
 /**
@@ -34,17 +34,21 @@
  * sent those of others.
  */
 export function maySend(
-    state: SendBounds,
+    state: AdmissionBounds,
     view: EndpointView,
     now: number,
 ): boolean {
-    return !isResting(view, now) && mayLetIn(state, view, now);
+    return !isResting(view, now) && mayAdmit(state, view, now);
 }
 
 /** What was let in, with one more request to an endpoint; the same value where nothing bounds what it is sent. */
-export function withLetIn(letIn: LetIn, view: EndpointView | undefined, now: number): LetIn {
-    if (!view || !isCold(view, now) && !isLimited(view)) return letIn;
-    const counted = [...letIn].map(([id, times]) => [id, times.filter(at => now - at < KEPT_MS)] as const)
+export function recordAdmission(
+    admissions: RecentAdmissions,
+    view: EndpointView | undefined,
+    now: number,
+): RecentAdmissions {
+    if (!view || !isCold(view, now) && !isLimited(view)) return admissions;
+    const counted = [...admissions].map(([id, times]) => [id, times.filter(at => now - at < RETAIN_MS)] as const)
         .filter(([, times]) => times.length > 0);
     const next = new Map(counted);
     return next.set(view.cfg.id, [...next.get(view.cfg.id) ?? [], now]);
--- a/packages/policy/src/endpoint-limit.ts
+++ b/packages/policy/src/endpoint-limit.ts
@@ -16,36 +16,36 @@
 import type { Fleet } from "./fleet.js";
 
 /** Limits are kept over the least span of whole requests above this: one of 2.3 a second is ten in 4.35 s. */
-const LEAST_SPAN_S = 4;
+const MIN_SPAN_S = 4;
 /** Limits below one request in this time are taken for it: without any, nobody would hear that the limit is over. */
-const LONGEST_SPAN_MS = 10_000;
+const MAX_SPAN_MS = 10_000;
 /** Hosts that start together know each other after this, in fleets of any size. */
-const LEARNT_MS = 3_000;
+const FLEET_LEARN_MS = 3_000;
 /** One that starts where it hears few of those that it was told of may be cut off, and does not know how many there are. */
-const LEARNT_UNHEARD_MS = 10_000;
+const MINORITY_LEARN_MS = 10_000;
 /** A limit of which no host has heard for this long is in doubt. */
-const DOUBT_MS = 10_000;
+const STALE_MS = 10_000;
 /** Then each host's turn to send one request lasts so long: below five requests in a span, whatever the limit. */
-const TURN_MS = 1_000;
+const PROBE_TURN_MS = 1_000;
 
 /** Turns for each host that a host knows which hears no more than half of them. */
-const UNHEARD_TURNS = 3;
+const MINORITY_TURN_FACTOR = 3;
 
 /** A limit as it is kept: requests within a span. */
-interface Bound {
-    readonly most: number;
+interface Quota {
+    readonly maxRequests: number;
     readonly spanMs: number;
 }
 
-function boundOf(perS: number): Bound {
-    const most = Math.max(1, Math.ceil(perS * LEAST_SPAN_S));
-    return { most, spanMs: Math.min(LONGEST_SPAN_MS, 1_000 * most / perS) };
+function quotaOf(perS: number): Quota {
+    const maxRequests = Math.max(1, Math.ceil(perS * MIN_SPAN_S));
+    return { maxRequests, spanMs: Math.min(MAX_SPAN_MS, 1_000 * maxRequests / perS) };
 }
 
 /** Requests a millisecond that all hosts together may send to a limited endpoint. */
 export function limitPerMs({ said }: EndpointView): number {
-    const { most, spanMs } = boundOf(said?.limitPerS ?? 0);
-    return most / spanMs;
+    const { maxRequests, spanMs } = quotaOf(said?.limitPerS ?? 0);
+    return maxRequests / spanMs;
 }
 
 /** Whether an endpoint names a limit. */
@@ -54,12 +54,12 @@
 }
 
 /** Whether a host hears more than half of the hosts that it has known: no other part of the fleet does. */
-function hearsMost({ live, most }: Fleet): boolean {
+function hearsMajority({ live, most }: Fleet): boolean {
     return 2 * live > most;
 }
 
 /** Endpoints begin with different hosts, so that small limits of several endpoints are not all the same host's. */
-function placeFor(endpoint: string, { place, live }: Fleet): number {
+function placeAtEndpoint(endpoint: string, { place, live }: Fleet): number {
     let sum = 0;
     for (let at = 0; at < endpoint.length; at++) sum = (31 * sum + endpoint.charCodeAt(at)) % 65_536;
     return (place + sum) % Math.max(1, live);
@@ -70,16 +70,16 @@
  *
  * @example
  * ```ts
- * limitPart("i-7", 2.3, { ...fleet, place: 0, live: 6, most: 6 }, now); // 1 or 2: ten in 4.35 s among six
+ * limitShare("i-7", 2.3, { ...fleet, place: 0, live: 6, most: 6 }, now); // 1 or 2: ten in 4.35 s among six
  * ```
  */
-export function limitPart(endpoint: string, perS: number, fleet: Fleet, now: number): number {
+export function limitShare(endpoint: string, perS: number, fleet: Fleet, now: number): number {
     const { since, most: hosts } = fleet;
-    const learntMs = hearsMost(fleet) ? LEARNT_MS : LEARNT_UNHEARD_MS;
+    const learntMs = hearsMajority(fleet) ? FLEET_LEARN_MS : MINORITY_LEARN_MS;
     if (since === undefined || now - since < learntMs) return 0;
-    const { most } = boundOf(perS);
-    const each = Math.floor(most / hosts);
-    return hearsMost(fleet) && placeFor(endpoint, fleet) < most % hosts ? each + 1 : each;
+    const { maxRequests } = quotaOf(perS);
+    const each = Math.floor(maxRequests / hosts);
+    return hearsMajority(fleet) && placeAtEndpoint(endpoint, fleet) < maxRequests % hosts ? each + 1 : each;
 }
 
 /**
@@ -87,37 +87,37 @@
  * together come one after another over a span. So an endpoint in need gets them evenly, soon after its limit is over one of them
  * shows that, and where parts pass to other hosts, what those before them sent no longer counts.
  */
-function opens(endpoint: string, perS: number, fleet: Fleet, now: number): readonly number[] {
-    const { most, spanMs } = boundOf(perS);
-    const place = placeFor(endpoint, fleet);
-    const part = limitPart(endpoint, perS, fleet, now);
-    return Array.from({ length: part }, (_, at) => spanMs * ((at * fleet.most + place) / most % 1));
+function firstSendTimes(endpoint: string, perS: number, fleet: Fleet, now: number): readonly number[] {
+    const { maxRequests, spanMs } = quotaOf(perS);
+    const place = placeAtEndpoint(endpoint, fleet);
+    const share = limitShare(endpoint, perS, fleet, now);
+    return Array.from({ length: share }, (_, at) => spanMs * ((at * fleet.most + place) / maxRequests % 1));
 }
 
 /**
  * Whether it is this host's turn to find out if a limit is over that nobody has heard of for a while. Hosts that do not hear each
  * other cannot take turns in order: each of them takes one by its mark, and so rarely that few meet.
  */
-function isTurn(endpoint: string, said: Said, fleet: Fleet, now: number): boolean {
-    const inDoubtMs = now - said.at - DOUBT_MS;
-    if (inDoubtMs < 0) return false;
-    const turn = Math.floor(inDoubtMs / TURN_MS);
-    if (hearsMost(fleet)) return turn % Math.max(1, fleet.live) === placeFor(endpoint, fleet);
-    const turns = UNHEARD_TURNS * fleet.most;
+function isProbeTurn(endpoint: string, said: Said, fleet: Fleet, now: number): boolean {
+    const staleMs = now - said.at - STALE_MS;
+    if (staleMs < 0) return false;
+    const turn = Math.floor(staleMs / PROBE_TURN_MS);
+    if (hearsMajority(fleet)) return turn % Math.max(1, fleet.live) === placeAtEndpoint(endpoint, fleet);
+    const turns = MINORITY_TURN_FACTOR * fleet.most;
     return turn % turns === fleet.mark % turns;
 }
 
 /** When a host may send requests to a limited endpoint, as times from now, the soonest first; those of its part alone. */
-export function openings(
+export function sendTimesWithinLimit(
     { cfg: { id }, said }: EndpointView,
     times: readonly number[],
     fleet: Fleet,
     now: number,
 ): readonly number[] {
     const { limitPerS: perS = 0, since } = said!;
-    const { spanMs } = boundOf(perS);
+    const { spanMs } = quotaOf(perS);
     const from = Math.max(since, fleet.changedAt);
-    const first = opens(id, perS, fleet, now).map(ms => Math.max(0, from + ms - now)).sort((a, b) => a - b);
+    const first = firstSendTimes(id, perS, fleet, now).map(ms => Math.max(0, from + ms - now)).sort((a, b) => a - b);
     const counted = times.filter(at => now - at < spanMs).slice(-first.length);
     // Each request that counts holds one of the part until a span has passed.
     return [...first.slice(counted.length), ...counted.map(at => at + spanMs - now)].sort((a, b) => a - b);
@@ -133,11 +133,11 @@
  * limitLetsIn(view, state.letIn.get(view.cfg.id) ?? [], state.fleet, now);
  * ```
  */
-export function limitLetsIn(view: EndpointView, times: readonly number[], fleet: Fleet, now: number): boolean {
+export function limitAdmits(view: EndpointView, times: readonly number[], fleet: Fleet, now: number): boolean {
     const { cfg: { id }, said } = view;
     if (!said || !isLimited(view)) return true;
-    const [next] = openings(view, times, fleet, now);
+    const [next] = sendTimesWithinLimit(view, times, fleet, now);
     if (next === 0) return true;
-    const isFirstOfTurn = times.every(at => now - at >= TURN_MS);
-    return isFirstOfTurn && isTurn(id, said, fleet, now);
+    const isFirstOfTurn = times.every(at => now - at >= PROBE_TURN_MS);
+    return isFirstOfTurn && isProbeTurn(id, said, fleet, now);
 }
--- a/packages/policy/src/endpoint.ts
+++ b/packages/policy/src/endpoint.ts
@@ -7,9 +7,9 @@
 import { type Breaker, CLOSED } from "./breaker.js";
 import type { Job } from "./job.js";
 import type { Survival } from "./length-estimate.js";
-import { addCurve, type Curve, HORIZON, streamCurve, zeroCurve } from "./memory-curve.js";
+import { addCurve, type Curve, HORIZON_TOKENS, streamCurve, zeroCurve } from "./memory-curve.js";
 import { createPace, type PaceFit } from "./pace.js";
-import { type Speed, UNKNOWN_SPEED } from "./speed-estimate.js";
+import { type SpeedEvidence, UNKNOWN_SPEED } from "./speed-estimate.js";
 import { NOTHING_SHOWN, type Shown } from "./speed-samples.js";
 
 /**
@@ -39,16 +39,16 @@
 }
 
 /** One of this host's streams on an endpoint. */
-export interface Running {
+export interface RunningStream {
     readonly job: Job;
     readonly survival: Survival;
     readonly produced: number;
     readonly dispatchedAt: number;
     /** Prompt tokens that were unread at the endpoint when it was sent there, its own included. */
-    readonly unreadThen: number;
+    readonly prefillAhead: number;
     readonly started: boolean;
     /** Whether it has just gone on from a copy: the pause until then says nothing of its endpoint. */
-    readonly wasMoved?: boolean;
+    readonly resumedFromCopy?: boolean;
     readonly curve: Curve;
 }
 
@@ -61,7 +61,7 @@
 }
 
 /** A stream that ended lately, kept until load reports that still count it are past. */
-interface LatelyEnded {
+interface RecentlyEnded {
     readonly dispatchedAt: number;
     readonly endedAt: number;
     readonly held: number;
@@ -86,7 +86,7 @@
 }
 
 /** The same, with how long it is known. */
-export interface KnownSaid extends Said {
+export interface KnownLimit extends Said {
     /** When this host first took in the limit that is known now. */
     readonly since: number;
 }
@@ -98,9 +98,9 @@
     readonly leavingBy: readonly LeavingSource[];
     /** Since when it is known to be leaving, or to be declared no more; undefined while it stays. */
     readonly closingSince: number | undefined;
-    readonly streams: ReadonlyMap<string, Running>;
+    readonly streams: ReadonlyMap<string, RunningStream>;
     /** Copies that it keeps of this host's streams at other endpoints: memory without any work. */
-    readonly backups: ReadonlyMap<string, Running>;
+    readonly backups: ReadonlyMap<string, RunningStream>;
     /** Sum over own streams and backups. */
     readonly curve: Curve;
     readonly others: Others;
@@ -108,30 +108,30 @@
     readonly toldAt: number | undefined;
     readonly pace: PaceFit;
     /** How slow it is by what all hosts' streams showed, as far as this host knows. */
-    readonly speed: Speed;
+    readonly speed: SpeedEvidence;
     /** What this host's own streams have shown of its speed. */
     readonly shown: Shown;
     readonly breaker: Breaker;
     /** Whether it can probably not be reached from here: it is tried where nothing else is left. */
     readonly isInDoubt: boolean;
-    readonly latelyEnded: readonly LatelyEnded[];
+    readonly recentlyEnded: readonly RecentlyEnded[];
     /** Prompt starts that the endpoint has probably cached, the latest use last. */
     readonly prefixes: ReadonlyMap<string, number>;
     /** Undefined before it was heard. */
-    readonly said: KnownSaid | undefined;
+    readonly said: KnownLimit | undefined;
     /** Until when it wants nothing from this host, in milliseconds on the scheduler's clock; undefined where it never said so. */
     readonly restUntil: number | undefined;
     /** Until when it may be a later life than the one known, and is taken for cold; undefined where nothing shows that. */
-    readonly doubtUntil: number | undefined;
+    readonly restartDoubtUntil: number | undefined;
 }
 
 const NO_OTHERS: Others = { streams: 0, unread: 0, stalled: 0, curve: zeroCurve() };
 /** Reports are at most this old: letter 1's engines lag by 0.5 to 5 s. */
-const LONGEST_LAG_MS = 6_000;
+const MAX_REPORT_LAG_MS = 6_000;
 const MAX_PREFIXES = 64;
 /** How streams of other hosts are taken to grow where too few own streams tell. */
 const ASSUMED_GROWTH = 1.1;
-const LEAST_OWN_FOR_GROWTH = 4;
+const MIN_STREAMS_FOR_GROWTH = 4;
 const GROWTH_BOUNDS = [0.1, 1.6] as const;
 
 /** A newly seen endpoint. */
@@ -151,11 +151,11 @@
         shown: NOTHING_SHOWN,
         breaker: CLOSED,
         isInDoubt: false,
-        latelyEnded: [],
+        recentlyEnded: [],
         prefixes: new Map(),
         said: undefined,
         restUntil: undefined,
-        doubtUntil: undefined,
+        restartDoubtUntil: undefined,
     };
 }
 
@@ -203,8 +203,16 @@
     unread = unreadAt(view),
 ): EndpointView {
     const curve = streamCurve(survival, job.promptTokens, 0);
-    const unreadThen = unread + job.promptTokens;
-    const running: Running = { job, survival, produced: 0, dispatchedAt: now, unreadThen, started: false, curve };
+    const prefillAhead = unread + job.promptTokens;
+    const running: RunningStream = {
+        job,
+        survival,
+        produced: 0,
+        dispatchedAt: now,
+        prefillAhead,
+        started: false,
+        curve,
+    };
     return {
         ...view,
         streams: new Map(view.streams).set(job.id, running),
@@ -223,7 +231,7 @@
 }
 
 /** The endpoint after it was named as the standby of a stream's copy. */
-export function addBackup(view: EndpointView, running: Running): EndpointView {
+export function addBackup(view: EndpointView, running: RunningStream): EndpointView {
     const curve = addCurve(view.curve, running.curve, 1);
     return { ...view, backups: new Map(view.backups).set(running.job.id, running), curve };
 }
@@ -243,16 +251,16 @@
     if (!running) return view;
     const backups = new Map(view.backups);
     backups.delete(id);
-    return { ...view, backups, streams: new Map(view.streams).set(id, { ...running, wasMoved: true }) };
+    return { ...view, backups, streams: new Map(view.streams).set(id, { ...running, resumedFromCopy: true }) };
 }
 
 /** The endpoint after one of its streams, or one that it keeps a copy of, went on to `produced` tokens. */
-export function moveStream(view: EndpointView, id: string, produced: number, survival: Survival): EndpointView {
+export function advanceStream(view: EndpointView, id: string, produced: number, survival: Survival): EndpointView {
     const held = view.streams.has(id) ? "streams" : "backups";
     const running = view[held].get(id);
     if (!running) return view;
     const curve = streamCurve(survival, running.job.promptTokens + produced, produced);
-    const next: Running = { ...running, produced, survival, curve, started: true, wasMoved: false };
+    const next: RunningStream = { ...running, produced, survival, curve, started: true, resumedFromCopy: false };
     return {
         ...view,
         [held]: new Map(view[held]).set(id, next),
@@ -266,15 +274,15 @@
     if (!running) return view;
     const streams = new Map(view.streams);
     streams.delete(id);
-    const ended: LatelyEnded = {
+    const ended: RecentlyEnded = {
         dispatchedAt: running.dispatchedAt,
         endedAt: now,
         held: running.job.promptTokens + running.produced,
     };
-    const kept = view.latelyEnded.filter(old => now - old.endedAt < LONGEST_LAG_MS);
+    const kept = view.recentlyEnded.filter(old => now - old.endedAt < MAX_REPORT_LAG_MS);
     // With no stream left the sum is set to zero, so that rounding does not add up over days.
     const curve = streams.size + view.backups.size === 0 ? zeroCurve() : addCurve(view.curve, running.curve, -1);
-    return { ...view, streams, curve, latelyEnded: [...kept, ended] };
+    return { ...view, streams, curve, recentlyEnded: [...kept, ended] };
 }
 
 /**
@@ -286,7 +294,7 @@
  * takeReport(view, { at: now - 800, running: 12, waiting: 0, memoryUsed: 30_000 }, true).others.streams;
  * ```
  */
-export function takeReport(view: EndpointView, report: LoadReport, lagCorrection: boolean): EndpointView {
+export function applyReport(view: EndpointView, report: LoadReport, lagCorrection: boolean): EndpointView {
     let ownStreams = 0;
     let ownHeld = 0;
     for (const stream of view.streams.values()) {
@@ -294,7 +302,7 @@
         ownStreams += 1;
         ownHeld += stream.job.promptTokens + stream.produced;
     }
-    for (const ended of lagCorrection ? view.latelyEnded : []) {
+    for (const ended of lagCorrection ? view.recentlyEnded : []) {
         if (ended.dispatchedAt > report.at || ended.endedAt <= report.at) continue;
         ownStreams += 1;
         ownHeld += ended.held;
@@ -306,23 +314,23 @@
         begun: Math.min(streams, report.running),
         unread: 0,
         stalled: 0,
-        curve: grownLike(view, held),
+        curve: projectLikeOwn(view, held),
     };
     return { ...view, others };
 }
 
 /** A curve for memory whose streams are not known, shaped like that of own streams. */
-function grownLike(view: EndpointView, held: number): Curve {
+function projectLikeOwn(view: EndpointView, held: number): Curve {
     const curve = zeroCurve();
     const own = view.curve.mean[0]!;
     const [least, most] = GROWTH_BOUNDS;
-    for (let at = 0; at < HORIZON.length; at++) {
-        const growth = view.streams.size >= LEAST_OWN_FOR_GROWTH && own > 0
+    for (let at = 0; at < HORIZON_TOKENS.length; at++) {
+        const growth = view.streams.size >= MIN_STREAMS_FOR_GROWTH && own > 0
             ? view.curve.mean[at]! / own
             : ASSUMED_GROWTH;
         curve.mean[at] = held * Math.min(most, Math.max(least, growth));
         const ownSquare = own * own;
-        const relative = view.streams.size >= LEAST_OWN_FOR_GROWTH && ownSquare > 0
+        const relative = view.streams.size >= MIN_STREAMS_FOR_GROWTH && ownSquare > 0
             ? view.curve.variance[at]! / ownSquare
             : 0.01;
         curve.variance[at] = held * held * Math.min(1, relative);
@@ -331,10 +339,10 @@
 }
 
 /** What an owner told counts for this long; after that the host plans as if alone with its share. */
-export const TOLD_VALID_MS = 15_000;
+export const OTHERS_VALID_MS = 15_000;
 
 /** The endpoint after its owner told what others hold. */
-export function takeOthers(view: EndpointView, others: Others, now: number): EndpointView {
+export function applyOthers(view: EndpointView, others: Others, now: number): EndpointView {
     return { ...view, others, toldAt: now };
 }
 
@@ -350,7 +358,7 @@
  * ```
  */
 export function plannedShare(view: EndpointView, hosts: number, now: number): number {
-    const known = view.toldAt !== undefined && now - view.toldAt <= TOLD_VALID_MS;
+    const known = view.toldAt !== undefined && now - view.toldAt <= OTHERS_VALID_MS;
     return hosts <= 1 || known ? 1 : 1 / hosts;
 }
 
@@ -362,7 +370,7 @@
  * takeSaid(view, { limitPerS: 2.3, at: now }, now).said?.limitPerS; // 2.3
  * ```
  */
-export function takeSaid(view: EndpointView, said: Said, now: number): EndpointView {
+export function applyAnnouncedLimit(view: EndpointView, said: Said, now: number): EndpointView {
     const known = view.said;
     if (known && known.at >= said.at) return view;
     const since = known?.limitPerS === said.limitPerS ? known?.since ?? now : now;
@@ -370,7 +378,7 @@
 }
 
 /** The endpoint after it asked this host for rest. Of several times the last one counts. */
-export function takeRest(view: EndpointView, until: number): EndpointView {
+export function applyRest(view: EndpointView, until: number): EndpointView {
     return { ...view, restUntil: Math.max(until, view.restUntil ?? -Infinity) };
 }
 
@@ -382,15 +390,15 @@
 /** The endpoint after a source said whether it is leaving. */
 export function setLeaving(view: EndpointView, source: LeavingSource, leaving: boolean, now: number): EndpointView {
     const others = view.leavingBy.filter(other => other !== source);
-    return withClosing({ ...view, leavingBy: leaving ? [...others, source] : others }, now);
+    return updateClosing({ ...view, leavingBy: leaving ? [...others, source] : others }, now);
 }
 
 /** The endpoint as it is declared now; with no models where it is declared no more. */
-export function declare(view: EndpointView, cfg: EndpointCfg, now: number): EndpointView {
-    return withClosing({ ...view, cfg }, now);
+export function redeclare(view: EndpointView, cfg: EndpointCfg, now: number): EndpointView {
+    return updateClosing({ ...view, cfg }, now);
 }
 
-function withClosing(view: EndpointView, now: number): EndpointView {
+function updateClosing(view: EndpointView, now: number): EndpointView {
     const stays = view.leavingBy.length === 0 && view.cfg.models.length > 0;
     return { ...view, closingSince: stays ? undefined : view.closingSince ?? now };
 }
@@ -402,7 +410,7 @@
 const LAST_SENDS_MS = 1_000;
 
 /** Whether a stream may still go on at an endpoint that keeps its copy, as far as leaving is concerned. */
-export function mayStillGoOn({ closingSince }: EndpointView, now: number): boolean {
+export function acceptsContinuation({ closingSince }: EndpointView, now: number): boolean {
     return closingSince === undefined || now - closingSince < LAST_SENDS_MS;
 }
 
@@ -424,6 +432,6 @@
 }
 
 /** Whether an endpoint may serve a request by the halls that are allowed to it. */
-export function isAllowed({ cfg }: EndpointView, halls: readonly string[] | undefined): boolean {
+export function isHallAllowed({ cfg }: EndpointView, halls: readonly string[] | undefined): boolean {
     return halls === undefined || halls.includes(cfg.hall);
 }
--- a/packages/policy/src/fleet.ts
+++ b/packages/policy/src/fleet.ts
@@ -24,13 +24,13 @@
 export const ALONE: Fleet = { since: undefined, place: 0, live: 1, most: 1, changedAt: -Infinity, mark: 0 };
 
 /** Times at which requests were let in, by endpoint; the oldest first. Only of endpoints that are bounded. */
-export type LetIn = ReadonlyMap<string, readonly number[]>;
+export type RecentAdmissions = ReadonlyMap<string, readonly number[]>;
 
 /** By what it is judged whether one more request may be sent to an endpoint that bounds them. */
-export interface SendBounds {
+export interface AdmissionBounds {
     readonly fleet: Fleet;
     /** What this host has let into cold or limited endpoints. */
-    readonly letIn: LetIn;
+    readonly letIn: RecentAdmissions;
     /** Since when this host has owned each of its endpoints. */
     readonly ownedSince: ReadonlyMap<string, number>;
 }
--- a/packages/policy/src/forecast.ts
+++ b/packages/policy/src/forecast.ts
@@ -14,7 +14,7 @@
  * Whether a request that is sent to an endpoint now begins in time. Where nothing else is to be read it cannot begin
  * sooner anywhere, and is taken for in time.
  *
- * @param firstMs Expected time until its prompt and all before it are read.
+ * @param firstTokenMs Expected time until its prompt and all before it are read.
  * @param leftMs Time that its first token has left.
  *
  * @example
@@ -22,8 +22,8 @@
  * beginsInTime(view, readingMs(state.readingRate, unreadAt(view) + 3_000), 1_500);
  * ```
  */
-export function beginsInTime(view: EndpointView, firstMs: number, leftMs: number): boolean {
-    return unreadAt(view) === 0 || firstMs <= leftMs;
+export function startsInTime(view: EndpointView, firstTokenMs: number, leftMs: number): boolean {
+    return unreadAt(view) === 0 || firstTokenMs <= leftMs;
 }
 
 /**
@@ -38,7 +38,7 @@
  * roomIn(state.drain, 3, state.waiting[0]?.since, now);
  * ```
  */
-export function roomIn(
+export function expectedWaitMs(
     rate: DrainRate | undefined,
     place: number,
     waitingSince: number | undefined,
@@ -52,48 +52,48 @@
 }
 
 /** The times given to refused callers: each gets the next place that is forecast to be free. */
-export interface Returns {
+export interface RetryTimes {
     /** The last time that was given out. */
     readonly last: number;
     /** Since when callers have been refused again and again. */
-    readonly spellSince: number;
+    readonly overloadSince: number;
     /** When one was refused last. */
     readonly refusedAt: number;
 }
 
 /** No time given out yet. */
-export const NO_RETURNS: Returns = { last: -Infinity, spellSince: -Infinity, refusedAt: -Infinity };
+export const NO_RETRY_TIMES: RetryTimes = { last: -Infinity, overloadSince: -Infinity, refusedAt: -Infinity };
 
 /** A refusal that comes this long after the one before begins another spell of overload, in milliseconds. */
-const SPELL_GAP_MS = 2_000;
+const OVERLOAD_GAP_MS = 2_000;
 /**
  * How long an overload will go on is not known, but the longer it has lasted, the longer it lasts on average: after twice
  * the time that it has lasted, two of three such spells are over (Lindy's law, Pareto tail of index 1). Callers who came back
  * at the next free place were mostly refused again, as new ones kept coming: a replay of ten seconds of twice what the engines
  * serve has 29 of 48 served when they come back without it, 34 of 47 with it. Longer times gain nothing beyond noise.
  */
-const SPELL_FACTOR = 2;
+const OVERLOAD_FACTOR = 2;
 
 /**
  * The time to come back for one more refused caller, in milliseconds from now: after the room that is forecast, after those
  * who were refused before, and when the spell of overload has probably ended.
  *
- * @param roomMs When room is forecast.
- * @param everyMs Time between two places that come free.
+ * @param capacityMs When room is forecast.
+ * @param intervalMs Time between two places that come free.
  *
  * @example
  * ```ts
- * const { returns, afterMs } = nextReturn(state.returns, 400, 50, now);
+ * const { retryTimes, afterMs } = nextRetryTime(state.retryTimes, 400, 50, now);
  * ```
  */
-export function nextReturn(
-    returns: Returns,
-    roomMs: number,
-    everyMs: number,
+export function nextRetryTime(
+    retryTimes: RetryTimes,
+    capacityMs: number,
+    intervalMs: number,
     now: number,
-): { readonly returns: Returns; readonly afterMs: number } {
-    const spellSince = now - returns.refusedAt < SPELL_GAP_MS ? returns.spellSince : now;
-    const overAt = now + SPELL_FACTOR * (now - spellSince);
-    const at = Math.max(now + roomMs, returns.last + everyMs, overAt);
-    return { returns: { last: at, spellSince, refusedAt: now }, afterMs: at - now };
+): { readonly retryTimes: RetryTimes; readonly afterMs: number } {
+    const overloadSince = now - retryTimes.refusedAt < OVERLOAD_GAP_MS ? retryTimes.overloadSince : now;
+    const recoveryAt = now + OVERLOAD_FACTOR * (now - overloadSince);
+    const at = Math.max(now + capacityMs, retryTimes.last + intervalMs, recoveryAt);
+    return { retryTimes: { last: at, overloadSince, refusedAt: now }, afterMs: at - now };
 }
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,13 +1,15 @@
 export { advise } from "./advise.js";
 export { jobsToEvacuate, keepsCopy } from "./backups.js";
-export { type Breaker, CLOSED, mayUse, onResult, onUnreachable, onUnused, onUse } from "./breaker.js";
-export { assess, type Candidate, usable } from "./choose.js";
-export { allowance, coldUntil, isCold } from "./cold.js";
-export { type Demand, demandOf, type Wanted, wantedOf } from "./demand.js";
-export { mayLetIn, maySend } from "./endpoint-admission.js";
-export { isLimited, limitPart } from "./endpoint-limit.js";
+export { allowsRequest, type Breaker, CLOSED, onInconclusive, onResult, onSent, onUnreachable } from "./breaker.js";
+export { assess, type Candidate, usableEndpoints } from "./choose.js";
+export { coldAllowance, coldUntil, isCold } from "./cold.js";
+export { type Demand, demandOf, profileOf, type RequestProfile } from "./demand.js";
+export { mayAdmit, maySend } from "./endpoint-admission.js";
+export { isLimited, limitShare } from "./endpoint-limit.js";
 export { EndpointTable } from "./endpoint-table.js";
 export {
+    applyOthers,
+    applyReport,
     type ColdCfg,
     createEndpoint,
     type EndpointCfg,
@@ -16,34 +18,32 @@
     type LeavingSource,
     type LoadReport,
     type Others,
+    OTHERS_VALID_MS,
     plannedShare,
-    type Running,
+    type RunningStream,
     type Said,
     saysLeaving,
     stalledStreams,
     streamCount,
-    takeOthers,
-    takeReport,
     takesNew,
-    TOLD_VALID_MS,
     unreadAt,
     unreadTokens,
 } from "./endpoint.js";
 export { ALONE, type Fleet } from "./fleet.js";
-export { beginsInTime, nextReturn, NO_RETURNS, type Returns, roomIn } from "./forecast.js";
+export { expectedWaitMs, nextRetryTime, NO_RETRY_TIMES, type RetryTimes, startsInTime } from "./forecast.js";
 export { DEFAULT_VARIANT, type Job, type JobPolicy, type Priority, PRIORITY_RANK, type Variant } from "./job.js";
 export {
+    BUCKET_EDGES,
     chanceToReach,
     createEstimates,
-    EDGES,
-    type Estimates,
-    type Group,
-    knownLength,
+    type LengthEstimates,
     meanLength,
     observe,
     quantileLength,
+    type RequestGroup,
     type Survival,
     survivalOf,
+    survivalOfKnownLength,
 } from "./length-estimate.js";
 export {
     budgetOf,
@@ -61,20 +61,20 @@
     readAheadBytes,
     totalHeld,
 } from "./memory-account.js";
-export { addCurve, type Curve, HORIZON, peakOf, streamCurve, zeroCurve } from "./memory-curve.js";
+export { addCurve, type Curve, HORIZON_TOKENS, peakOf, streamCurve, zeroCurve } from "./memory-curve.js";
 export { batchWithin, createPace, observePace, type PaceFit, type PaceLine, paceLine } from "./pace.js";
 export { NO_PAUSES, observePauses, pauseChance, type PauseTable } from "./pause-risk.js";
-export type { Advice, Question } from "./placement-question.js";
-export { createReadingRate, observeReading, readingMs, type ReadingRate } from "./prefill-rate.js";
+export type { PlacementAdvice, Question } from "./placement-question.js";
+export { createPrefillRate, observePrefill, prefillMs, type PrefillRate } from "./prefill-rate.js";
 export {
     countRequest,
     createFleetBudget,
     createRetryBudget,
     earnRetry,
-    type FleetBudget,
+    type FleetRetryBudget,
     type RetryBudget,
+    spendRepeat,
     spendRetry,
-    takeRepeat,
 } from "./retry-budget.js";
 export {
     type Asked,
@@ -89,13 +89,13 @@
 } from "./scheduler-state.js";
 export { canGoOn, decide, isProgressDue, PROGRESS_EVERY } from "./scheduler.js";
 export {
-    type Estimate,
     estimateOf,
     observeSpeed,
     type Residual,
-    type Speed,
-    speedAge,
-    takeToldSpeed,
+    speedAgeMs,
+    type SpeedEstimate,
+    type SpeedEvidence,
+    speedFromTold,
     type ToldSpeed,
     toldSpeedOf,
     UNKNOWN_SPEED,
@@ -103,7 +103,7 @@
 export {
     comparePool,
     EMPTY_POOL,
-    expectedFirstMs,
+    expectedFirstTokenMs,
     expectedGapMs,
     observePool,
     residualOf,
@@ -112,8 +112,15 @@
     type SpeedPool,
     type SpeedPools,
 } from "./speed-pool.js";
-export { addShown, NOTHING_SHOWN, type Sample, samplesOf, type Shown, shownSince } from "./speed-samples.js";
-export { kindOf, type KnownSpeed, knownSpeed, poolOf } from "./speed-tracking.js";
+export {
+    addSpeedSample,
+    NOTHING_SHOWN,
+    samplesFromSums,
+    type Shown,
+    shownSince,
+    type SpeedSample,
+} from "./speed-samples.js";
+export { type KnownSpeed, knownSpeed, poolKeyOf, poolOf } from "./speed-tracking.js";
 export {
     createLimits,
     type LimitRefusal,
--- a/packages/policy/src/job.ts
+++ b/packages/policy/src/job.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Group } from "./length-estimate.js";
+import type { RequestGroup } from "./length-estimate.js";
 
 /** Rank of a request's class; the higher goes first and is displaced last. */
 export const PRIORITY_RANK = { live: 20, normal: 10, batch: 0 } as const;
@@ -36,7 +36,7 @@
 /** A request as decisions see it. */
 export interface Job {
     readonly id: string;
-    readonly group: Group;
+    readonly group: RequestGroup;
     readonly promptTokens: number;
     readonly maxTokens: number;
     /** Name of the prompt's shared start, or `""`. */
--- a/packages/policy/src/length-estimate.ts
+++ b/packages/policy/src/length-estimate.ts
@@ -11,11 +11,14 @@
 import { emptyMap, getIn, setIn, type ShardMap } from "./shard-map.js";
 
 /** Lower edges of the buckets, in tokens: about two a doubling, up to 92,681. */
-export const EDGES: readonly number[] = [0, ...Array.from({ length: 28 }, (_, i) => Math.round(8 * 2 ** (i / 2)))];
+export const BUCKET_EDGES: readonly number[] = [
+    0,
+    ...Array.from({ length: 28 }, (_, i) => Math.round(8 * 2 ** (i / 2))),
+];
 /** How many outputs of the narrow group weigh as much as the wider group's rate. */
 export const PRIOR_STRENGTH = 8;
 /** Chance to end within a bucket where nothing at all is known: a median of about 180 tokens with a heavy tail. */
-const UNKNOWN_HAZARD = 0.085;
+const DEFAULT_HAZARD = 0.085;
 /** Evidence above this many outputs a bucket is scaled down, so that yesterday's habits fade. */
 const MAX_EVIDENCE = 400;
 /** Largest chance to end in one bucket that is believed; keeps logarithms finite. */
@@ -28,12 +31,12 @@
 }
 
 /** Evidence of all groups. */
-export interface Estimates {
+export interface LengthEstimates {
     readonly tables: ShardMap<LifeTable>;
 }
 
 /** Whose outputs to look at. */
-export interface Group {
+export interface RequestGroup {
     readonly workspace: string;
     readonly service: string;
     readonly model: string;
@@ -47,22 +50,22 @@
 }
 
 /** No evidence at all. */
-export function createEstimates(): Estimates {
+export function createEstimates(): LengthEstimates {
     return { tables: emptyMap() };
 }
 
 /** A group's own key and those of the wider groups around it, the widest first. */
-function groupKeys({ workspace, service, model }: Group): readonly string[] {
+function groupKeys({ workspace, service, model }: RequestGroup): readonly string[] {
     return ["", `m|${model}`, `s|${service}|${model}`, `w|${workspace}|${service}|${model}`];
 }
 
 /** The bucket that holds a token count. */
 function bucketOf(tokens: number): number {
     let low = 0;
-    let high = EDGES.length - 1;
+    let high = BUCKET_EDGES.length - 1;
     while (low < high) {
         const mid = (low + high + 1) >> 1;
-        if (EDGES[mid]! <= tokens) low = mid;
+        if (BUCKET_EDGES[mid]! <= tokens) low = mid;
         else high = mid - 1;
     }
     return low;
@@ -80,7 +83,13 @@
  * estimates = observe(estimates, group, 64, 90, true);
  * ```
  */
-export function observe(estimates: Estimates, group: Group, from: number, to: number, ended: boolean): Estimates {
+export function observe(
+    estimates: LengthEstimates,
+    group: RequestGroup,
+    from: number,
+    to: number,
+    ended: boolean,
+): LengthEstimates {
     const first = from === 0 ? 0 : bucketOf(from) + 1;
     const last = bucketOf(to);
     if (first > last && !ended) return estimates;
@@ -92,8 +101,8 @@
 }
 
 function addEvidence(table: LifeTable | undefined, first: number, last: number, ended: boolean): LifeTable {
-    const entered = table ? table.entered.slice() : new Float32Array(EDGES.length);
-    const died = table ? table.ended.slice() : new Float32Array(EDGES.length);
+    const entered = table ? table.entered.slice() : new Float32Array(BUCKET_EDGES.length);
+    const died = table ? table.ended.slice() : new Float32Array(BUCKET_EDGES.length);
     for (let at = first; at <= last; at++) {
         entered[at]! += 1;
         if (entered[at]! > MAX_EVIDENCE) fade(entered, died, at);
@@ -116,11 +125,11 @@
  * chanceToReach(lengths, 100, 500); // of those that reached 100 tokens, the share that reaches 500
  * ```
  */
-export function survivalOf(estimates: Estimates, group: Group, maxTokens: number): Survival {
+export function survivalOf(estimates: LengthEstimates, group: RequestGroup, maxTokens: number): Survival {
     const tables = groupKeys(group).map(key => getIn(estimates.tables, key));
-    const logSurvival = new Float64Array(EDGES.length + 1);
-    for (let at = 0; at < EDGES.length; at++) {
-        let hazard = UNKNOWN_HAZARD;
+    const logSurvival = new Float64Array(BUCKET_EDGES.length + 1);
+    for (let at = 0; at < BUCKET_EDGES.length; at++) {
+        let hazard = DEFAULT_HAZARD;
         for (const table of tables) {
             if (!table) continue;
             hazard = (table.ended[at]! + PRIOR_STRENGTH * hazard) / (table.entered[at]! + PRIOR_STRENGTH);
@@ -131,14 +140,14 @@
 }
 
 /** Survival of an output whose length is known: for the all-knowing comparison in measurements. */
-export function knownLength(tokens: number): Survival {
-    return { logSurvival: new Float64Array(EDGES.length + 1), maxTokens: tokens };
+export function survivalOfKnownLength(tokens: number): Survival {
+    return { logSurvival: new Float64Array(BUCKET_EDGES.length + 1), maxTokens: tokens };
 }
 
 function logSurvivalAt(survival: Survival, tokens: number): number {
     const at = bucketOf(tokens);
-    const low = EDGES[at]!;
-    const high = EDGES[at + 1] ?? low * 2;
+    const low = BUCKET_EDGES[at]!;
+    const high = BUCKET_EDGES[at + 1] ?? low * 2;
     const share = Math.min(1, (tokens - low) / (high - low));
     const from = survival.logSurvival[at]!;
     return from + share * (survival.logSurvival[at + 1]! - from);
@@ -170,7 +179,7 @@
     let mean = 0;
     let from = 0;
     let reached = 1;
-    for (const edge of [...EDGES.slice(1), EDGES.at(-1)! * 2]) {
+    for (const edge of [...BUCKET_EDGES.slice(1), BUCKET_EDGES.at(-1)! * 2]) {
         const to = Math.min(edge, survival.maxTokens);
         // Just below the caller's bound: at it, none goes on.
         const next = Math.exp(logSurvivalAt(survival, to));
@@ -192,7 +201,7 @@
  */
 export function quantileLength(survival: Survival, from: number, share: number): number {
     let low = from;
-    let high = Math.min(survival.maxTokens, EDGES.at(-1)! * 2);
+    let high = Math.min(survival.maxTokens, BUCKET_EDGES.at(-1)! * 2);
     while (high - low > 1) {
         const mid = Math.floor((low + high) / 2);
         if (chanceToReach(survival, from, mid) > 1 - share) low = mid;
--- a/packages/policy/src/memory-account.ts
+++ b/packages/policy/src/memory-account.ts
@@ -42,14 +42,14 @@
 }
 
 /** What a host needs before it holds anything for a call: the runtime, the program, and what it knows of a fleet. */
-const REST_BYTES = 80_000_000;
+const BASELINE_BYTES = 80_000_000;
 /**
  * The budget's part of what is left above that. The other half is for what no account sees: objects and garbage of calls, and the
  * system's buffers of each connection, in which what is not read yet waits.
  */
 const BUDGET_SHARE = 0.5;
 /** A host of any size can take in a body of 4 MB: who is refused it would come back in vain. */
-const LEAST_BUDGET_BYTES = 6_000_000;
+const MIN_BUDGET_BYTES = 6_000_000;
 /** Answers together may hold this part of the budget by reading ahead, so that readers who do not read keep no bodies out. */
 const ANSWERS_SHARE = 0.5;
 /** What waits for peers may hold this part: it is soft state, which is sent again. */
@@ -57,11 +57,11 @@
 /** Bodies are taken in up to this part; the rest is for the answers of calls that run. */
 const BODIES_SHARE = 0.75;
 /** A budget that was full has room again below this part: the log tells of each filling once. */
-const ROOM_SHARE = 0.5;
+const REOPEN_SHARE = 0.5;
 /** Any answer is read ahead this far: a stream buffers as much by itself. */
-const LEAST_AHEAD_BYTES = 16_384;
+const MIN_READ_AHEAD_BYTES = 16_384;
 
-const NOTHING: HeldBytes = { body: 0, answer: 0, unread: 0, link: 0 };
+const NOTHING_HELD: HeldBytes = { body: 0, answer: 0, unread: 0, link: 0 };
 
 /**
  * The budget of a host with so much memory in all.
@@ -72,12 +72,12 @@
  * ```
  */
 export function budgetOf(memoryBytes: number): number {
-    return Math.max(LEAST_BUDGET_BYTES, (memoryBytes - REST_BYTES) * BUDGET_SHARE);
+    return Math.max(MIN_BUDGET_BYTES, (memoryBytes - BASELINE_BYTES) * BUDGET_SHARE);
 }
 
 /** An account of a host that holds nothing. */
 export function createAccount(budgetBytes: number): MemoryAccount {
-    return { budgetBytes, held: NOTHING };
+    return { budgetBytes, held: NOTHING_HELD };
 }
 
 /** The account after what is held of a kind grew by some bytes, or shrank. */
@@ -108,7 +108,7 @@
 export function readAheadBytes(account: MemoryAccount): number {
     const { budgetBytes, held } = account;
     const left = budgetBytes * ANSWERS_SHARE - held.answer - held.unread;
-    return Math.max(LEAST_AHEAD_BYTES, Math.min(left, budgetBytes - totalHeld(account)));
+    return Math.max(MIN_READ_AHEAD_BYTES, Math.min(left, budgetBytes - totalHeld(account)));
 }
 
 /** How much may wait for one peer before what is sent to it is dropped: what the links' part has left. */
@@ -125,7 +125,7 @@
 
 /** Whether the budget is full: it takes in nothing new. One that was full is so until it has room again. */
 export function isFull(account: MemoryAccount, wasFull: boolean): boolean {
-    const share = wasFull ? ROOM_SHARE : BODIES_SHARE;
+    const share = wasFull ? REOPEN_SHARE : BODIES_SHARE;
     return totalHeld(account) > account.budgetBytes * share;
 }
 
--- a/packages/policy/src/memory-curve.ts
+++ b/packages/policy/src/memory-curve.ts
@@ -10,7 +10,7 @@
 import { chanceToReach, type Survival } from "./length-estimate.js";
 
 /** Points of the horizon, in tokens from now. Streams of one engine advance together, a token a step. */
-export const HORIZON: readonly number[] = [0, 32, 96, 224, 480, 992, 2_016, 4_064, 8_160];
+export const HORIZON_TOKENS: readonly number[] = [0, 32, 96, 224, 480, 992, 2_016, 4_064, 8_160];
 
 /** Mean and variance of the tokens held at each point of the horizon. */
 export interface Curve {
@@ -20,7 +20,7 @@
 
 /** Nothing held. */
 export function zeroCurve(): Curve {
-    return { mean: new Float64Array(HORIZON.length), variance: new Float64Array(HORIZON.length) };
+    return { mean: new Float64Array(HORIZON_TOKENS.length), variance: new Float64Array(HORIZON_TOKENS.length) };
 }
 
 /**
@@ -36,7 +36,7 @@
  */
 export function streamCurve(survival: Survival, held: number, produced: number): Curve {
     const curve = zeroCurve();
-    for (const [at, ahead] of HORIZON.entries()) {
+    for (const [at, ahead] of HORIZON_TOKENS.entries()) {
         const alive = chanceToReach(survival, produced, produced + ahead);
         const size = held + ahead;
         curve.mean[at] = alive * size;
@@ -55,7 +55,7 @@
  */
 export function addCurve(a: Curve, b: Curve, weight: number): Curve {
     const sum = zeroCurve();
-    for (let at = 0; at < HORIZON.length; at++) {
+    for (let at = 0; at < HORIZON_TOKENS.length; at++) {
         sum.mean[at] = a.mean[at]! + weight * b.mean[at]!;
         sum.variance[at] = Math.max(0, a.variance[at]! + weight * b.variance[at]!);
     }
@@ -72,7 +72,7 @@
  */
 export function peakOf(curves: readonly Curve[], z: number): number {
     let peak = 0;
-    for (let at = 0; at < HORIZON.length; at++) {
+    for (let at = 0; at < HORIZON_TOKENS.length; at++) {
         let mean = 0;
         let variance = 0;
         for (const curve of curves) {
--- a/packages/policy/src/pace.ts
+++ b/packages/policy/src/pace.ts
@@ -49,7 +49,7 @@
 }
 
 /** A fit of one sample, without anything assumed of the base. */
-export function paceOf(batch: number, gap: number): PaceFit {
+export function paceOfSample(batch: number, gap: number): PaceFit {
     const nothing = { weight: 0, sumBatch: 0, sumGap: 0, sumBatchSquared: 0, sumBatchGap: 0, margin: START_MARGIN_MS };
     return addSample(nothing, batch, gap, 1, 1);
 }
@@ -86,9 +86,9 @@
 export function paceLine(fit: PaceFit): PaceLine {
     const meanBatch = fit.sumBatch / fit.weight;
     const meanGap = fit.sumGap / fit.weight;
-    const spread = fit.sumBatchSquared / fit.weight - meanBatch * meanBatch;
-    const together = fit.sumBatchGap / fit.weight - meanBatch * meanGap;
-    const perStream = spread > 1 ? Math.max(0, together / spread) : PRIOR.perStream;
+    const batchVariance = fit.sumBatchSquared / fit.weight - meanBatch * meanBatch;
+    const covariance = fit.sumBatchGap / fit.weight - meanBatch * meanGap;
+    const perStream = batchVariance > 1 ? Math.max(0, covariance / batchVariance) : PRIOR.perStream;
     return { base: Math.max(0, meanGap - perStream * meanBatch), perStream };
 }
 
--- a/packages/policy/src/pause-risk.ts
+++ b/packages/policy/src/pause-risk.ts
@@ -52,10 +52,10 @@
  * pauseChance(table, 180 / 70, 190);
  * ```
  */
-export function pauseChance({ pieces, reached }: PauseTable, ratio: number, ahead: number): number {
-    if (pieces <= 0 || ahead <= 0) return 0;
+export function pauseChance({ pieces, reached }: PauseTable, ratio: number, piecesAhead: number): number {
+    if (pieces <= 0 || piecesAhead <= 0) return 0;
     // One pause of a stretch is counted, the longest: pauses come in groups, when an endpoint is slow for a while.
-    return -Math.expm1(-reachedAt(reached, ratio) / pieces * ahead);
+    return -Math.expm1(-reachedAt(reached, ratio) / pieces * piecesAhead);
 }
 
 /** Stretches whose longest pause was at least so many times the expected gap. */
--- a/packages/policy/src/placement-question.ts
+++ b/packages/policy/src/placement-question.ts
@@ -24,7 +24,7 @@
 }
 
 /** Where the request goes. */
-export interface Advice {
+export interface PlacementAdvice {
     /** Undefined where only a standby was sought. */
     readonly endpoint: string | undefined;
     /** Endpoint that keeps the copy; undefined where none has room or none is wanted. */
--- a/packages/policy/src/prefill-rate.ts
+++ b/packages/policy/src/prefill-rate.ts
@@ -5,7 +5,7 @@
  */
 
 /** Decayed sums over requests that began: prompt tokens ahead of their first token, and the time until it came. */
-export interface ReadingRate {
+export interface PrefillRate {
     readonly tokens: number;
     readonly ms: number;
 }
@@ -13,10 +13,10 @@
 /** Of ten requests back, a sample still weighs three quarters: a rate follows a change of the fleet within a few dozen. */
 const RATE_DECAY = 0.97;
 /** Counts until the first requests have begun: as one prompt of a thousand tokens that took a tenth of a second. */
-const PRIOR: ReadingRate = { tokens: 1_000, ms: 100 };
+const PRIOR: PrefillRate = { tokens: 1_000, ms: 100 };
 
 /** The rate before any request began. */
-export function createReadingRate(): ReadingRate {
+export function createPrefillRate(): PrefillRate {
     return PRIOR;
 }
 
@@ -31,12 +31,12 @@
  * readingMs(observeReading(createReadingRate(), 4_000, 300), 1_000);
  * ```
  */
-export function observeReading(rate: ReadingRate, tokens: number, ms: number): ReadingRate {
+export function observePrefill(rate: PrefillRate, tokens: number, ms: number): PrefillRate {
     if (tokens <= 0) return rate;
     return { tokens: rate.tokens * RATE_DECAY + tokens, ms: rate.ms * RATE_DECAY + ms };
 }
 
 /** Expected time until so many prompt tokens are read, in milliseconds. */
-export function readingMs({ tokens, ms }: ReadingRate, unread: number): number {
+export function prefillMs({ tokens, ms }: PrefillRate, unread: number): number {
     return unread * ms / tokens;
 }
--- a/packages/policy/src/queue-order.ts
+++ b/packages/policy/src/queue-order.ts
@@ -6,13 +6,13 @@
 import { type Job, PRIORITY_RANK } from "./job.js";
 
 /** A request that waits. */
-export interface Waiting {
+export interface WaitingRequest {
     readonly job: Job;
     readonly since: number;
     readonly avoid: readonly string[];
     readonly retry: boolean;
     /** When an owner last said that no endpoint has room; it is not asked again at once. */
-    readonly noRoomAt?: number;
+    readonly noCapacityAt?: number;
 }
 
 /** How fast waiting requests are started, as a decayed mean; `undefined` before two starts were seen. */
@@ -29,13 +29,13 @@
 const DRAIN_DECAY = 0.9;
 
 /** How urgent a waiting request is; the higher goes first. `share` is its workspace's part of the running streams. */
-export function urgency(waiting: Waiting, share: number, now: number): number {
+export function urgency(waiting: WaitingRequest, share: number, now: number): number {
     const age = (now - waiting.since) / AGE_PER_CLASS_MS * CLASS_STEP;
     return PRIORITY_RANK[waiting.job.policy.priority] + age - SHARE_WEIGHT * share;
 }
 
 /** The drain rate after a waiting request was started; it had waited since `since`. */
-export function onStart(rate: DrainRate | undefined, now: number, since = -Infinity): DrainRate {
+export function observeStart(rate: DrainRate | undefined, now: number, since = -Infinity): DrainRate {
     if (!rate) return { lastStart: now, meanMs: 0 };
     // Time in which nothing waited says nothing about how fast waiting requests are started.
     const gap = now - Math.max(rate.lastStart, since);
--- a/packages/policy/src/retry-budget.ts
+++ b/packages/policy/src/retry-budget.ts
@@ -12,7 +12,7 @@
 
 /** What a key starts with and may save up at most, in retries. */
 const START_CREDIT = 3;
-const MOST_CREDIT = 20;
+const MAX_CREDIT = 20;
 
 /** A budget in which every key has its first few retries. */
 export function createRetryBudget(): RetryBudget {
@@ -33,7 +33,7 @@
  */
 export function earnRetry(budget: RetryBudget, keys: readonly string[], share: number): RetryBudget {
     let credit = budget.credit;
-    for (const key of keys) credit = setIn(credit, key, Math.min(MOST_CREDIT, creditOf(budget, key) + share));
+    for (const key of keys) credit = setIn(credit, key, Math.min(MAX_CREDIT, creditOf(budget, key) + share));
     return { credit };
 }
 
@@ -46,7 +46,7 @@
 }
 
 /** Repeated sends that a host may make: its part of what all hosts together may, in any window. */
-export interface FleetBudget {
+export interface FleetRetryBudget {
     /** Length of the window, in milliseconds. */
     readonly windowMs: number;
     /** Repeated sends for each request of this host. */
@@ -54,7 +54,7 @@
     /** Repeated sends of all hosts together beyond that, in each window. */
     readonly slack: number;
     /** The most hosts that were alive at a time: one that is cut off must not take the others' parts. */
-    readonly mostHosts: number;
+    readonly maxHosts: number;
     /** Requests and repeated sends of this host, by the part of the window that they fell into; the oldest first. */
     readonly slices: readonly Slice[];
 }
@@ -80,11 +80,11 @@
  * createFleetBudget({ windowMs: 10_000, ratio: 0.2, slack: 50 });
  * ```
  */
-export function createFleetBudget(bounds: Pick<FleetBudget, "windowMs" | "ratio" | "slack">): FleetBudget {
-    return { ...bounds, mostHosts: ASSUMED_HOSTS, slices: [] };
+export function createFleetBudget(bounds: Pick<FleetRetryBudget, "windowMs" | "ratio" | "slack">): FleetRetryBudget {
+    return { ...bounds, maxHosts: ASSUMED_HOSTS, slices: [] };
 }
 
-function count(budget: FleetBudget, now: number, requests: number, repeats: number): FleetBudget {
+function count(budget: FleetRetryBudget, now: number, requests: number, repeats: number): FleetRetryBudget {
     const number = Math.floor(now / budget.windowMs * SLICES);
     // The window before the current one's begin may still count: one slice more is kept.
     const kept = budget.slices.filter(slice => slice.number >= number - SLICES && slice.number !== number);
@@ -94,7 +94,7 @@
 }
 
 /** The budget after a request came in. */
-export function countRequest(budget: FleetBudget, now: number): FleetBudget {
+export function countRequest(budget: FleetRetryBudget, now: number): FleetRetryBudget {
     return count(budget, now, 1, 0);
 }
 
@@ -109,11 +109,11 @@
  * if (!paid) refuse();
  * ```
  */
-export function takeRepeat(budget: FleetBudget, hosts: number, now: number): FleetBudget | undefined {
+export function spendRepeat(budget: FleetRetryBudget, hosts: number, now: number): FleetRetryBudget | undefined {
     const current = count(budget, now, 0, 0);
     const requests = current.slices.reduce((sum, slice) => sum + slice.requests, 0);
     const repeats = current.slices.reduce((sum, slice) => sum + slice.repeats, 0);
-    const mostHosts = Math.max(budget.mostHosts, hosts);
-    const allowed = USED_SHARE * (budget.ratio * requests + budget.slack / mostHosts);
-    return repeats + 1 <= allowed ? { ...count(current, now, 0, 1), mostHosts } : undefined;
+    const maxHosts = Math.max(budget.maxHosts, hosts);
+    const allowed = USED_SHARE * (budget.ratio * requests + budget.slack / maxHosts);
+    return repeats + 1 <= allowed ? { ...count(current, now, 0, 1), maxHosts } : undefined;
 }
--- a/packages/policy/src/scheduler-state.ts
+++ b/packages/policy/src/scheduler-state.ts
@@ -3,64 +3,64 @@
  *
  * @module
  */
-import type { Remembered } from "./departed-endpoints.js";
+import type { RetainedStates } from "./departed-endpoints.js";
 import { EndpointTable } from "./endpoint-table.js";
 import type { EndpointCfg, EndpointView, LeavingSource, LoadReport, Others, Said } from "./endpoint.js";
-import { ALONE, type SendBounds } from "./fleet.js";
-import { NO_RETURNS, type Returns } from "./forecast.js";
+import { type AdmissionBounds, ALONE } from "./fleet.js";
+import { NO_RETRY_TIMES, type RetryTimes } from "./forecast.js";
 import { DEFAULT_VARIANT, type Job, type Variant } from "./job.js";
-import { createEstimates, type Estimates } from "./length-estimate.js";
+import { createEstimates, type LengthEstimates } from "./length-estimate.js";
 import type { Question } from "./placement-question.js";
-import { createReadingRate, type ReadingRate } from "./prefill-rate.js";
-import type { DrainRate, Waiting } from "./queue-order.js";
-import { createRetryBudget, type FleetBudget, type RetryBudget } from "./retry-budget.js";
+import { createPrefillRate, type PrefillRate } from "./prefill-rate.js";
+import type { DrainRate, WaitingRequest } from "./queue-order.js";
+import { createRetryBudget, type FleetRetryBudget, type RetryBudget } from "./retry-budget.js";
 import { emptyMap, type ShardMap } from "./shard-map.js";
 import type { ToldSpeed } from "./speed-estimate.js";
 import type { SpeedPools } from "./speed-pool.js";
 import type { Shown } from "./speed-samples.js";
 
 /** All that one host knows for its decisions. */
-export interface SchedulerState extends SendBounds {
+export interface SchedulerState extends AdmissionBounds {
     readonly variant: Variant;
     /** Live hosts of the hall, this one included. */
     readonly hosts: number;
     readonly endpoints: EndpointTable;
     /** What endpoints said that are declared no more. */
-    readonly remembered: Remembered;
-    readonly waiting: readonly Waiting[];
-    readonly estimates: Estimates;
-    readonly retries: RetryBudget;
+    readonly remembered: RetainedStates;
+    readonly waiting: readonly WaitingRequest[];
+    readonly estimates: LengthEstimates;
+    readonly retryBudget: RetryBudget;
     /** Bounds repeated sends in place of `retries`, where hosts share one budget. */
-    readonly fleetRetries: FleetBudget | undefined;
+    readonly fleetRetryBudget: FleetRetryBudget | undefined;
     /** Hall whose endpoints are preferred; undefined where all are of one hall. */
     readonly hall: string | undefined;
-    readonly drain: DrainRate | undefined;
-    readonly readingRate: ReadingRate;
+    readonly drainRate: DrainRate | undefined;
+    readonly prefillRate: PrefillRate;
     readonly speeds: SpeedPools;
-    readonly returns: Returns;
+    readonly retryTimes: RetryTimes;
     /** Endpoint of each running request. */
     readonly placed: ShardMap<string>;
     /** Endpoint that keeps a copy of each running request that has one. */
-    readonly backedUp: ShardMap<string>;
+    readonly standbys: ShardMap<string>;
     /** Endpoints that this host owns. */
     readonly owned: ReadonlySet<string>;
     /** Requests whose endpoint's owner was asked and has not answered. */
     readonly asked: ReadonlyMap<string, Asked>;
     /** Running requests for which an owner was asked who keeps their copy. */
-    readonly askedStandby: ReadonlyMap<string, AskedStandby>;
+    readonly askedStandby: ReadonlyMap<string, PendingStandbyAsk>;
     /** Turn of round robin, and the seed of two choices; advances with each choice. */
     readonly turn: number;
 }
 
 /** A request that waits for an owner's word; its stream is already counted on the endpoint. */
 export interface Asked {
-    readonly waiting: Waiting;
+    readonly waiting: WaitingRequest;
     readonly endpoint: string;
     readonly at: number;
 }
 
 /** A running request whose next standby an owner was asked for. */
-export interface AskedStandby {
+export interface PendingStandbyAsk {
     /** `evacuate`: its endpoint is leaving. `continue`: it goes on at another endpoint as soon as the standby is known. */
     readonly purpose: "evacuate" | "continue";
     readonly at: number;
@@ -181,7 +181,7 @@
 /** What differs from host to host. */
 export interface SchedulerOptions {
     readonly hall?: string | undefined;
-    readonly retries?: FleetBudget | undefined;
+    readonly retries?: FleetRetryBudget | undefined;
 }
 
 /**
@@ -200,19 +200,19 @@
     return {
         variant,
         hall,
-        fleetRetries: retries,
+        fleetRetryBudget: retries,
         hosts: 1,
         endpoints: EndpointTable.of([]),
         remembered: new Map(),
         waiting: [],
         estimates: createEstimates(),
-        retries: createRetryBudget(),
-        drain: undefined,
-        readingRate: createReadingRate(),
+        retryBudget: createRetryBudget(),
+        drainRate: undefined,
+        prefillRate: createPrefillRate(),
         speeds: new Map(),
-        returns: NO_RETURNS,
+        retryTimes: NO_RETRY_TIMES,
         placed: emptyMap(),
-        backedUp: emptyMap(),
+        standbys: emptyMap(),
         owned: new Set(),
         ownedSince: new Map(),
         fleet: ALONE,
@@ -224,7 +224,7 @@
 }
 
 /** The state with one endpoint changed; an unknown one changes nothing. */
-export function withView(
+export function updateEndpoint(
     state: SchedulerState,
     id: string,
     change: (view: EndpointView) => EndpointView,
--- a/packages/policy/src/scheduler.ts
+++ b/packages/policy/src/scheduler.ts
@@ -6,50 +6,50 @@
  *
  * @module
  */
-import { arrive, drain } from "./admission-queue.js";
+import { onArrival, serveQueue } from "./admission-queue.js";
 import { dropBackup, evacuate } from "./backups.js";
-import { onResult, onUnreachable, onWayBack } from "./breaker.js";
+import { onReachable, onResult, onUnreachable } from "./breaker.js";
 import { BACKUP_ROOM_SHARE, EVACUATION_ROOM_SHARE } from "./choose.js";
-import { mayGoOnAt } from "./cold.js";
-import { recall, remember } from "./departed-endpoints.js";
+import { mayContinueWhileCold } from "./cold.js";
+import { restoreRetained, retainDeparted } from "./departed-endpoints.js";
 import { askStandby, decideStandbyAlone, dispatch, wantsBackup } from "./dispatch.js";
-import { withLetIn } from "./endpoint-admission.js";
-import { isLimited, limitLetsIn } from "./endpoint-limit.js";
+import { recordAdmission } from "./endpoint-admission.js";
+import { isLimited, limitAdmits } from "./endpoint-limit.js";
 import { EndpointTable } from "./endpoint-table.js";
 import {
+    acceptsContinuation,
+    applyAnnouncedLimit,
+    applyOthers,
+    applyReport,
+    applyRest,
     createEndpoint,
-    declare,
     isResting,
-    mayStillGoOn,
     promoteBackup,
+    redeclare,
     removeStream,
-    type Running,
+    type RunningStream,
     setLeaving,
-    takeOthers,
-    takeReport,
-    takeRest,
-    takeSaid,
 } from "./endpoint.js";
-import { answered, decideAlone } from "./owner-answers.js";
-import { takeBack } from "./place.js";
-import { isServed, NO_ENDPOINT_RETRY_MS, refuse } from "./refusal.js";
+import { decideAlone, onOwnerAnswer } from "./owner-answers.js";
+import { cancelAsk } from "./place.js";
+import { isServable, NO_ENDPOINT_RETRY_MS, refuse } from "./refusal.js";
 import {
     type Decision,
     type SchedulerAction,
     type SchedulerEvent,
     type SchedulerState,
-    withView,
+    updateEndpoint,
 } from "./scheduler-state.js";
 import { deleteIn, getIn, setIn } from "./shard-map.js";
-import { takeShown, takeTold } from "./speed-tracking.js";
-import { ended, progress } from "./stream-events.js";
+import { applyToldSpeed, recordPeerSums } from "./speed-tracking.js";
+import { onEnded, onProgress } from "./stream-events.js";
 
 /** An owner that has not answered by then is not waited for: the host decides by what it knows. */
 const ASK_TIMEOUT_MS = 100;
 
-/** Progress is told at the first token, then this often up to {@link PROGRESS_EARLY}, then at {@link PROGRESS_EVERY}. */
-const PROGRESS_FIRST = 16;
-const PROGRESS_EARLY = 64;
+/** Progress is told at the first token, then this often up to {@link EARLY_PROGRESS_UNTIL}, then at {@link PROGRESS_EVERY}. */
+const EARLY_PROGRESS_EVERY = 16;
+const EARLY_PROGRESS_UNTIL = 64;
 /** Tokens between two reports of progress of a long stream. */
 export const PROGRESS_EVERY = 64;
 
@@ -64,7 +64,7 @@
  */
 export function isProgressDue(produced: number): boolean {
     if (produced === 1) return true;
-    return produced % (produced <= PROGRESS_EARLY ? PROGRESS_FIRST : PROGRESS_EVERY) === 0;
+    return produced % (produced <= EARLY_PROGRESS_UNTIL ? EARLY_PROGRESS_EVERY : PROGRESS_EVERY) === 0;
 }
 
 type Handler<K extends SchedulerEvent["kind"]> = (
@@ -90,26 +90,31 @@
     endpoints: (state, { endpoints }, now) => {
         const declared = endpoints.map(cfg => {
             const known = state.endpoints.get(cfg.id);
-            return known ? declare(known, cfg, now) : recall(createEndpoint(cfg, now), state.remembered, now);
+            return known
+                ? redeclare(known, cfg, now)
+                : restoreRetained(createEndpoint(cfg, now), state.remembered, now);
         });
         const names = new Set(endpoints.map(cfg => cfg.id));
         const gone = state.endpoints.values().filter(view => !names.has(view.cfg.id));
         // An endpoint that is no longer declared keeps its streams until they end.
         const left = gone.filter(view => view.streams.size + view.backups.size > 0)
-            .map(view => declare(view, { ...view.cfg, models: [] }, now));
+            .map(view => redeclare(view, { ...view.cfg, models: [] }, now));
         const next = EndpointTable.of([...declared, ...left]);
-        return drain({ ...state, endpoints: next, remembered: remember(state.remembered, gone, now) }, now);
+        return serveQueue({ ...state, endpoints: next, remembered: retainDeparted(state.remembered, gone, now) }, now);
     },
     leaving: (state, { endpoint, source, leaving }, now) => {
         const known = state.endpoints.get(endpoint)?.leavingBy.includes(source);
         if (known === undefined || known === leaving) return { state, actions: [] };
-        const changed = withView(state, endpoint, view => setLeaving(view, source, leaving, now));
-        return drain(changed, now);
+        const changed = updateEndpoint(state, endpoint, view => setLeaving(view, source, leaving, now));
+        return serveQueue(changed, now);
     },
     report: (state, { endpoint, report }, now) => {
         // With owners, the account of what others hold is newer than any report.
         if (state.variant.share === "owner" && state.hosts > 1) return { state, actions: [] };
-        return drain(withView(state, endpoint, view => takeReport(view, report, state.variant.lagCorrection)), now);
+        return serveQueue(
+            updateEndpoint(state, endpoint, view => applyReport(view, report, state.variant.lagCorrection)),
+            now,
+        );
     },
     hosts: (state, { count, place = 0, unheard = 0, mark = 0 }, now) => {
         const { since = now, most, ...known } = state.fleet;
@@ -118,41 +123,41 @@
         return { state: { ...state, hosts: count, fleet }, actions: [] };
     },
     letIn: (state, { endpoint }, now) => {
-        const letIn = withLetIn(state.letIn, state.endpoints.get(endpoint), now);
+        const letIn = recordAdmission(state.letIn, state.endpoints.get(endpoint), now);
         return { state: { ...state, letIn }, actions: [] };
     },
     owns: (state, { endpoints }, now) => {
         const ownedSince = new Map(endpoints.map(id => [id, state.ownedSince.get(id) ?? now]));
         return { state: { ...state, owned: new Set(endpoints), ownedSince }, actions: [] };
     },
-    answer: answered,
+    answer: onOwnerAnswer,
     others: (state, { endpoint, others, speed }, now) => {
-        const taken = withView(state, endpoint, view => takeOthers(view, others, now));
-        return drain(speed ? takeTold(taken, endpoint, speed, now) : taken, now);
+        const taken = updateEndpoint(state, endpoint, view => applyOthers(view, others, now));
+        return serveQueue(speed ? applyToldSpeed(taken, endpoint, speed, now) : taken, now);
     },
     shown: (state, { host, endpoint, shown }, now) => ({
-        state: takeShown(state, host, endpoint, shown, now),
+        state: recordPeerSums(state, host, endpoint, shown, now),
         actions: [],
     }),
-    arrive: (state, { job, avoid, retry }, now) => arrive(state, { job, avoid, retry, since: now }, now),
+    arrive: (state, { job, avoid, retry }, now) => onArrival(state, { job, avoid, retry, since: now }, now),
     // Room that grows while streams run is found at the next tick: a search on each progress would cost far more.
-    progress: (state, event, now) => ({ state: progress(state, event, now), actions: [] }),
-    ended: (state, { job, outcome, produced }, now) => drain(ended(state, job, outcome, produced, now), now),
-    continue: (state, { job, failed }, now) => continueOn(state, job, failed, now),
+    progress: (state, event, now) => ({ state: onProgress(state, event, now), actions: [] }),
+    ended: (state, { job, outcome, produced }, now) => serveQueue(onEnded(state, job, outcome, produced, now), now),
+    continue: (state, { job, failed }, now) => continueAtStandby(state, job, failed, now),
     evacuate: (state, { job }, now) =>
         askStandby(state, job, "evacuate", EVACUATION_ROOM_SHARE, now) ?? evacuate(state, job, now),
     said: (state, { endpoint, said }, now) => ({
-        state: withView(state, endpoint, view => takeSaid(view, said, now)),
+        state: updateEndpoint(state, endpoint, view => applyAnnouncedLimit(view, said, now)),
         actions: [],
     }),
     rest: (state, { endpoint, until }) => ({
-        state: withView(state, endpoint, view => takeRest(view, until)),
+        state: updateEndpoint(state, endpoint, view => applyRest(view, until)),
         actions: [],
     }),
     doubt: (state, { endpoint, until }, now) =>
-        drain(withView(state, endpoint, view => ({ ...view, doubtUntil: until })), now),
+        serveQueue(updateEndpoint(state, endpoint, view => ({ ...view, restartDoubtUntil: until })), now),
     unreachable: (state, { endpoint }, now) => ({
-        state: withView(state, endpoint, view => ({ ...view, breaker: onUnreachable(view.breaker, now) })),
+        state: updateEndpoint(state, endpoint, view => ({ ...view, breaker: onUnreachable(view.breaker, now) })),
         actions: [],
     }),
     reach: (state, { doubted, back }, now) => {
@@ -160,10 +165,10 @@
             state.endpoints.values().map(view => ({
                 ...view,
                 isInDoubt: doubted.halls.includes(view.cfg.hall) || doubted.endpoints.includes(view.cfg.id),
-                breaker: back.includes(view.cfg.hall) ? onWayBack(view.breaker, now) : view.breaker,
+                breaker: back.includes(view.cfg.hall) ? onReachable(view.breaker, now) : view.breaker,
             })),
         );
-        return drain({ ...state, endpoints }, now);
+        return serveQueue({ ...state, endpoints }, now);
     },
     copyLost: (state, { job }) => ({ state: dropBackup(state, job), actions: [] }),
     lifeOver: (state, { endpoint }) => {
@@ -172,7 +177,7 @@
     },
     withdraw: (state, { job }, now) => {
         const waiting = state.waiting.filter(other => other.job.id !== job);
-        return { state: { ...takeBack(state, job, now), waiting }, actions: [] };
+        return { state: { ...cancelAsk(state, job, now), waiting }, actions: [] };
     },
     tick: (state, _event, now) => {
         const actions: SchedulerAction[] = [];
@@ -189,7 +194,7 @@
             next = settled.state;
             actions.push(...settled.actions);
         }
-        const drained = drain(next, now);
+        const drained = serveQueue(next, now);
         return { state: drained.state, actions: [...actions, ...drained.actions] };
     },
 };
@@ -197,20 +202,20 @@
 /** The copy from which a request may go on now. */
 interface UsableCopy {
     readonly standby: string;
-    readonly running: Running;
+    readonly running: RunningStream;
 }
 
 function usableCopy(state: SchedulerState, job: string, now: number): UsableCopy | undefined {
-    const standby = getIn(state.backedUp, job);
+    const standby = getIn(state.standbys, job);
     const keeper = standby === undefined ? undefined : state.endpoints.get(standby);
     const running = keeper?.backups.get(job);
     if (standby === undefined || !keeper || !running) return undefined;
     const isOpen = keeper.cfg.isEvacuated !== true
-        && mayStillGoOn(keeper, now)
+        && acceptsContinuation(keeper, now)
         && !isResting(keeper, now)
-        && mayGoOnAt(keeper, running.job.promptTokens, now)
-        && limitLetsIn(keeper, state.letIn.get(standby) ?? [], state.fleet, now);
-    return isOpen && isServed(state, running.job) ? { standby, running } : undefined;
+        && mayContinueWhileCold(keeper, running.job.promptTokens, now)
+        && limitAdmits(keeper, state.letIn.get(standby) ?? [], state.fleet, now);
+    return isOpen && isServable(state, running.job) ? { standby, running } : undefined;
 }
 
 /**
@@ -226,24 +231,24 @@
 }
 
 /** Lets a request go on at the endpoint that keeps its copy; refused where no such endpoint is left. */
-function continueOn(state: SchedulerState, job: string, failed: boolean, now: number): Decision {
+function continueAtStandby(state: SchedulerState, job: string, failed: boolean, now: number): Decision {
     const source = getIn(state.placed, job);
     const copy = usableCopy(state, job, now);
     if (source === undefined || !copy) {
         return { state, actions: [refuse(job, "noEndpoint", "no endpoint keeps a copy", NO_ENDPOINT_RETRY_MS)] };
     }
     const { standby, running } = copy;
-    const left = withView(state, source, view => ({
+    const left = updateEndpoint(state, source, view => ({
         ...removeStream(view, job, now),
         breaker: failed ? onResult(view.breaker, false, now) : view.breaker,
     }));
-    const promoted = withView(left, standby, view => promoteBackup(view, job));
+    const promoted = updateEndpoint(left, standby, view => promoteBackup(view, job));
     const keeper = promoted.endpoints.get(standby)!;
     const next = {
         ...promoted,
         placed: setIn(promoted.placed, job, standby),
-        backedUp: deleteIn(promoted.backedUp, job),
-        letIn: isLimited(keeper) ? withLetIn(promoted.letIn, keeper, now) : promoted.letIn,
+        standbys: deleteIn(promoted.standbys, job),
+        letIn: isLimited(keeper) ? recordAdmission(promoted.letIn, keeper, now) : promoted.letIn,
     };
     const asks = wantsBackup(next, running.job) ? askStandby(next, job, "continue", BACKUP_ROOM_SHARE, now) : undefined;
     return asks ?? dispatch(next, running.job, standby, now);
--- a/packages/policy/src/speed-pool.ts
+++ b/packages/policy/src/speed-pool.ts
@@ -8,10 +8,10 @@
  *
  * @module
  */
-import { observePace, type PaceFit, paceLine, paceOf } from "./pace.js";
+import { observePace, type PaceFit, paceLine, paceOfSample } from "./pace.js";
 import { BUCKET_LOG, NO_PAUSES, observePauses, type PauseTable } from "./pause-risk.js";
-import { type Estimate, estimateOf, type Residual, type Speed } from "./speed-estimate.js";
-import type { Sample, StretchShown } from "./speed-samples.js";
+import { estimateOf, type Residual, type SpeedEstimate, type SpeedEvidence } from "./speed-estimate.js";
+import type { SpeedSample, StretchSample } from "./speed-samples.js";
 
 /** Of 500 samples back, a sample still weighs a third. */
 const DECAY = 0.998;
@@ -19,17 +19,17 @@
 const PRIOR_VARIANCE = 0.25;
 const PRIOR_SAMPLES = 4;
 /** A sample counts as no further off than so many deviations: wild ones must not decide (Huber 1964, for normal samples). */
-const MOST_DEVIATIONS = 1.345;
+const HUBER_DEVIATIONS = 1.345;
 /** Mean square of normal deviates that are so bounded: without it the bound would shrink with the scatter that it leaves. */
-const BOUNDED_SQUARE = 0.71;
+const CLIPPED_MEAN_SQUARE = 0.71;
 /** Deviations beyond what chance gives from which endpoints count as uneven: a fleet of alike ones is served as such. */
-const SURE_DEVIATIONS = 3;
+const SIGNIFICANT_DEVIATIONS = 3;
 
 /** Finer than pauses are told apart an endpoint need not be known; and one whose samples hardly scatter may still change. */
-const LEAST_VARIANCE = BUCKET_LOG ** 2;
+const MIN_VARIANCE = BUCKET_LOG ** 2;
 
 /** A decayed sum and its weight. */
-interface Decayed {
+interface DecayedMean {
     readonly weight: number;
     readonly sum: number;
 }
@@ -37,9 +37,9 @@
 /** What is known of all endpoints of a kind. */
 export interface SpeedPool {
     /** Mean logarithms: of a first token's time per unread token, and of a gap against the line over the batch. */
-    readonly levels: { readonly [K in Sample["kind"]]: Decayed };
+    readonly levels: { readonly [K in SpeedSample["kind"]]: DecayedMean };
     /** Squared deviations of samples from their endpoint's mean. */
-    readonly noise: { readonly [K in Sample["kind"]]: Decayed };
+    readonly noise: { readonly [K in SpeedSample["kind"]]: DecayedMean };
     /** Gaps of the mean endpoint over its batch; undefined before any. */
     readonly pace: PaceFit | undefined;
     readonly pauses: PauseTable;
@@ -62,13 +62,13 @@
     readonly deviation: number;
 }
 
-const NOTHING: Decayed = { weight: 0, sum: 0 };
-const UNKNOWN_NOISE: Decayed = { weight: PRIOR_SAMPLES, sum: PRIOR_SAMPLES * PRIOR_VARIANCE };
+const NO_VALUES: DecayedMean = { weight: 0, sum: 0 };
+const PRIOR_NOISE: DecayedMean = { weight: PRIOR_SAMPLES, sum: PRIOR_SAMPLES * PRIOR_VARIANCE };
 
 /** Endpoints of which nothing was seen. */
 export const EMPTY_POOL: SpeedPool = {
-    levels: { first: NOTHING, stretch: NOTHING },
-    noise: { first: UNKNOWN_NOISE, stretch: UNKNOWN_NOISE },
+    levels: { first: NO_VALUES, stretch: NO_VALUES },
+    noise: { first: PRIOR_NOISE, stretch: PRIOR_NOISE },
     pace: undefined,
     pauses: NO_PAUSES,
     mean: 0,
@@ -76,19 +76,19 @@
     comparedAt: -Infinity,
 };
 
-const ALIKE: Slowness = { log: 0, deviation: 0 };
+const NO_DIFFERENCE: Slowness = { log: 0, deviation: 0 };
 
-function add({ weight, sum }: Decayed, value: number): Decayed {
+function addValue({ weight, sum }: DecayedMean, value: number): DecayedMean {
     return { weight: weight * DECAY + 1, sum: sum * DECAY + value };
 }
 
-function meanOf({ weight, sum }: Decayed): number {
+function meanOf({ weight, sum }: DecayedMean): number {
     return weight > 0 ? sum / weight : 0;
 }
 
 /** Variance of a sample of an endpoint, on the logarithmic scale. */
-export function noiseOf(pool: SpeedPool, kind: Sample["kind"]): number {
-    return Math.max(LEAST_VARIANCE, meanOf(pool.noise[kind]));
+export function noiseOf(pool: SpeedPool, kind: SpeedSample["kind"]): number {
+    return Math.max(MIN_VARIANCE, meanOf(pool.noise[kind]));
 }
 
 /**
@@ -99,8 +99,8 @@
  * Math.exp(slownessOf(pool, view.speed, now).log); // 1.67 where it takes two thirds longer
  * ```
  */
-export function slownessOf({ mean, variance }: SpeedPool, speed: Speed, now: number): Slowness {
-    if (variance === 0) return ALIKE;
+export function slownessOf({ mean, variance }: SpeedPool, speed: SpeedEvidence, now: number): Slowness {
+    if (variance === 0) return NO_DIFFERENCE;
     const known = estimateOf(speed, now);
     if (known.weight === 0) return { log: 0, deviation: Math.sqrt(variance) };
     const share = known.weight * variance / (known.weight * variance + 1);
@@ -123,7 +123,7 @@
  *
  * @param log The endpoint's slowness, as a natural logarithm.
  */
-export function expectedFirstMs(
+export function expectedFirstTokenMs(
     { levels: { first } }: SpeedPool,
     log: number,
     unread: number,
@@ -134,24 +134,24 @@
 /** What a sample of an endpoint says; undefined where it says nothing. */
 export function residualOf(
     pool: SpeedPool,
-    speed: Speed,
+    speed: SpeedEvidence,
     batch: number,
-    sample: Sample,
+    sample: SpeedSample,
     now: number,
 ): Residual | undefined {
-    const seen = logOf(pool, batch, sample);
-    if (seen === undefined) return undefined;
+    const observed = logTimeOf(pool, batch, sample);
+    if (observed === undefined) return undefined;
     const known = estimateOf(speed, now);
     const noise = noiseOf(pool, sample.kind);
     const centre = known.weight > 0 ? known.mean : pool.mean;
-    const around = known.weight > 0 ? 1 / known.weight : Math.max(noise, pool.variance);
-    const most = MOST_DEVIATIONS * Math.sqrt(noise + around);
-    const deviation = Math.min(most, Math.max(-most, seen - meanOf(pool.levels[sample.kind]) - centre));
+    const uncertainty = known.weight > 0 ? 1 / known.weight : Math.max(noise, pool.variance);
+    const bound = HUBER_DEVIATIONS * Math.sqrt(noise + uncertainty);
+    const deviation = Math.min(bound, Math.max(-bound, observed - meanOf(pool.levels[sample.kind]) - centre));
     return { value: centre + deviation, deviation, weight: 1 / noise };
 }
 
 /** A sample's time on the logarithmic scale: per unread token, or against the line over the batch. */
-function logOf({ pace, levels }: SpeedPool, batch: number, sample: Sample): number | undefined {
+function logTimeOf({ pace, levels }: SpeedPool, batch: number, sample: SpeedSample): number | undefined {
     if (sample.kind === "first") {
         if (!(sample.unread > 0) || !(sample.ms > 0)) return undefined;
         const log = Math.log(sample.ms / sample.unread);
@@ -168,56 +168,73 @@
  * @param speed What is known of the endpoint, before the sample.
  * @param batch Streams that run there.
  */
-export function observePool(pool: SpeedPool, speed: Speed, batch: number, sample: Sample, now: number): SpeedPool {
+export function observePool(
+    pool: SpeedPool,
+    speed: SpeedEvidence,
+    batch: number,
+    sample: SpeedSample,
+    now: number,
+): SpeedPool {
     const residual = residualOf(pool, speed, batch, sample, now);
-    if (!residual) return firstOfKind(pool, batch, sample);
+    if (!residual) return startFrom(pool, batch, sample);
     const { kind } = sample;
     const slowness = slownessOf(pool, speed, now);
     const level = meanOf(pool.levels[kind]);
-    const plain = level + residual.value - slowness.log;
+    const adjusted = level + residual.value - slowness.log;
     return {
         ...pool,
-        levels: { ...pool.levels, [kind]: add(pool.levels[kind], plain) },
-        noise: { ...pool.noise, [kind]: addNoise(pool, speed, kind, residual, now) },
-        ...(sample.kind === "stretch" ? addGap(pool, batch, sample, plain) : {}),
-        pauses: addPauses(pool, estimateOf(speed, now), batch, sample),
+        levels: { ...pool.levels, [kind]: addValue(pool.levels[kind], adjusted) },
+        noise: { ...pool.noise, [kind]: observeNoise(pool, speed, kind, residual, now) },
+        ...(sample.kind === "stretch" ? observeGap(pool, batch, sample, adjusted) : {}),
+        pauses: observePausesOf(pool, estimateOf(speed, now), batch, sample),
     };
 }
 
-function firstOfKind(pool: SpeedPool, batch: number, sample: Sample): SpeedPool {
+function startFrom(pool: SpeedPool, batch: number, sample: SpeedSample): SpeedPool {
     if (sample.kind === "first") {
         if (!(sample.unread > 0) || !(sample.ms > 0)) return pool;
-        const level = add(NOTHING, Math.log(sample.ms / sample.unread));
+        const level = addValue(NO_VALUES, Math.log(sample.ms / sample.unread));
         return { ...pool, levels: { ...pool.levels, first: level } };
     }
     if (!(sample.meanGapMs > 0) || pool.pace) return pool;
-    return { ...pool, pace: paceOf(batch, sample.meanGapMs) };
+    return { ...pool, pace: paceOfSample(batch, sample.meanGapMs) };
 }
 
 /** A deviation from a mean of few samples is larger than that from the true mean. */
-function addNoise(pool: SpeedPool, speed: Speed, kind: Sample["kind"], { deviation }: Residual, now: number): Decayed {
+function observeNoise(
+    pool: SpeedPool,
+    speed: SpeedEvidence,
+    kind: SpeedSample["kind"],
+    { deviation }: Residual,
+    now: number,
+): DecayedMean {
     const { weight } = estimateOf(speed, now);
     const noise = pool.noise[kind];
     if (weight === 0) return noise;
     const samples = weight * noiseOf(pool, kind);
-    return add(noise, deviation * deviation / BOUNDED_SQUARE * samples / (samples + 1));
+    return addValue(noise, deviation * deviation / CLIPPED_MEAN_SQUARE * samples / (samples + 1));
 }
 
 /** The line after a stretch. `plain` is its gap's logarithm against the line, as of the mean endpoint. */
-function addGap(
+function observeGap(
     { pace }: SpeedPool,
     batch: number,
-    { longestMs }: StretchShown,
-    plain: number,
+    { longestMs }: StretchSample,
+    adjusted: number,
 ): Partial<SpeedPool> {
     if (!pace) return {};
     const { base, perStream } = paceLine(pace);
-    const gapMs = (base + perStream * batch) * Math.exp(plain);
+    const gapMs = (base + perStream * batch) * Math.exp(adjusted);
     return { pace: observePace(pace, batch, gapMs, longestMs) };
 }
 
 /** The pauses after a sample of an endpoint whose own gap is well known; what else is seen has no measure. */
-function addPauses(pool: SpeedPool, { mean, weight }: Estimate, batch: number, sample: Sample): PauseTable {
+function observePausesOf(
+    pool: SpeedPool,
+    { mean, weight }: SpeedEstimate,
+    batch: number,
+    sample: SpeedSample,
+): PauseTable {
     const { pauses } = pool;
     if (sample.kind === "first" || weight * BUCKET_LOG ** 2 < 1) return pauses;
     const gapMs = expectedGapMs(pool, mean - pool.mean, batch);
@@ -232,22 +249,22 @@
  * comparePool(pool, views.map(view => estimateOf(view.speed, now))).variance; // 0 where they may well be alike
  * ```
  */
-export function comparePool(pool: SpeedPool, estimates: readonly Estimate[]): SpeedPool {
+export function comparePool(pool: SpeedPool, estimates: readonly SpeedEstimate[]): SpeedPool {
     const known = estimates.filter(({ weight }) => weight > 0);
     const sum = known.reduce((total, { weight }) => total + weight, 0);
     if (known.length < 2) return { ...pool, variance: 0 };
     const mean = known.reduce((total, estimate) => total + estimate.weight * estimate.mean, 0) / sum;
     const squares = known.reduce((total, estimate) => total + estimate.weight * (estimate.mean - mean) ** 2, 0);
     const byChance = known.length - 1;
-    const isSure = squares > byChance + SURE_DEVIATIONS * Math.sqrt(2 * byChance);
+    const isSure = squares > byChance + SIGNIFICANT_DEVIATIONS * Math.sqrt(2 * byChance);
     if (!isSure) return { ...pool, mean, variance: 0 };
     const scale = sum - known.reduce((total, { weight }) => total + weight * weight, 0) / sum;
     const variance = (squares - byChance) / scale;
-    return { ...pool, mean: betweenMean(known, variance), variance };
+    return { ...pool, mean: meanOfUneven(known, variance), variance };
 }
 
 /** The mean of endpoints that differ: one that was seen often counts for little more than another. */
-function betweenMean(known: readonly Estimate[], variance: number): number {
+function meanOfUneven(known: readonly SpeedEstimate[], variance: number): number {
     let sum = 0;
     let total = 0;
     for (const { mean, weight } of known) {
--- a/packages/policy/src/speed-samples.ts
+++ b/packages/policy/src/speed-samples.ts
@@ -5,7 +5,7 @@
  */
 
 /** The time that a request's first token took. */
-export interface FirstShown {
+export interface FirstTokenSample {
     readonly kind: "first";
     /** Prompt tokens that were unread when it was sent, its own included. */
     readonly unread: number;
@@ -13,7 +13,7 @@
 }
 
 /** A stretch of a stream between two reports of its progress. Times are milliseconds. */
-export interface StretchShown {
+export interface StretchSample {
     readonly kind: "stretch";
     /** Pauses in it, one for each piece. */
     readonly pieces: number;
@@ -22,7 +22,7 @@
 }
 
 /** One sample of an endpoint's speed. */
-export type Sample = FirstShown | StretchShown;
+export type SpeedSample = FirstTokenSample | StretchSample;
 
 /** Sums of samples: they only grow, so that what is new is a difference. Times are milliseconds. */
 export interface Shown {
@@ -49,7 +49,7 @@
 };
 
 /** The sums with one more sample. */
-export function addShown(shown: Shown, sample: Sample): Shown {
+export function addSpeedSample(shown: Shown, sample: SpeedSample): Shown {
     if (sample.kind === "first") {
         return {
             ...shown,
@@ -77,33 +77,33 @@
  * ```
  */
 export function shownSince(shown: Shown, told: Shown): Shown | undefined {
-    const isAnew = shown.firsts < told.firsts || shown.stretches < told.stretches;
-    const from = isAnew ? NOTHING_SHOWN : told;
-    if (shown.firsts === from.firsts && shown.stretches === from.stretches) return undefined;
+    const wasReset = shown.firsts < told.firsts || shown.stretches < told.stretches;
+    const base = wasReset ? NOTHING_SHOWN : told;
+    if (shown.firsts === base.firsts && shown.stretches === base.stretches) return undefined;
     return {
-        firsts: shown.firsts - from.firsts,
-        unread: shown.unread - from.unread,
-        firstMs: shown.firstMs - from.firstMs,
-        stretches: shown.stretches - from.stretches,
-        pieces: shown.pieces - from.pieces,
-        gapMs: shown.gapMs - from.gapMs,
-        longestMs: shown.longestMs - from.longestMs,
+        firsts: shown.firsts - base.firsts,
+        unread: shown.unread - base.unread,
+        firstMs: shown.firstMs - base.firstMs,
+        stretches: shown.stretches - base.stretches,
+        pieces: shown.pieces - base.pieces,
+        gapMs: shown.gapMs - base.gapMs,
+        longestMs: shown.longestMs - base.longestMs,
     };
 }
 
 /** Streams report their progress at least after so many pieces. */
-const MOST_PIECES = 64;
+const MAX_PIECES = 64;
 
 /** Told sums as samples: one of each kind at most, and of no more pieces than there can be, whatever a host claims to have seen. */
-export function samplesOf(
+export function samplesFromSums(
     { firsts, unread, firstMs, stretches, pieces, gapMs, longestMs }: Shown,
-): readonly Sample[] {
-    const samples: Sample[] = [];
+): readonly SpeedSample[] {
+    const samples: SpeedSample[] = [];
     if (firsts > 0) samples.push({ kind: "first", unread: unread / firsts, ms: firstMs / firsts });
     if (stretches > 0) {
         samples.push({
             kind: "stretch",
-            pieces: Math.min(MOST_PIECES, pieces / stretches),
+            pieces: Math.min(MAX_PIECES, pieces / stretches),
             meanGapMs: gapMs / stretches,
             longestMs: longestMs / stretches,
         });
--- a/packages/policy/src/speed-tracking.ts
+++ b/packages/policy/src/speed-tracking.ts
@@ -5,8 +5,8 @@
  * @module
  */
 import { type EndpointView, streamCount } from "./endpoint.js";
-import { type SchedulerState, withView } from "./scheduler-state.js";
-import { estimateOf, observeSpeed, speedAge, takeToldSpeed, type ToldSpeed } from "./speed-estimate.js";
+import { type SchedulerState, updateEndpoint } from "./scheduler-state.js";
+import { estimateOf, observeSpeed, speedAgeMs, speedFromTold, type ToldSpeed } from "./speed-estimate.js";
 import {
     comparePool,
     EMPTY_POOL,
@@ -17,52 +17,61 @@
     type SpeedPool,
     type SpeedPools,
 } from "./speed-pool.js";
-import { addShown, type Sample, samplesOf, type Shown } from "./speed-samples.js";
+import { addSpeedSample, samplesFromSums, type Shown, type SpeedSample } from "./speed-samples.js";
 
 /** This host among those that show something of an endpoint. */
-const OWN = "";
+const OWN_HOST = "";
 /** Endpoints are compared this often at most, in milliseconds: rarer than samples come to an owner of many. */
-const COMPARE_MS = 100;
+const COMPARE_INTERVAL_MS = 100;
 
 /** Endpoints of a kind run the same models, and are compared with each other. */
-export function kindOf({ cfg }: EndpointView): string {
+export function poolKeyOf({ cfg }: EndpointView): string {
     return cfg.models.join(" ");
 }
 
 /** What is known of the endpoints of this one's kind. */
 export function poolOf(pools: SpeedPools, view: EndpointView): SpeedPool {
-    return pools.get(kindOf(view)) ?? EMPTY_POOL;
+    return pools.get(poolKeyOf(view)) ?? EMPTY_POOL;
 }
 
 /** The state after an own stream showed something; it is told to the endpoint's owner as well. */
-export function showOwn(state: SchedulerState, endpoint: string, sample: Sample, now: number): SchedulerState {
-    const judges = state.hosts <= 1 || state.owned.has(endpoint);
-    const shown = withView(state, endpoint, view => ({ ...view, shown: addShown(view.shown, sample) }));
-    return take(shown, endpoint, [sample], judges ? OWN : undefined, now);
+export function recordOwnSample(
+    state: SchedulerState,
+    endpoint: string,
+    sample: SpeedSample,
+    now: number,
+): SchedulerState {
+    const estimatesHere = state.hosts <= 1 || state.owned.has(endpoint);
+    const shown = updateEndpoint(state, endpoint, view => ({ ...view, shown: addSpeedSample(view.shown, sample) }));
+    return recordSamples(shown, endpoint, [sample], estimatesHere ? OWN_HOST : undefined, now);
 }
 
 /** The state after another host told, as to its owner, what its streams showed of an endpoint. */
-export function takeShown(
+export function recordPeerSums(
     state: SchedulerState,
     host: string,
     endpoint: string,
     shown: Shown,
     now: number,
 ): SchedulerState {
-    return take(state, endpoint, samplesOf(shown), host, now);
+    return recordSamples(state, endpoint, samplesFromSums(shown), host, now);
 }
 
 /** The state after an owner told what it knows of an endpoint's speed. */
-export function takeTold(state: SchedulerState, endpoint: string, told: ToldSpeed, now: number): SchedulerState {
+export function applyToldSpeed(state: SchedulerState, endpoint: string, told: ToldSpeed, now: number): SchedulerState {
     if (state.owned.has(endpoint)) return state;
-    return compare(withView(state, endpoint, view => ({ ...view, speed: takeToldSpeed(told, now) })), endpoint, now);
+    return refreshPool(
+        updateEndpoint(state, endpoint, view => ({ ...view, speed: speedFromTold(told, now) })),
+        endpoint,
+        now,
+    );
 }
 
 /** @param host The host that saw the samples; undefined where this one does not estimate the speed, but hears of it from the owner. */
-function take(
+function recordSamples(
     state: SchedulerState,
     endpoint: string,
-    samples: readonly Sample[],
+    samples: readonly SpeedSample[],
     host: string | undefined,
     now: number,
 ): SchedulerState {
@@ -78,20 +87,20 @@
         if (!residual || host === undefined) continue;
         speed = observeSpeed(speed, residual, host, now);
     }
-    const speeds = new Map(state.speeds).set(kindOf(view), pool);
-    const next = withView({ ...state, speeds }, endpoint, known => ({ ...known, speed }));
-    return host !== undefined ? compare(next, endpoint, now) : next;
+    const speeds = new Map(state.speeds).set(poolKeyOf(view), pool);
+    const next = updateEndpoint({ ...state, speeds }, endpoint, known => ({ ...known, speed }));
+    return host !== undefined ? refreshPool(next, endpoint, now) : next;
 }
 
 /** The state after the endpoints of one's kind were compared, unless they just were. */
-function compare(state: SchedulerState, endpoint: string, now: number): SchedulerState {
+function refreshPool(state: SchedulerState, endpoint: string, now: number): SchedulerState {
     const view = state.endpoints.get(endpoint);
     if (!view) return state;
-    const kind = kindOf(view);
+    const kind = poolKeyOf(view);
     const known = poolOf(state.speeds, view);
-    if (now - known.comparedAt < COMPARE_MS) return state;
+    if (now - known.comparedAt < COMPARE_INTERVAL_MS) return state;
     const estimates = state.endpoints.values()
-        .filter(other => kindOf(other) === kind)
+        .filter(other => poolKeyOf(other) === kind)
         .map(({ speed }) => estimateOf(speed, now));
     const pool = { ...comparePool(known, estimates), comparedAt: now };
     return { ...state, speeds: new Map(state.speeds).set(kind, pool) };
@@ -112,5 +121,5 @@
  * ```
  */
 export function knownSpeed({ speeds }: Pick<SchedulerState, "speeds">, view: EndpointView, now: number): KnownSpeed {
-    return { ...slownessOf(poolOf(speeds, view), view.speed, now), ageMs: speedAge(view.speed, now) };
+    return { ...slownessOf(poolOf(speeds, view), view.speed, now), ageMs: speedAgeMs(view.speed, now) };
 }
--- a/packages/policy/src/workspace-limits.ts
+++ b/packages/policy/src/workspace-limits.ts
@@ -70,7 +70,7 @@
     };
 }
 
-function timeTo(missing: number, perMinute: number): number | undefined {
+function refillMs(missing: number, perMinute: number): number | undefined {
     return perMinute === 0 ? undefined : Math.ceil(missing / perMinute * MINUTE_MS);
 }
 
@@ -81,14 +81,14 @@
     }
     if (usage.requests < 1) {
         const used = limits.requestsPerMinute - Math.floor(usage.requests);
-        const resetMs = timeTo(1 - usage.requests, limits.requestsPerMinute);
+        const resetMs = refillMs(1 - usage.requests, limits.requestsPerMinute);
         return { kind: "limitReached", limit: "requestsPerMinute", allowed: limits.requestsPerMinute, used, resetMs };
     }
     if (usage.tokens < tokens) {
         const used = limits.tokensPerMinute - Math.floor(usage.tokens);
         const resetMs = tokens > limits.tokensPerMinute
             ? undefined
-            : timeTo(tokens - usage.tokens, limits.tokensPerMinute);
+            : refillMs(tokens - usage.tokens, limits.tokensPerMinute);
         return { kind: "limitReached", limit: "tokensPerMinute", allowed: limits.tokensPerMinute, used, resetMs };
     }
     return undefined;
--- a/packages/policy/test/backups.test.ts
+++ b/packages/policy/test/backups.test.ts
@@ -6,14 +6,14 @@
     decide,
     DEFAULT_VARIANT,
     type EndpointCfg,
-    type FleetBudget,
+    expectedWaitMs,
+    type FleetRetryBudget,
     type Job,
     jobsToEvacuate,
     keepsCopy,
-    roomIn,
     type SchedulerEvent,
     type SchedulerState,
-    takeRepeat,
+    spendRepeat,
     type Variant,
 } from "../src/index.js";
 import { makeJob } from "./job.js";
@@ -293,17 +293,17 @@
     t.is(placedAfter(["a1", "a2"]), "own");
 });
 
-function budgetAfter(requests: number, now = 0): FleetBudget {
+function budgetAfter(requests: number, now = 0): FleetRetryBudget {
     let budget = createFleetBudget({ windowMs: 10_000, ratio: 0.2, slack: 60 });
     for (let at = 0; at < requests; at++) budget = countRequest(budget, now);
     return budget;
 }
 
-function repeatsOf(start: FleetBudget, hosts: number, now = 0): number {
-    let budget: FleetBudget | undefined = start;
+function repeatsOf(start: FleetRetryBudget, hosts: number, now = 0): number {
+    let budget: FleetRetryBudget | undefined = start;
     let taken = 0;
     for (;;) {
-        budget = takeRepeat(budget, hosts, now);
+        budget = spendRepeat(budget, hosts, now);
         if (!budget) return taken;
         taken += 1;
     }
@@ -319,17 +319,17 @@
 
 test("a host that sees few others does not take their parts", t => {
     let budget = budgetAfter(0);
-    budget = takeRepeat(budget, 20, 0)!;
+    budget = spendRepeat(budget, 20, 0)!;
     t.true(repeatsOf(budget, 1) <= repeatsOf(budgetAfter(0), 20));
 });
 
 test("the budget forgets what left its window, and only that", t => {
     const used = budgetAfter(200);
     const most = repeatsOf(used, 6);
-    let spent: FleetBudget = used;
-    for (let at = 0; at < most; at++) spent = takeRepeat(spent, 6, 0)!;
-    t.is(takeRepeat(spent, 6, 9_000), undefined);
-    t.not(takeRepeat(spent, 6, 12_000), undefined);
+    let spent: FleetRetryBudget = used;
+    for (let at = 0; at < most; at++) spent = spendRepeat(spent, 6, 0)!;
+    t.is(spendRepeat(spent, 6, 9_000), undefined);
+    t.not(spendRepeat(spent, 6, 12_000), undefined);
 });
 
 const FULL: SchedulerEvent = {
@@ -363,8 +363,11 @@
 });
 
 test("time in which nothing waited does not make a wait look long", t => {
-    t.true(roomIn({ lastStart: 0, meanMs: 20 }, 1, 59_990, 60_000) < 50);
-    t.true(roomIn({ lastStart: 54_000, meanMs: 20 }, 1, 50_000, 60_000) > 5_000, "a queue that stands still does");
+    t.true(expectedWaitMs({ lastStart: 0, meanMs: 20 }, 1, 59_990, 60_000) < 50);
+    t.true(
+        expectedWaitMs({ lastStart: 54_000, meanMs: 20 }, 1, 50_000, 60_000) > 5_000,
+        "a queue that stands still does",
+    );
 });
 
 /** A stream that runs on a host of a large fleet, which asks an owner for everything. */
--- a/packages/policy/test/cold.test.ts
+++ b/packages/policy/test/cold.test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import {
-    allowance,
+    coldAllowance,
     createScheduler,
     decide,
     DEFAULT_VARIANT,
@@ -36,7 +36,7 @@
 
 for (const [name, { fleet, ownedSince, most }] of Object.entries(ALLOWED)) {
     test(`into a cold endpoint lets ${name}`, t => {
-        t.is(allowance(PER_S, { ...FLEET, ...fleet }, ownedSince, LATER), most);
+        t.is(coldAllowance(PER_S, { ...FLEET, ...fleet }, ownedSince, LATER), most);
     });
 }
 
--- a/packages/policy/test/endpoint-limit.test.ts
+++ b/packages/policy/test/endpoint-limit.test.ts
@@ -6,7 +6,7 @@
     DEFAULT_VARIANT,
     type EndpointCfg,
     type Fleet,
-    limitPart,
+    limitShare,
     type SchedulerEvent,
     type SchedulerState,
     type Variant,
@@ -20,7 +20,7 @@
 /** The parts of all hosts of a fleet. */
 function partsOf(perS: number, fleet: Partial<Fleet> = {}): readonly number[] {
     const { live } = { ...FLEET, ...fleet };
-    return Array.from({ length: live }, (_, place) => limitPart("e1", perS, { ...FLEET, ...fleet, place }, LATER))
+    return Array.from({ length: live }, (_, place) => limitShare("e1", perS, { ...FLEET, ...fleet, place }, LATER))
         .sort((a, b) => b - a);
 }
 
@@ -167,7 +167,7 @@
 test("owners let nobody into a limited endpoint, and a host sends what its part allows without asking", t => {
     const large = { askAlways: true };
     const { actions } = drive(hostOf({ e1: 100, e2: undefined }, 66, large), JOBS, LATER);
-    const part = limitPart("e1", 100, { ...FLEET, live: 66, most: 66 }, LATER);
+    const part = limitShare("e1", 100, { ...FLEET, live: 66, most: 66 }, LATER);
     t.is(sent({ state: hostOf({}), actions }).filter(id => id === "e1").length, part);
     const asked = actions.flatMap(action => action.kind === "ask" ? [action] : []);
     t.true(asked.length > 0);
--- a/packages/policy/test/forecast.test.ts
+++ b/packages/policy/test/forecast.test.ts
@@ -1,16 +1,16 @@
 import test from "ava";
 import {
-    createReadingRate,
+    createPrefillRate,
     createScheduler,
     decide,
     DEFAULT_VARIANT,
     type EndpointCfg,
+    expectedWaitMs,
     type Job,
-    nextReturn,
-    NO_RETURNS,
-    observeReading,
-    readingMs,
-    roomIn,
+    nextRetryTime,
+    NO_RETRY_TIMES,
+    observePrefill,
+    prefillMs,
     type SchedulerAction,
     type SchedulerEvent,
     type SchedulerState,
@@ -59,7 +59,7 @@
     test(`the time to read a prompt follows an engine of ${msPerToken} ms a token`, t => {
         const driver = new Driver();
         for (let at = 0; at < 100; at++) driver.serve(`j${at}`, at * 1_000, 2_000 * msPerToken);
-        const forecast = readingMs(driver.state.readingRate, 1_000);
+        const forecast = prefillMs(driver.state.prefillRate, 1_000);
         t.true(Math.abs(forecast / (1_000 * msPerToken) - 1) < 0.15, `${forecast} ms`);
     });
 }
@@ -77,7 +77,7 @@
     const driver = new Driver();
     driver.tell(full(), 0);
     // One place came free each 400 ms.
-    driver.state = { ...driver.state, drain: { lastStart: 1_000, meanMs: 400 } };
+    driver.state = { ...driver.state, drainRate: { lastStart: 1_000, meanMs: 400 } };
     for (let at = 0; at < 3; at++) t.is(driver.arrive(makeJob(`waits${at}`), 1_000), undefined);
     const refused = [0, 1, 2].map(at => driver.arrive(makeJob(`late${at}`), 1_000));
     const times = refused.map(action => action?.kind === "refuse" ? action.retryAfterMs : NaN);
@@ -93,19 +93,23 @@
 });
 
 test("room is forecast from how fast it came lately, or from how long none has come", t => {
-    t.is(roomIn(undefined, 1, undefined, 50), 0);
-    t.is(roomIn({ lastStart: 900, meanMs: 200 }, 3, 950, 1_000), 600);
-    t.is(roomIn({ lastStart: 500, meanMs: 200 }, 1, 400, 1_000), 500);
-    t.is(roomIn({ lastStart: 500, meanMs: 20 }, 101, 400, 1_000), 2_500, "a pause counts once, however many wait");
+    t.is(expectedWaitMs(undefined, 1, undefined, 50), 0);
+    t.is(expectedWaitMs({ lastStart: 900, meanMs: 200 }, 3, 950, 1_000), 600);
+    t.is(expectedWaitMs({ lastStart: 500, meanMs: 200 }, 1, 400, 1_000), 500);
+    t.is(
+        expectedWaitMs({ lastStart: 500, meanMs: 20 }, 101, 400, 1_000),
+        2_500,
+        "a pause counts once, however many wait",
+    );
 });
 
 test("callers come back one after the other", t => {
-    const first = nextReturn(NO_RETURNS, 400, 50, 0);
-    const second = nextReturn(first.returns, 400, 50, 0);
+    const first = nextRetryTime(NO_RETRY_TIMES, 400, 50, 0);
+    const second = nextRetryTime(first.retryTimes, 400, 50, 0);
     t.deepEqual([first.afterMs, second.afterMs], [400, 450]);
-    t.is(nextReturn(second.returns, 400, 50, 10_000).afterMs, 400, "long past");
+    t.is(nextRetryTime(second.retryTimes, 400, 50, 10_000).afterMs, 400, "long past");
 });
 
 test("a rate takes no sample without tokens", t => {
-    t.deepEqual(observeReading(createReadingRate(), 0, 100), createReadingRate());
+    t.deepEqual(observePrefill(createPrefillRate(), 0, 100), createPrefillRate());
 });
--- a/packages/policy/test/policy.test.ts
+++ b/packages/policy/test/policy.test.ts
@@ -2,6 +2,7 @@
 import fc from "fast-check";
 import { unsafeUniformIntDistribution, xoroshiro128plus } from "pure-rand";
 import {
+    allowsRequest,
     batchWithin,
     chanceToReach,
     CLOSED,
@@ -13,17 +14,16 @@
     decide,
     earnRetry,
     type EndpointCfg,
-    type Estimates,
-    type Group,
     type Job,
     type JobPolicy,
-    mayUse,
+    type LengthEstimates,
     observe,
     observePace,
     onResult,
-    onUse,
+    onSent,
     plannedShare,
     quantileLength,
+    type RequestGroup,
     reserve,
     type SchedulerAction,
     type SchedulerEvent,
@@ -33,7 +33,7 @@
     survivalOf,
 } from "../src/index.js";
 
-const GROUP: Group = { workspace: "w", service: "s", model: "m" };
+const GROUP: RequestGroup = { workspace: "w", service: "s", model: "m" };
 const POLICY: JobPolicy = {
     priority: "normal",
     quantile: 0.9,
@@ -88,7 +88,11 @@
     }
 }
 
-function feed(lengths: readonly number[], group = GROUP, estimates: Estimates = createEstimates()): Estimates {
+function feed(
+    lengths: readonly number[],
+    group = GROUP,
+    estimates: LengthEstimates = createEstimates(),
+): LengthEstimates {
     return lengths.reduce((sum, length) => observe(sum, group, 0, length, true), estimates);
 }
 
@@ -106,7 +110,10 @@
 
 test("an output that still runs is evidence of length", t => {
     const short = feed(Array<number>(50).fill(30));
-    const running = Array.from({ length: 50 }).reduce<Estimates>(sum => observe(sum, GROUP, 0, 2_000, false), short);
+    const running = Array.from({ length: 50 }).reduce<LengthEstimates>(
+        sum => observe(sum, GROUP, 0, 2_000, false),
+        short,
+    );
     t.true(
         chanceToReach(survivalOf(running, GROUP, 9_000), 0, 500)
             > 2 * chanceToReach(survivalOf(short, GROUP, 9_000), 0, 500),
@@ -214,9 +221,9 @@
 test("ejection opens after failures in a row, probes once, and cannot eject a whole model", t => {
     let breaker = CLOSED;
     for (let at = 0; at < 3; at++) breaker = onResult(breaker, false, 0);
-    t.false(mayUse(breaker, 500));
-    t.true(mayUse(breaker, 1_000));
-    t.false(mayUse(onUse(breaker), 1_000), "one probe at a time");
+    t.false(allowsRequest(breaker, 500));
+    t.true(allowsRequest(breaker, 1_000));
+    t.false(allowsRequest(onSent(breaker), 1_000), "one probe at a time");
     const driver = new Driver(endpointsOf(3));
     for (const endpoint of ["e0", "e1", "e2"]) {
         for (let at = 0; at < 3; at++) {
--- a/packages/policy/test/speed.test.ts
+++ b/packages/policy/test/speed.test.ts
@@ -1,10 +1,9 @@
 import test from "ava";
 import fc from "fast-check";
 import {
-    addShown,
+    addSpeedSample,
     comparePool,
     EMPTY_POOL,
-    type Estimate,
     estimateOf,
     NO_PAUSES,
     NOTHING_SHOWN,
@@ -14,13 +13,14 @@
     pauseChance,
     type Residual,
     residualOf,
-    type Sample,
-    samplesOf,
+    samplesFromSums,
     shownSince,
     slownessOf,
-    type Speed,
+    type SpeedEstimate,
+    type SpeedEvidence,
+    speedFromTold,
     type SpeedPool,
-    takeToldSpeed,
+    type SpeedSample,
     toldSpeedOf,
     UNKNOWN_SPEED,
 } from "../src/index.js";
@@ -42,12 +42,12 @@
     return () => Math.sqrt(-2 * Math.log(1 - uniform())) * Math.cos(2 * Math.PI * uniform());
 }
 
-function stretch(slowness: number, deviate = 0): Sample {
+function stretch(slowness: number, deviate = 0): SpeedSample {
     const meanGapMs = GAP_MS * slowness * Math.exp(SCATTER * deviate);
     return { kind: "stretch", pieces: 16, meanGapMs, longestMs: 2 * meanGapMs };
 }
 
-function first(slowness: number, deviate = 0): Sample {
+function first(slowness: number, deviate = 0): SpeedSample {
     return { kind: "first", unread: 3_000, ms: 3_000 * MS_PER_TOKEN * slowness * Math.exp(SCATTER * deviate) };
 }
 
@@ -58,13 +58,13 @@
 /** Endpoints that are watched by one owner. */
 class Watched {
     pool: SpeedPool = EMPTY_POOL;
-    readonly speeds: Speed[];
+    readonly speeds: SpeedEvidence[];
 
     constructor(readonly slowness: readonly number[]) {
         this.speeds = slowness.map(() => UNKNOWN_SPEED);
     }
 
-    see(at: number, sample: Sample, now: number, host = "a"): void {
+    see(at: number, sample: SpeedSample, now: number, host = "a"): void {
         const speed = this.speeds[at]!;
         const residual = residualOf(this.pool, speed, BATCH, sample, now);
         this.pool = observePool(this.pool, speed, BATCH, sample, now);
@@ -83,7 +83,7 @@
         this.pool = comparePool(this.pool, this.estimates(from + forMs));
     }
 
-    estimates(now: number): readonly Estimate[] {
+    estimates(now: number): readonly SpeedEstimate[] {
         return this.speeds.map(speed => estimateOf(speed, now));
     }
 
@@ -193,27 +193,27 @@
     let speed = UNKNOWN_SPEED;
     t.is(toldSpeedOf(speed, 0), undefined);
     for (let now = 0; now < 5_000; now += 1_000) speed = observeSpeed(speed, seen(0.5), "a", now);
-    const taken = takeToldSpeed(toldSpeedOf(speed, 6_000)!, 100_000);
+    const taken = speedFromTold(toldSpeedOf(speed, 6_000)!, 100_000);
     const [own, told] = [estimateOf(speed, 6_000), estimateOf(taken, 100_000)];
     t.true(Math.abs(own.mean - told.mean) < 1e-9 && Math.abs(own.weight - told.weight) < 1e-9);
-    const wild = estimateOf(takeToldSpeed({ value: 1e9, weight: 1e12, ageMs: 0 }, 0), 0);
+    const wild = estimateOf(speedFromTold({ value: 1e9, weight: 1e12, ageMs: 0 }, 0), 0);
     t.true(wild.mean < 4 && wild.weight <= 10_000);
 });
 
 test("only what is new is told, as one sample of each kind", t => {
-    const told = addShown(addShown(NOTHING_SHOWN, first(1)), stretch(1));
+    const told = addSpeedSample(addSpeedSample(NOTHING_SHOWN, first(1)), stretch(1));
     t.is(shownSince(told, told), undefined);
-    const next = addShown(addShown(told, stretch(2)), stretch(4));
+    const next = addSpeedSample(addSpeedSample(told, stretch(2)), stretch(4));
     const since = shownSince(next, told)!;
     t.is(since.firsts, 0);
     t.is(since.stretches, 2);
-    const [sample, ...more] = samplesOf(since);
+    const [sample, ...more] = samplesFromSums(since);
     t.deepEqual(more, []);
     t.deepEqual(sample, { kind: "stretch", pieces: 16, meanGapMs: 3 * GAP_MS, longestMs: 6 * GAP_MS });
-    const [claimed] = samplesOf({ ...since, pieces: 1e9 });
+    const [claimed] = samplesFromSums({ ...since, pieces: 1e9 });
     t.true(claimed?.kind === "stretch" && claimed.pieces <= 64);
     // An endpoint that was declared anew begins to count anew.
-    t.is(shownSince(addShown(NOTHING_SHOWN, first(1)), next)?.firsts, 1);
+    t.is(shownSince(addSpeedSample(NOTHING_SHOWN, first(1)), next)?.firsts, 1);
 });
 
 test("the chance of a pause is what was seen, and never less for longer streams or closer targets", t => {
--- a/packages/policy/test/uneven-choice.test.ts
+++ b/packages/policy/test/uneven-choice.test.ts
@@ -8,12 +8,12 @@
     decide,
     DEFAULT_VARIANT,
     type Job,
+    profileOf,
     type SchedulerAction,
     type SchedulerEvent,
     type SchedulerState,
     survivalOf,
     type Variant,
-    wantedOf,
 } from "../src/index.js";
 import { makeJob } from "./job.js";
 
@@ -81,7 +81,7 @@
     }
 
     lateness(job: Job): ReadonlyMap<string, number | undefined> {
-        const wanted = wantedOf(job, survivalOf(this.state.estimates, job.group, job.maxTokens));
+        const wanted = profileOf(job, survivalOf(this.state.estimates, job.group, job.maxTokens));
         const views = this.state.endpoints.values();
         return new Map(views.map(view => [view.cfg.id, assess(view, wanted, this.state, this.now)?.lateness]));
     }
--- a/packages/standins/src/endpoint-mutations.ts
+++ b/packages/standins/src/endpoint-mutations.ts
@@ -58,8 +58,8 @@
     {
         promise: "nor does a host that has just started let anything in there",
         file: COLD_SOURCE,
-        find: "const LEARNT_MS = 10_000;",
-        replace: "const LEARNT_MS = 0;",
+        find: "const FLEET_LEARN_MS = 10_000;",
+        replace: "const FLEET_LEARN_MS = 0;",
         tests: [COLD],
     },
     {
@@ -79,8 +79,8 @@
     {
         promise: "nor does it after its owner granted a request",
         file: "packages/policy/src/owner-answers.ts",
-        find: "!view || !takesNew(view) || unadvised",
-        replace: "!view || unadvised",
+        find: "!view || !takesNew(view) || isThrottledHere",
+        replace: "!view || isThrottledHere",
         tests: [POLICY],
     },
     {
@@ -114,15 +114,16 @@
     {
         promise: "limits: all hosts together keep to what an endpoint names",
         file: LIMIT_SOURCE,
-        find: "const each = Math.floor(most / hosts);",
-        replace: "const each = most;",
+        find: "const each = Math.floor(maxRequests / hosts);",
+        replace: "const each = maxRequests;",
         tests: [LIMIT, LIMIT_FLEET, LIMITS],
     },
     {
         promise: "limits: a part of the fleet does not hand out what goes to the whole",
         file: LIMIT_SOURCE,
-        find: "return hearsMost(fleet) && placeFor(endpoint, fleet) < most % hosts ? each + 1 : each;",
-        replace: "return placeFor(endpoint, fleet) < most % hosts ? each + 1 : each;",
+        find:
+            "return hearsMajority(fleet) && placeAtEndpoint(endpoint, fleet) < maxRequests % hosts ? each + 1 : each;",
+        replace: "return placeAtEndpoint(endpoint, fleet) < maxRequests % hosts ? each + 1 : each;",
         tests: [LIMIT],
     },
     {
@@ -142,7 +143,7 @@
     {
         promise: "limits: a stream goes on at its copy within them",
         file: "packages/policy/src/scheduler.ts",
-        find: "&& limitLetsIn(keeper, state.letIn.get(standby) ?? [], state.fleet, now);",
+        find: "&& limitAdmits(keeper, state.letIn.get(standby) ?? [], state.fleet, now);",
         replace: ";",
         tests: [LIMIT],
     },
@@ -156,8 +157,8 @@
     {
         promise: "limits: what they keep away is refused at once",
         file: "packages/policy/src/refusal.ts",
-        find: "const bounded = boundsOn(state, waiting, position, now)?.waitMs ?? 0;",
-        replace: "const bounded = 0;",
+        find: "const throttledMs = throttlingFor(state, waiting, position, now)?.waitMs ?? 0;",
+        replace: "const throttledMs = 0;",
         tests: [LIMITS],
     },
     {
@@ -191,15 +192,15 @@
     {
         promise: "says it leaves: it holds while its registration comes and goes",
         file: "packages/policy/src/departed-endpoints.ts",
-        find: "if (!words) return view;",
-        replace: "if (words) return view;",
+        find: "if (!known) return view;",
+        replace: "if (known) return view;",
         tests: [LEAVING],
     },
     {
         promise: "rest: nothing goes to an endpoint that wants it",
         file: "packages/policy/src/endpoint-admission.ts",
-        find: "return !isResting(view, now) && mayLetIn(state, view, now);",
-        replace: "return mayLetIn(state, view, now);",
+        find: "return !isResting(view, now) && mayAdmit(state, view, now);",
+        replace: "return mayAdmit(state, view, now);",
         tests: [REST],
     },
     {
--- a/packages/standins/src/host-mutations.ts
+++ b/packages/standins/src/host-mutations.ts
@@ -102,8 +102,8 @@
     {
         promise: "cut halls: calls, streams and copies keep to what is not in doubt",
         file: "packages/policy/src/choose.ts",
-        find: "uncut.filter(view => !view.isInDoubt)",
-        replace: "uncut.filter(() => true)",
+        find: "inReachableHalls.filter(view => !view.isInDoubt)",
+        replace: "inReachableHalls.filter(() => true)",
         tests: [IN_DOUBT, CUT],
     },
     {
@@ -137,8 +137,8 @@
     {
         promise: "cut halls: calls of a crowded hall still leave it",
         file: "packages/policy/src/choose.ts",
-        find: "const AWAY_CALLS = 0.5;",
-        replace: "const AWAY_CALLS = 1.5;",
+        find: "const REMOTE_HALL_CALLS = 0.5;",
+        replace: "const REMOTE_HALL_CALLS = 1.5;",
         tests: ["packages/policy/test/remote-hall.test.ts"],
     },
     {
--- a/packages/standins/src/mutations.ts
+++ b/packages/standins/src/mutations.ts
@@ -244,7 +244,7 @@
     {
         promise: "all hosts together stay within the budget of repeated sends",
         file: "packages/policy/src/retry-budget.ts",
-        find: "budget.slack / mostHosts",
+        find: "budget.slack / maxHosts",
         replace: "budget.slack",
         tests: [CARRY],
     },
@@ -321,8 +321,8 @@
     {
         promise: "a refused caller comes back when the overload has probably ended",
         file: "packages/policy/src/forecast.ts",
-        find: "returns.last + everyMs, overAt)",
-        replace: "returns.last + everyMs)",
+        find: "retryTimes.last + intervalMs, recoveryAt)",
+        replace: "retryTimes.last + intervalMs)",
         tests: ["packages/policy/test/overload.test.ts"],
     },
     {
--- a/packages/standins/src/speed-mutations.ts
+++ b/packages/standins/src/speed-mutations.ts
@@ -20,7 +20,7 @@
     {
         promise: "endpoints that may be alike count as alike",
         file: POOL_SOURCE,
-        find: "byChance + SURE_DEVIATIONS * Math.sqrt(2 * byChance)",
+        find: "byChance + SIGNIFICANT_DEVIATIONS * Math.sqrt(2 * byChance)",
         replace: "byChance",
         tests: [SPEED],
     },
@@ -34,14 +34,14 @@
     {
         promise: "one host's wild samples decide nothing",
         file: POOL_SOURCE,
-        find: "Math.min(most, Math.max(-most, seen - meanOf(pool.levels[sample.kind]) - centre))",
-        replace: "seen - meanOf(pool.levels[sample.kind]) - centre",
+        find: "Math.min(bound, Math.max(-bound, observed - meanOf(pool.levels[sample.kind]) - centre))",
+        replace: "observed - meanOf(pool.levels[sample.kind]) - centre",
         tests: [SPEED],
     },
     {
         promise: "samples of one moment count as one",
         file: SPEED_SOURCE,
-        find: "now - moment.since < TOGETHER_MS",
+        find: "now - window.since < WINDOW_MS",
         replace: "now < moment.since",
         tests: [SPEED],
     },
@@ -55,7 +55,7 @@
     {
         promise: "what a host tells of a speed is bounded",
         file: SPEED_SOURCE,
-        find: "Math.min(MOST_TOLD, Math.max(-MOST_TOLD, value))",
+        find: "Math.min(MAX_TOLD_LOG_RATIO, Math.max(-MAX_TOLD_LOG_RATIO, value))",
         replace: "value",
         tests: [SPEED],
     },
@@ -83,7 +83,7 @@
     {
         promise: "the pause of going on is held against no endpoint",
         file: "packages/policy/src/stream-events.ts",
-        find: "    if (wasMoved) return undefined;\n",
+        find: "    if (resumedFromCopy) return undefined;\n",
         replace: "",
         tests: [CHOICE],
     },
