--- a/packages/policy/src/admission-queue.ts
+++ b/packages/policy/src/admission-queue.ts
@@ -1,5 +1,6 @@
 /**
- * How requests wait for room: who may wait, for how long, and who of those that wait goes first when room comes.
+ * The admission queue: which requests may wait for capacity, for how long, and which of them is started first when
+ * capacity comes free.
  *
  * @module
  */
@@ -9,19 +10,19 @@
 import { countRequest, earnRetry, spendRepeat, spendRetry } from "./retry-budget.js";
 import type { Decision, SchedulerAction, SchedulerState } from "./scheduler-state.js";
 
-/** How many waiting requests are tried when room may have come. */
+/** Waiting requests that are tried in one pass when capacity may have come free. */
 const MAX_TRIES_PER_PASS = 8;
-/** A waiting request that has used this share of its wait lets no later one pass it. */
+/** Once a waiting request has used this share of its maximum wait, no less urgent request may overtake it. */
 const NO_OVERTAKING_SHARE = 0.5;
 
-/** The state after a request was counted or a repeated one paid for; undefined where the budget is used up. */
+/** Counts a request for the retry budget, or charges the budget for a retry; undefined if the budget is used up. */
 function chargeBudget(
     state: SchedulerState,
     { job, avoid, retry }: WaitingRequest,
     now: number,
 ): SchedulerState | undefined {
     if (state.fleetRetryBudget) {
-        // What was never sent anywhere comes again without being a repeat, and is not another request either.
+        // A request that was never sent comes back with endpoints to avoid: it is neither a retry nor a new request.
         if (!retry && avoid.length > 0) return state;
         const fleetRetryBudget = retry
             ? spendRepeat(state.fleetRetryBudget, state.hosts, now)
@@ -35,7 +36,7 @@
     return retryBudget && { ...state, retryBudget };
 }
 
-/** A request that has come, or comes again: it is placed, waits, or is refused at once. */
+/** Handles an arriving or returning request: it is placed, queued, or refused at once. */
 export function onArrival(state: SchedulerState, waiting: WaitingRequest, now: number): Decision {
     const { job } = waiting;
     const paid = chargeBudget(state, waiting, now);
@@ -56,7 +57,7 @@
     return serveQueue({ ...paid, waiting: [...state.waiting, waiting] }, now);
 }
 
-/** Gives up waits that cannot succeed, then starts what fits, the most urgent first. */
+/** Refuses waiting requests that can no longer be served in time, then starts those that fit, the most urgent first. */
 export function serveQueue(state: SchedulerState, now: number): Decision {
     if (state.waiting.length === 0) return { state, actions: [] };
     const actions: SchedulerAction[] = [];
--- a/packages/policy/src/advise.ts
+++ b/packages/policy/src/advise.ts
@@ -1,5 +1,6 @@
 /**
- * An owner's advice: where another host's request goes, among the endpoints whose account this host keeps.
+ * An owner's answer to another host that asks where its request should go. The owner keeps the account of what all
+ * hosts run at its endpoints, so it chooses among these.
  *
  * @module
  */
@@ -13,11 +14,11 @@
 import type { SchedulerState } from "./scheduler-state.js";
 
 /**
- * Chooses for another host; undefined where no owned endpoint has room.
+ * Chooses an endpoint for another host's request; undefined if none that this host owns has capacity.
  *
  * @example
  * ```ts
- * advise(state, question, now)?.endpoint;
+ * advisePlacement(state, question, now)?.endpoint;
  * ```
  */
 export function advise(state: SchedulerState, question: Question, now: number): PlacementAdvice | undefined {
@@ -40,10 +41,14 @@
     return { endpoint: chosen.id, standby };
 }
 
-/** Owned endpoints that the asker can use. This host's own failures with one count only where others are left. */
+/**
+ * Owned endpoints that the asking host can use. Those with an open circuit breaker at this host are left out unless no
+ * others remain.
+ */
 function eligibleViews(state: SchedulerState, { demand, exclude }: Question, now: number): readonly EndpointView[] {
     const known = state.endpoints.values();
-    // Hosts may disagree for a moment on who owns what: then what is known here must do.
+    // Hosts may briefly disagree on who owns an endpoint. A host that is asked but owns none answers from all endpoints
+    // that it knows.
     const asked = state.owned.size > 0 ? known.filter(view => state.owned.has(view.cfg.id)) : known;
     const open = asked.filter(view => serves(view, demand) && !exclude.includes(view.cfg.id));
     const withoutFailures = open.filter(view => allowsRequest(view.breaker, now));
--- a/packages/policy/src/backups.ts
+++ b/packages/policy/src/backups.ts
@@ -1,17 +1,17 @@
 /**
- * Copies of running requests at other endpoints: standing ones that grow with a stream, and those that are made when an
+ * Copies of running requests at other endpoints: backups that grow with their stream, and copies that are made when an
  * endpoint is about to leave.
  *
  * @module
  */
-import { chooseStandby, EVACUATION_ROOM_SHARE, isUnreachable } from "./choose.js";
+import { chooseStandby, EVACUATION_MEMORY_SHARE, isUnreachable } from "./choose.js";
 import { profileOf } from "./demand.js";
 import { addBackup, type EndpointView, removeBackup, type RunningStream, takesNew } from "./endpoint.js";
 import type { Job } from "./job.js";
 import { type Decision, type SchedulerState, updateEndpoint } from "./scheduler-state.js";
 import { deleteIn, getIn, setIn } from "./shard-map.js";
 
-/** Chooses who keeps a request's copy and counts the copy there. */
+/** Chooses the standby for a request's copy and reserves memory for the copy there. */
 export function reserveBackup(
     state: SchedulerState,
     job: Job,
@@ -27,7 +27,7 @@
     return { state: reserveBackupAt(state, job.id, endpoint, standby), standby };
 }
 
-/** Counts a running request's copy at the endpoint that keeps it. */
+/** Reserves memory for a running request's copy at a given standby. */
 export function reserveBackupAt(state: SchedulerState, job: string, endpoint: string, standby: string): SchedulerState {
     const running = state.endpoints.get(endpoint)?.streams.get(job);
     if (!running || !state.endpoints.get(standby)) return state;
@@ -35,15 +35,17 @@
     return { ...kept, standbys: setIn(kept.standbys, job, standby) };
 }
 
-/** Whether an endpoint is about to end, or no longer declared: what runs there is to go on elsewhere. */
+/** Whether an endpoint is about to leave or no longer declared, so that its streams must continue elsewhere. */
 function isLeaving(view: EndpointView | undefined): boolean {
     return !view || view.leavingBy.length > 0 || view.cfg.models.length === 0;
 }
 
 /**
- * Requests that are to be copied: those whose endpoint is leaving and that have no copy at one that stays and can be
- * reached. A copy whose standby leaves is not replaced before: the copies that this takes use up the links of those that
- * must be made in time.
+ * Requests that should be copied now: their endpoint is leaving, and they have no copy at a reachable endpoint that
+ * stays.
+ *
+ * If only the standby leaves, its copy is not replaced until the request's own endpoint leaves as well: further copies
+ * would use the links that the urgent ones need.
  *
  * @example
  * ```ts
@@ -53,7 +55,7 @@
 export function jobsToEvacuate(state: SchedulerState, now: number): readonly string[] {
     const jobs: string[] = [];
     for (const view of state.endpoints.values()) {
-        // What cannot be reached cannot be ordered to copy anything either.
+        // An unreachable endpoint cannot be told to copy anything.
         if (!isLeaving(view) || isUnreachable(view, now)) continue;
         for (const { job } of view.streams.values()) {
             if (job.backUp !== true) continue;
@@ -66,7 +68,7 @@
 }
 
 /**
- * Whether an endpoint is the one that keeps a request's copy, and is there to go on with it.
+ * Whether an endpoint keeps a request's copy and can continue the request.
  *
  * @example
  * ```ts
@@ -78,7 +80,7 @@
     return view !== undefined && getIn(state.standbys, job) === endpoint && takesNew(view) && !isUnreachable(view, now);
 }
 
-/** A running request with where it runs. */
+/** Finds a running request and its endpoint. */
 export function findRunning(
     state: SchedulerState,
     job: string,
@@ -88,7 +90,7 @@
     return from === undefined || !running ? undefined : { from, running };
 }
 
-/** The state after a request's copy was planned by what this host knows, and the copy to be made. */
+/** Plans a new copy of a request by what this host knows, and orders it. */
 export function evacuate(state: SchedulerState, job: string, now: number): Decision {
     const found = findRunning(state, job);
     if (!found) return { state, actions: [{ kind: "noCopy", job }] };
@@ -98,13 +100,13 @@
         running.job,
         from,
         now,
-        EVACUATION_ROOM_SHARE,
+        EVACUATION_MEMORY_SHARE,
     );
     if (standby === undefined) return { state, actions: [{ kind: "noCopy", job }] };
     return { state: next, actions: [{ kind: "copy", job, from, to: standby }] };
 }
 
-/** The same with the standby that an owner named; none where it named none. */
+/** As {@link evacuate}, with the standby that an owner named; no copy is made if it named none. */
 export function evacuateAt(state: SchedulerState, job: string, standby: string | undefined): Decision {
     const found = findRunning(state, job);
     if (!found || standby === undefined || !state.endpoints.get(standby)) {
@@ -114,7 +116,7 @@
     return { state: next, actions: [{ kind: "copy", job, from: found.from, to: standby }] };
 }
 
-/** The state without the copy of a request. */
+/** Releases the memory reserved for a request's copy. */
 export function dropBackup(state: SchedulerState, job: string): SchedulerState {
     const standby = getIn(state.standbys, job);
     if (standby === undefined) return state;
--- a/packages/policy/src/breaker.ts
+++ b/packages/policy/src/breaker.ts
@@ -1,18 +1,22 @@
 /**
- * Outlier ejection per endpoint: after failures in a row it gets nothing for a while, then one probe.
+ * A circuit breaker per endpoint: after consecutive failures the endpoint is ejected for a time, then one probe request
+ * is let through.
  *
  * @module
  */
 
-/** What is known of an endpoint's failures. */
+/** State of one endpoint's circuit breaker. */
 export interface Breaker {
-    /** Failures since the last success. */
+    /** Consecutive failures since the last success. */
     readonly failures: number;
-    /** Not used until then, in milliseconds on the caller's clock; 0 while closed. */
+    /** The endpoint is ejected until then, in milliseconds on the caller's clock; 0 while the breaker is closed. */
     readonly openUntil: number;
-    /** A probe is on its way. */
+    /** Whether a probe request is in flight. */
     readonly probing: boolean;
-    /** Whether it is open because no connection came up, which is certain, rather than for failed answers. */
+    /**
+     * Whether the breaker opened because no connection could be made, which is certain, rather than because of failed
+     * answers.
+     */
     readonly unreachable?: boolean;
 }
 
@@ -20,22 +24,22 @@
 const FIRST_OPEN_MS = 1_000;
 const MAX_OPEN_MS = 30_000;
 
-/** A breaker that lets everything through. */
+/** A closed breaker: all requests pass. */
 export const CLOSED: Breaker = { failures: 0, openUntil: 0, probing: false };
 
-/** Whether a breaker lets a request through: closed, or open long enough that one probe may go. */
+/** Whether a request may be sent: the breaker is closed, or its open time has passed and no probe is in flight. */
 export function allowsRequest(breaker: Breaker, now: number): boolean {
     if (breaker.openUntil === 0) return true;
     return now >= breaker.openUntil && !breaker.probing;
 }
 
-/** The breaker after a request was sent: an open one has its probe on the way. */
+/** Returns the breaker after a request was sent: if it is open, that request is its probe. */
 export function onSent(breaker: Breaker): Breaker {
     return breaker.openUntil === 0 ? breaker : { ...breaker, probing: true };
 }
 
 /**
- * The breaker after an endpoint served or failed a request.
+ * Returns the breaker after an endpoint served or failed a request. The open time doubles with each further failure.
  *
  * @example
  * ```ts
@@ -50,18 +54,21 @@
     return { failures, openUntil: now + open, probing: false };
 }
 
-/** The breaker after an endpoint could not be reached: nothing is sent there for a while, not even after one failure. */
+/** Returns the breaker after a connection failed: it opens at the first such failure. */
 export function onUnreachable(breaker: Breaker, now: number): Breaker {
     const failures = Math.max(breaker.failures + 1, FAILURES_TO_OPEN);
     return { ...onResult({ ...breaker, failures: failures - 1 }, false, now), unreachable: true };
 }
 
-/** The breaker after a probe ended with nothing learnt, as when its caller left. */
+/** Returns the breaker after a probe ended without a verdict, for example because the caller left. */
 export function onInconclusive(breaker: Breaker): Breaker {
     return breaker.probing ? { ...breaker, probing: false } : breaker;
 }
 
-/** The breaker after the way to an endpoint that could not be reached is there again: one request may find out at once. */
+/**
+ * Returns the breaker once the endpoint's hall is heard again: if it opened because no connection could be made, one
+ * request may probe at once.
+ */
 export function onReachable(breaker: Breaker, now: number): Breaker {
     return breaker.unreachable ? { ...breaker, openUntil: Math.min(breaker.openUntil, now), probing: false } : breaker;
 }
--- a/packages/policy/src/cold.ts
+++ b/packages/policy/src/cold.ts
@@ -1,21 +1,21 @@
 /**
- * How many requests go to a cold endpoint: one that has just started, or whose caches are empty, falls over at well above
- * the rate that is declared for it. The bound holds for the sum over all hosts in any second, also while some of them
- * cannot hear the others, so no host's share of it may rest on how many hosts it believes to be alive.
+ * Bounds the requests to a cold endpoint. One that has just started, or whose caches are empty, is overwhelmed by
+ * requests well above the rate that is declared for it. The bound holds for the sum over all hosts in any second, also
+ * while some hosts cannot hear the others, so no host's share may depend on how many hosts it believes to be alive.
  *
- * The bound is cut in four. Of each endpoint's second,
+ * The bound is divided into quarters:
  *
- * - two quarters are its owner's, who lets others' requests in when they ask: one for it, and one for a host that takes
- *   itself for the owner while views of the hall differ. Who becomes the owner lets nothing in until what the one before let
- *   in no longer counts;
- * - a quarter is for hosts that decide alone, in shares by their place among all that were ever alive at a time, one each
- *   for the first of them where there are more hosts than requests;
- * - a quarter is for streams that go on from the copies that the endpoint keeps: at most so many go on there as fit its
- *   memory, whoever asks for them.
+ * - Two quarters belong to the endpoint's owner, which also admits requests of hosts that ask it. The second of them
+ *   covers a host that takes itself for the owner while hosts disagree on who is alive. A new owner admits nothing
+ *   until the admissions of the one before no longer count.
+ * - One quarter is for hosts that decide without the owner. It is shared by position among the largest number of hosts
+ *   known at one time; if there are more hosts than requests, the first hosts get one each.
+ * - One quarter is for streams that continue from copies that the endpoint keeps. At most as many continue there as fit
+ *   its memory, whichever host asks.
  *
- * A host that hears no more than half of the hosts that it has known lets nothing in but such streams: of several parts of a
- * fleet that cannot hear each other, one at most goes on. Nor does one that has just started: it cannot tell a part of the
- * fleet from the whole.
+ * A host that hears no more than half of the hosts that it has known admits only such continued streams, so of several
+ * parts of a fleet that cannot hear each other at most one admits new requests. The same holds for a host that has just
+ * started, as it cannot tell a part of the fleet from the whole.
  *
  * Pure. Times are milliseconds on the scheduler's clock.
  *
@@ -24,40 +24,41 @@
 import type { EndpointView } from "./endpoint.js";
 import type { AdmissionBounds, Fleet } from "./fleet.js";
 
-/** Parts of the bound that are kept apart, as the module's text says. */
+/** Parts into which the bound is divided; see the module's description. */
 const BOUND_PARTS = 4;
 /**
- * What is let in counts for this long: the second that the bound is for, and as much again for a permit (100 ms) and a
- * connection (500 ms) on their way, so that requests that were let in apart do not arrive together.
+ * An admission counts for this long: the second to which the bound applies, and as much again because a permit (100 ms)
+ * and a connection (500 ms) may be on their way, so that requests admitted at different times do not arrive together.
  */
 const COUNT_WINDOW_MS = 2_000;
 
 /**
- * A host that starts knows the whole fleet after this, unless it is cut off; then it takes what it hears for the whole. Cuts that
- * last longer than this and meet a restart of most of a part's hosts are not covered: platforms restart hosts one by one.
+ * A host that starts has heard from the whole fleet after this time, unless it is cut off; then it takes what it hears
+ * for the whole fleet. A partition that outlasts this time while most hosts of one side restart is not covered:
+ * platforms restart hosts one by one.
  */
 const FLEET_LEARN_MS = 10_000;
 
-/** Whether an endpoint is cold at a time, or may be, as it may have begun another life. */
+/** Whether an endpoint is cold, or may be because it may have restarted. */
 export function isCold(view: EndpointView, now: number): boolean {
     return view.cfg.cold !== undefined && now < coldUntil(view);
 }
 
-/** When an endpoint is warm, as far as it is known. */
+/** When an endpoint will be warm, as far as this host knows. */
 export function coldUntil({ cfg, restartDoubtUntil }: EndpointView): number {
     return Math.max(cfg.cold?.until ?? -Infinity, restartDoubtUntil ?? -Infinity);
 }
 
 /**
- * Requests that a host may let into a cold endpoint within {@link COUNT_WINDOW_MS}.
+ * Number of requests that a host may admit to a cold endpoint within {@link COUNT_WINDOW_MS}.
  *
- * @param perS The bound over all hosts, in requests a second.
- * @param ownedSince Since when this host has owned the endpoint; undefined where another does.
+ * @param perS The bound over all hosts, in requests per second.
+ * @param ownedSince When this host became the endpoint's owner; undefined if it is not.
  *
  * @example
  * ```ts
- * allowance(44, { ...fleet, place: 3, live: 66, most: 66 }, undefined, 20_000); // 1
- * allowance(44, { ...fleet, place: 40, live: 66, most: 66 }, undefined, 20_000); // 0
+ * coldAllowance(44, { ...fleet, place: 3, live: 66, most: 66 }, undefined, 20_000); // 1
+ * coldAllowance(44, { ...fleet, place: 40, live: 66, most: 66 }, undefined, 20_000); // 0
  * ```
  */
 export function coldAllowance(perS: number, fleet: Fleet, ownedSince: number | undefined, now: number): number {
@@ -69,10 +70,10 @@
 }
 
 /**
- * Whether this host may send a request to an endpoint now, or let another host's in as its owner, by what the endpoint bears
- * while it is cold: always where it is warm.
+ * Whether the cold bound allows one more request now, be it this host's own or, if it is the owner, another host's.
+ * Always true for a warm endpoint.
  *
- * @param times When it let requests in there.
+ * @param times When this host admitted requests there.
  */
 export function coldAdmits(
     view: EndpointView,
@@ -87,10 +88,10 @@
 }
 
 /**
- * Whether a stream may go on from the copy that an endpoint keeps: while it is cold, only if all copies that it can hold may go
- * on within one second.
+ * Whether a stream may continue from the copy that an endpoint keeps. While the endpoint is cold, only if all copies
+ * that its memory can hold may continue within one second.
  *
- * @param promptTokens Prompt of the stream, which its copy holds at least.
+ * @param promptTokens Prompt tokens of the stream; its copy holds at least these.
  */
 export function mayContinueWhileCold(view: EndpointView, promptTokens: number, now: number): boolean {
     if (!isCold(view, now)) return true;
--- a/packages/policy/src/demand.ts
+++ b/packages/policy/src/demand.ts
@@ -1,5 +1,5 @@
 /**
- * What a request asks of an endpoint.
+ * What a request needs from an endpoint.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { meanLength, type Survival } from "./length-estimate.js";
 import { type Curve, streamCurve } from "./memory-curve.js";
 
-/** What a request asks of an endpoint; hosts tell it to owners. */
+/** What a request needs from an endpoint. Hosts send it to owners with their questions. */
 export interface Demand {
     readonly model: string;
     readonly promptTokens: number;
@@ -16,26 +16,26 @@
     readonly prefixTokens: number;
     readonly gapTargetMs: number;
     readonly objectiveMs: number;
-    /** Time that its first token has left, in milliseconds. */
+    /** Time left until its first token is due, in milliseconds. */
     readonly leftMs: number;
-    /** Pieces that its stream will probably have. */
+    /** Expected number of pieces (streamed chunks) of its answer. */
     readonly expectedPieces: number;
     readonly weightTail: number;
     readonly weightStall: number;
     readonly weightPrefix: number;
-    /** Halls whose endpoints may serve it; all where it is absent. */
+    /** Halls whose endpoints may serve it; any hall if absent. */
     readonly halls?: readonly string[] | undefined;
 }
 
-/** A request with what is the same for every endpoint, worked out once. */
+/** What is needed to judge a request at any endpoint, computed once. */
 export interface RequestProfile {
     readonly demand: Demand;
     readonly curve: Curve;
-    /** Standard deviations at which the peak is asked for. */
+    /** Standard deviations above the mean at which the memory peak must still fit. */
     readonly z: number;
 }
 
-/** What a request asks of an endpoint. */
+/** Computes what a request needs from an endpoint. */
 export function demandOf(
     { group, promptTokens, prefix, prefixTokens, policy, halls, tokensPerPiece = 1 }: Job,
     survival: Survival,
@@ -59,11 +59,11 @@
 }
 
 /**
- * A request as it is held against endpoints.
+ * Computes the profile with which endpoints are judged for a request.
  *
  * @example
  * ```ts
- * assess(view, wantedOf(job, lengths), state, now);
+ * assess(view, profileOf(job, lengths), state, now);
  * ```
  */
 export function profileOf(job: Job, survival: Survival, waitedMs = 0): RequestProfile {
--- a/packages/policy/src/departed-endpoints.ts
+++ b/packages/policy/src/departed-endpoints.ts
@@ -1,28 +1,29 @@
 /**
- * What endpoints said of themselves outlasts their declaration: the registration of one that lives on may lapse while the
- * store is away and come back, and its word of before still holds for that life.
+ * Keeps what endpoints announced (limit, rest, leaving) after they are no longer declared. During an outage of the
+ * store a registration may lapse although its endpoint lives on; when it is declared again, what it announced still
+ * applies to that life.
  *
  * @module
  */
 import { type EndpointView, type KnownLimit, saysLeaving, setLeaving } from "./endpoint.js";
 
-/** What one of them had said. */
+/** What one endpoint had announced. */
 interface RetainedState {
     readonly said: KnownLimit | undefined;
     readonly leaves: boolean;
     readonly restUntil: number | undefined;
-    /** When it was no longer declared. */
+    /** When its declaration disappeared. */
     readonly goneAt: number;
 }
 
-/** By endpoint. */
+/** Announcements of departed endpoints, by endpoint id. */
 export type RetainedStates = ReadonlyMap<string, RetainedState>;
 
-/** Longer than a store is away: no life comes back after that. */
+/** Longer than any outage of the store: after that no endpoint returns in the same life. */
 const RETAIN_MS = 600_000;
 
 /**
- * The words of endpoints that are declared no more, with those that were remembered before.
+ * Adds the announcements of endpoints that are no longer declared, and drops those that are too old.
  *
  * @param gone Endpoints that were declared until now.
  */
@@ -39,7 +40,7 @@
     return new Map([...kept, ...added]);
 }
 
-/** A newly declared endpoint with what it had said before. */
+/** Gives a newly declared endpoint back what it announced before it departed. */
 export function restoreRetained(view: EndpointView, states: RetainedStates, now: number): EndpointView {
     const known = states.get(view.cfg.id);
     if (!known) return view;
--- a/packages/policy/src/dispatch.ts
+++ b/packages/policy/src/dispatch.ts
@@ -1,5 +1,6 @@
 /**
- * Sends placed requests, with the standbys of their copies, and asks owners who these are.
+ * Dispatches placed requests and names the standbys for their copies. A host of a large fleet asks an owner for the
+ * standby.
  *
  * @module
  */
@@ -11,37 +12,37 @@
 import { type Survival, survivalOf, survivalOfKnownLength } from "./length-estimate.js";
 import type { Decision, PendingStandbyAsk, SchedulerState } from "./scheduler-state.js";
 
-/** Up to this many hosts tell each other often enough that only crowded endpoints are asked for. */
+/** Up to this many hosts exchange their load often enough that owners are asked only about crowded endpoints. */
 const SMALL_FLEET_HOSTS = 12;
 
-/** How long a job's output may be, by the evidence so far. */
+/** Distribution of a job's output length by the evidence so far. */
 export function survivalFor(state: SchedulerState, job: Job): Survival {
     if (state.variant.oracle && job.knownTokens !== undefined) return survivalOfKnownLength(job.knownTokens);
     return survivalOf(state.estimates, job.group, job.maxTokens);
 }
 
-/** Whether owners are asked at all. */
+/** Whether this host asks owners at all. */
 export function asksOwners({ variant, hosts }: SchedulerState): boolean {
     return variant.ask && variant.share === "owner" && hosts > 1;
 }
 
-/** Whether owners are asked for every request, whatever this host believes. */
+/** Whether this host asks an owner for every request, whatever it knows itself. */
 export function alwaysAsksOwners(state: SchedulerState): boolean {
     return asksOwners(state) && state.variant.askAlways && state.hosts > SMALL_FLEET_HOSTS;
 }
 
-/** Endpoints that are not among those that may be used. */
+/** Ids of all known endpoints that are not among `views`. */
 export function idsOutside(state: SchedulerState, views: readonly EndpointView[]): readonly string[] {
     const ids = new Set(views.map(view => view.cfg.id));
     return state.endpoints.values().map(view => view.cfg.id).filter(id => !ids.has(id));
 }
 
-/** Whether a copy of the request is to be kept. */
+/** Whether a copy of the request should be kept. */
 export function wantsBackup(state: SchedulerState, job: Job): boolean {
     return job.backUp === true && state.variant.backups;
 }
 
-/** Sends a placed request, with the endpoint that is to keep its copy where it is worth one. */
+/** Dispatches a placed request and reserves a standby if the request is worth a copy. */
 export function dispatch(state: SchedulerState, job: Job, endpoint: string, now: number): Decision {
     const { state: next, standby } = wantsBackup(state, job)
         ? reserveBackup(state, job, endpoint, now)
@@ -49,7 +50,7 @@
     return dispatchWithStandby(next, job, endpoint, standby);
 }
 
-/** Sends a placed request whose standby is known. */
+/** Dispatches a placed request with a standby that is already chosen. */
 export function dispatchWithStandby(
     state: SchedulerState,
     job: Job,
@@ -60,7 +61,7 @@
     return { state, actions: [{ kind: "dispatch", job: job.id, endpoint, priority, backUp: standby }] };
 }
 
-/** Asks an owner who keeps a running request's next copy; undefined where this host decides alone. */
+/** Asks an owner for the next standby of a running request; undefined if this host decides itself. */
 export function askStandby(
     state: SchedulerState,
     job: string,
@@ -81,12 +82,12 @@
         standbyOf: { endpoint: from, roomShare },
     };
     const askedStandby = new Map(state.askedStandby).set(job, { purpose, at: now });
-    // Any endpoint's owner may be asked; the one that the request leaves may be declared no more.
+    // Any endpoint's owner can answer; the endpoint that the request leaves may no longer be declared.
     const endpoint = views[0]?.cfg.id ?? from;
     return { state: { ...state, askedStandby }, actions: [{ kind: "ask", job, endpoint, question }] };
 }
 
-/** An owner's word on a standby. */
+/** Handles an owner's answer about a standby. */
 export function onStandbyAnswer(state: SchedulerState, job: string, standby: string | undefined): Decision {
     const { purpose } = state.askedStandby.get(job)!;
     const next = { ...state, askedStandby: withoutKey(state.askedStandby, job) };
@@ -97,7 +98,7 @@
     return dispatchWithStandby(kept, found.running.job, found.from, standby);
 }
 
-/** Decides alone on a standby whose owner does not answer. */
+/** Chooses a standby without the owner, which has not answered in time. */
 export function decideStandbyAlone(state: SchedulerState, job: string, now: number): Decision {
     const { purpose } = state.askedStandby.get(job)!;
     const next = { ...state, askedStandby: withoutKey(state.askedStandby, job) };
@@ -106,7 +107,7 @@
     return found ? dispatch(next, found.running.job, found.from, now) : { state: next, actions: [] };
 }
 
-/** The map without a key. */
+/** Returns the map without a key. */
 export function withoutKey<V>(map: ReadonlyMap<string, V>, key: string): ReadonlyMap<string, V> {
     const next = new Map(map);
     next.delete(key);
--- a/packages/policy/src/endpoint-admission.ts
+++ b/packages/policy/src/endpoint-admission.ts
@@ -1,6 +1,6 @@
 /**
- * Bounds on what an endpoint is sent in a time, whatever room it has: what it bears while it is cold, the limit that it names,
- * and the rest that it asks for. What this host lets in is counted at each decision that sends a request there.
+ * Rate bounds on the requests of an endpoint, apart from its capacity: the bound while it is cold, the limit that it
+ * announces, and the rest that it asks for. Each decision that sends a request counts it against these bounds.
  *
  * @module
  */
@@ -9,15 +9,16 @@
 import { type EndpointView, isResting } from "./endpoint.js";
 import type { AdmissionBounds, RecentAdmissions } from "./fleet.js";
 
-/** Nothing that was let in counts for longer. */
+/** Admissions count for no longer than this: the longest window of any bound. */
 const RETAIN_MS = 10_000;
 
 /**
- * Whether this host may send a request to an endpoint now, or let another host's in as its owner.
+ * Whether the cold bound and the announced limit allow one more request now, be it this host's own or, if it is the
+ * owner, another host's.
  *
  * @example
  * ```ts
- * const open = views.filter(view => mayLetIn(state, view, now));
+ * const open = views.filter(view => mayAdmit(state, view, now));
  * ```
  */
 export function mayAdmit(
@@ -30,8 +31,8 @@
 }
 
 /**
- * Whether this host may send a request of its own to an endpoint now: one that has asked it for rest wants none of it, and may be
- * sent those of others.
+ * Whether this host may send a request of its own now. An endpoint that asked this host for rest gets none of its
+ * requests, but the host may still, as owner, admit those of other hosts.
  */
 export function maySend(
     state: AdmissionBounds,
@@ -41,7 +42,7 @@
     return !isResting(view, now) && mayAdmit(state, view, now);
 }
 
-/** What was let in, with one more request to an endpoint; the same value where nothing bounds what it is sent. */
+/** Records one more request to an endpoint; returns the same value if the endpoint is neither cold nor limited. */
 export function recordAdmission(
     admissions: RecentAdmissions,
     view: EndpointView | undefined,
--- a/packages/policy/src/endpoint-limit.ts
+++ b/packages/policy/src/endpoint-limit.ts
@@ -1,12 +1,13 @@
 /**
- * Limits that endpoints in need name themselves: requests a second from all hosts together. No host sees what the others
- * send, so each has a fixed part of the requests of a span, by its place among the live hosts: the parts add up to no more
- * than the limit, with as many hosts as there are, more hosts than requests included. A host whose part is nothing sends
- * nothing. Who hears no more than half of the hosts that it has known has no part of what does not go round, so that several
- * parts of a fleet that cannot hear each other do not hand it out twice.
+ * Limits that overloaded endpoints announce themselves, in requests per second from all hosts together.
  *
- * That a limit is over is told by answers alone. Where none was heard of for a while, as by hosts whose parts go unused,
- * hosts take turns in sending one request.
+ * No host sees what the others send, so each has a fixed share of the requests of a span, by its position among the
+ * live hosts. The shares add up to no more than the limit, also with more hosts than requests; a host without a share
+ * sends nothing. The remainder of an even division goes only to hosts that hear more than half of the hosts that they
+ * have known, so that parts of a fleet that cannot hear each other do not hand it out twice.
+ *
+ * Only an endpoint's answer shows that its limit has been lifted. If no answer has come for a while, for example
+ * because shares go unused, hosts take turns in sending one request.
  *
  * Pure. Times are milliseconds on the scheduler's clock.
  *
@@ -15,23 +16,35 @@
 import type { EndpointView, Said } from "./endpoint.js";
 import type { Fleet } from "./fleet.js";
 
-/** Limits are kept over the least span of whole requests above this: one of 2.3 a second is ten in 4.35 s. */
+/**
+ * A limit applies over the shortest span of at least this length that holds a whole number of requests: 2.3 requests
+ * per second become ten in 4.35 s.
+ */
 const MIN_SPAN_S = 4;
-/** Limits below one request in this time are taken for it: without any, nobody would hear that the limit is over. */
+/**
+ * A limit below one request in this time is raised to it: without any request, no host would learn that the limit has
+ * been lifted.
+ */
 const MAX_SPAN_MS = 10_000;
-/** Hosts that start together know each other after this, in fleets of any size. */
+/** Hosts that start together have heard from each other after this time, in fleets of any size. */
 const FLEET_LEARN_MS = 3_000;
-/** One that starts where it hears few of those that it was told of may be cut off, and does not know how many there are. */
+/**
+ * A host that hears at most half of the hosts named to it may be cut off and may not know how many hosts there are, so
+ * it waits longer.
+ */
 const MINORITY_LEARN_MS = 10_000;
-/** A limit of which no host has heard for this long is in doubt. */
+/** A limit that was last heard of this long ago may have been lifted. */
 const STALE_MS = 10_000;
-/** Then each host's turn to send one request lasts so long: below five requests in a span, whatever the limit. */
+/**
+ * Length of each host's turn to send one probe request after that: about one request per second from all hosts
+ * together, whatever the limit.
+ */
 const PROBE_TURN_MS = 1_000;
 
-/** Turns for each host that a host knows which hears no more than half of them. */
+/** A host that hears no more than half of the known hosts takes one of this many turns per known host. */
 const MINORITY_TURN_FACTOR = 3;
 
-/** A limit as it is kept: requests within a span. */
+/** A limit as it is enforced: requests within a span. */
 interface Quota {
     readonly maxRequests: number;
     readonly spanMs: number;
@@ -42,23 +55,26 @@
     return { maxRequests, spanMs: Math.min(MAX_SPAN_MS, 1_000 * maxRequests / perS) };
 }
 
-/** Requests a millisecond that all hosts together may send to a limited endpoint. */
+/** Requests per millisecond that all hosts together may send to a limited endpoint. */
 export function limitPerMs({ said }: EndpointView): number {
     const { maxRequests, spanMs } = quotaOf(said?.limitPerS ?? 0);
     return maxRequests / spanMs;
 }
 
-/** Whether an endpoint names a limit. */
+/** Whether an endpoint announces a limit. */
 export function isLimited({ said }: EndpointView): boolean {
     return said?.limitPerS !== undefined;
 }
 
-/** Whether a host hears more than half of the hosts that it has known: no other part of the fleet does. */
+/** Whether a host hears more than half of the hosts that it has known; at most one part of a divided fleet does. */
 function hearsMajority({ live, most }: Fleet): boolean {
     return 2 * live > most;
 }
 
-/** Endpoints begin with different hosts, so that small limits of several endpoints are not all the same host's. */
+/**
+ * A host's position for one endpoint. Positions are shifted by endpoint, so that small limits of several endpoints do
+ * not all fall to the same host.
+ */
 function placeAtEndpoint(endpoint: string, { place, live }: Fleet): number {
     let sum = 0;
     for (let at = 0; at < endpoint.length; at++) sum = (31 * sum + endpoint.charCodeAt(at)) % 65_536;
@@ -66,7 +82,7 @@
 }
 
 /**
- * Requests that a host may send to an endpoint within a span of its limit.
+ * Number of requests that a host may send to an endpoint within a span of its limit.
  *
  * @example
  * ```ts
@@ -83,9 +99,9 @@
 }
 
 /**
- * When each request of a host's part may first be sent after it heard of the limit or got this part, in milliseconds: all parts
- * together come one after another over a span. So an endpoint in need gets them evenly, soon after its limit is over one of them
- * shows that, and where parts pass to other hosts, what those before them sent no longer counts.
+ * Earliest send times of a host's share, in milliseconds after it heard of the limit or its share changed. The sends of
+ * all hosts together are spread evenly over a span. So the endpoint receives an even load, one of the requests soon
+ * shows when the limit has been lifted, and where shares pass to other hosts the earlier sends no longer count.
  */
 function firstSendTimes(endpoint: string, perS: number, fleet: Fleet, now: number): readonly number[] {
     const { maxRequests, spanMs } = quotaOf(perS);
@@ -95,8 +111,8 @@
 }
 
 /**
- * Whether it is this host's turn to find out if a limit is over that nobody has heard of for a while. Hosts that do not hear each
- * other cannot take turns in order: each of them takes one by its mark, and so rarely that few meet.
+ * Whether it is this host's turn to probe a limit that no host has heard of for a while. Hosts that do not hear each
+ * other cannot take turns in order: each takes one by its mark, and so rarely that few of them coincide.
  */
 function isProbeTurn(endpoint: string, said: Said, fleet: Fleet, now: number): boolean {
     const staleMs = now - said.at - STALE_MS;
@@ -107,7 +123,7 @@
     return turn % turns === fleet.mark % turns;
 }
 
-/** When a host may send requests to a limited endpoint, as times from now, the soonest first; those of its part alone. */
+/** Times from now at which a host may send the requests of its share to a limited endpoint, soonest first. */
 export function sendTimesWithinLimit(
     { cfg: { id }, said }: EndpointView,
     times: readonly number[],
@@ -119,18 +135,18 @@
     const from = Math.max(since, fleet.changedAt);
     const first = firstSendTimes(id, perS, fleet, now).map(ms => Math.max(0, from + ms - now)).sort((a, b) => a - b);
     const counted = times.filter(at => now - at < spanMs).slice(-first.length);
-    // Each request that counts holds one of the part until a span has passed.
+    // Each counted request uses one of the share until a span has passed.
     return [...first.slice(counted.length), ...counted.map(at => at + spanMs - now)].sort((a, b) => a - b);
 }
 
 /**
- * Whether a host may send a request to an endpoint now, by the limit that the endpoint names.
+ * Whether the limit that an endpoint announces allows this host to send a request now.
  *
- * @param times When it sent requests there, the oldest first.
+ * @param times When this host sent requests there, oldest first.
  *
  * @example
  * ```ts
- * limitLetsIn(view, state.letIn.get(view.cfg.id) ?? [], state.fleet, now);
+ * limitAdmits(view, state.letIn.get(view.cfg.id) ?? [], state.fleet, now);
  * ```
  */
 export function limitAdmits(view: EndpointView, times: readonly number[], fleet: Fleet, now: number): boolean {
--- a/packages/policy/src/endpoint-table.ts
+++ b/packages/policy/src/endpoint-table.ts
@@ -1,12 +1,12 @@
 /**
- * The endpoints of a hall as a value: a list that is copied on a change and an index that is shared, since endpoints
- * come and go rarely and change with every token.
+ * An immutable table of endpoints. A change copies the list and shares the index by id: endpoints are added and removed
+ * rarely, while each one's view changes with every token.
  *
  * @module
  */
 import type { EndpointView } from "./endpoint.js";
 
-/** An immutable table of endpoints by id. */
+/** An immutable table of endpoints by id, in a fixed order. */
 export class EndpointTable {
     private constructor(
         private readonly list: readonly EndpointView[],
@@ -14,7 +14,7 @@
     ) {}
 
     /**
-     * A table of these endpoints, in their order.
+     * Creates a table of these endpoints, in the given order.
      *
      * @example
      * ```ts
@@ -30,12 +30,12 @@
         return at === undefined ? undefined : this.list[at];
     }
 
-    /** The endpoints in their order. */
+    /** All endpoints, in table order. */
     values(): readonly EndpointView[] {
         return this.list;
     }
 
-    /** The table with one endpoint replaced; the id must be in it. */
+    /** Returns the table with one endpoint replaced; the id must be in it. */
     with(id: string, view: EndpointView): EndpointTable {
         const list = this.list.slice();
         list[this.index.get(id)!] = view;
--- a/packages/policy/src/endpoint.ts
+++ b/packages/policy/src/endpoint.ts
@@ -1,6 +1,6 @@
 /**
- * What one host knows of one endpoint, as a value: its own streams there, the last load report, the fitted pace, what
- * is cached, and who says that it is leaving.
+ * One host's view of one endpoint, as an immutable value: its own streams there, what other hosts hold, the fitted
+ * pace, cached prefixes, and who reports that the endpoint is leaving.
  *
  * @module
  */
@@ -13,128 +13,134 @@
 import { NOTHING_SHOWN, type Shown } from "./speed-samples.js";
 
 /**
- * Sources that may say that an endpoint is leaving; each takes back only its own word. `endpoint`: it said so when it was asked;
- * `answer`: in its answers, which holds for its life; `address`: another one answers at its address, and will.
+ * Sources that may report that an endpoint is leaving; each can take back only its own report. `endpoint`: it said so
+ * when it was asked. `answer`: it said so in an answer to a request, which holds for its life. `address`: another
+ * endpoint answers at its address and will continue to.
  */
 export type LeavingSource = "settings" | "hostList" | "registry" | "endpoint" | "answer" | "address";
 
-/** What is declared of an endpoint. */
+/** Declaration of an endpoint. */
 export interface EndpointCfg {
     readonly id: string;
     readonly hall: string;
     readonly models: readonly string[];
+    /** Capacity of its KV cache. */
     readonly memoryTokens: number;
-    /** Whether the operator has evacuated its hall: nothing new goes there, what runs there runs on. */
+    /** Whether the operator has evacuated its hall: it gets nothing new, and what runs there runs on. */
     readonly isEvacuated?: boolean | undefined;
-    /** What it bears while it is cold; undefined where nothing is declared of that. */
+    /** Its bound while it is cold; undefined if none is declared. */
     readonly cold?: ColdCfg | undefined;
 }
 
-/** What is declared of a cold endpoint. */
+/** Declared bound of a cold endpoint. */
 export interface ColdCfg {
-    /** When it is warm; -Infinity where it is not cold. */
+    /** When it is warm; -Infinity if it is not cold. */
     readonly until: number;
-    /** Requests that it may be sent in any second by all hosts together. */
+    /** Requests that all hosts together may send to it in any second. */
     readonly perS: number;
 }
 
-/** One of this host's streams on an endpoint. */
+/** One of this host's streams at an endpoint. */
 export interface RunningStream {
     readonly job: Job;
     readonly survival: Survival;
     readonly produced: number;
     readonly dispatchedAt: number;
-    /** Prompt tokens that were unread at the endpoint when it was sent there, its own included. */
+    /** Prompt tokens that the endpoint still had to prefill when the stream was sent there, its own included. */
     readonly prefillAhead: number;
     readonly started: boolean;
-    /** Whether it has just gone on from a copy: the pause until then says nothing of its endpoint. */
+    /** Whether it has just continued from a copy: the pause until the next progress says nothing about its endpoint. */
     readonly resumedFromCopy?: boolean;
     readonly curve: Curve;
 }
 
-/** A load report, which the endpoint made at `at` on this host's clock and which may be seconds old. */
+/** A load report of an endpoint. It was made at `at` on this host's clock and may be seconds old. */
 export interface LoadReport {
     readonly at: number;
     readonly running: number;
     readonly waiting: number;
+    /** Tokens held in its KV cache. */
     readonly memoryUsed: number;
 }
 
-/** A stream that ended lately, kept until load reports that still count it are past. */
+/** A stream that ended recently, kept until no load report can count it any more. */
 interface RecentlyEnded {
     readonly dispatchedAt: number;
     readonly endedAt: number;
     readonly held: number;
 }
 
-/** What other hosts have on the endpoint. */
+/** What other hosts hold at an endpoint. */
 export interface Others {
     readonly streams: number;
-    /** Prompt tokens of streams that have not begun: work that a new stream's prompt waits for. */
+    /** Prompt tokens of streams that have not started, which a new stream's prefill must wait for. */
     readonly unread: number;
     /** Streams that have waited for their first token for longer than their objective. */
     readonly stalled: number;
     readonly curve: Curve;
 }
 
-/** What an endpoint said last of itself, in an answer to any host. */
+/** The limit that an endpoint last announced, in an answer to any host. */
 export interface Said {
-    /** Requests a second that it takes from all hosts together; undefined where it names no limit. */
+    /** Requests per second that it takes from all hosts together; undefined if it announces no limit. */
     readonly limitPerS: number | undefined;
-    /** When it said so, in milliseconds on the scheduler's clock. */
+    /** When it announced this, in milliseconds on the scheduler's clock. */
     readonly at: number;
 }
 
-/** The same, with how long it is known. */
+/** An announced limit with the time since which this host knows it. */
 export interface KnownLimit extends Said {
-    /** When this host first took in the limit that is known now. */
+    /** When this host first heard the limit that is known now. */
     readonly since: number;
 }
 
-/** One endpoint as this host sees it. */
+/** One endpoint as this host knows it. */
 export interface EndpointView {
     readonly cfg: EndpointCfg;
     readonly since: number;
     readonly leavingBy: readonly LeavingSource[];
-    /** Since when it is known to be leaving, or to be declared no more; undefined while it stays. */
+    /** When it was first known to be leaving or no longer declared; undefined while it stays. */
     readonly closingSince: number | undefined;
     readonly streams: ReadonlyMap<string, RunningStream>;
-    /** Copies that it keeps of this host's streams at other endpoints: memory without any work. */
+    /** Copies that it keeps of this host's streams at other endpoints: they use memory but no compute. */
     readonly backups: ReadonlyMap<string, RunningStream>;
-    /** Sum over own streams and backups. */
+    /** Projected memory of this host's streams and backups. */
     readonly curve: Curve;
     readonly others: Others;
-    /** When its owner last told what others hold; `undefined` before that. */
+    /** When its owner last sent what others hold; undefined before that. */
     readonly toldAt: number | undefined;
     readonly pace: PaceFit;
-    /** How slow it is by what all hosts' streams showed, as far as this host knows. */
+    /** Evidence of its speed from the streams of all hosts, as far as this host knows it. */
     readonly speed: SpeedEvidence;
-    /** What this host's own streams have shown of its speed. */
+    /** Sums of the speed samples of this host's own streams. */
     readonly shown: Shown;
     readonly breaker: Breaker;
-    /** Whether it can probably not be reached from here: it is tried where nothing else is left. */
+    /** Whether it can probably not be reached from this host; it is then tried only if nothing else is left. */
     readonly isInDoubt: boolean;
     readonly recentlyEnded: readonly RecentlyEnded[];
-    /** Prompt starts that the endpoint has probably cached, the latest use last. */
+    /** Prompt prefixes that the endpoint has probably cached, with their tokens, least recently used first. */
     readonly prefixes: ReadonlyMap<string, number>;
-    /** Undefined before it was heard. */
+    /** The limit that it announced; undefined before it announced anything. */
     readonly said: KnownLimit | undefined;
-    /** Until when it wants nothing from this host, in milliseconds on the scheduler's clock; undefined where it never said so. */
+    /** Until when it asked this host for rest, in milliseconds on the scheduler's clock; undefined if it never did. */
     readonly restUntil: number | undefined;
-    /** Until when it may be a later life than the one known, and is taken for cold; undefined where nothing shows that. */
+    /**
+     * Until when it may be a restarted endpoint rather than the known one, and counts as cold; undefined if nothing
+     * suggests that.
+     */
     readonly restartDoubtUntil: number | undefined;
 }
 
 const NO_OTHERS: Others = { streams: 0, unread: 0, stalled: 0, curve: zeroCurve() };
-/** Reports are at most this old: letter 1's engines lag by 0.5 to 5 s. */
+/** Maximum age of a load report: the users' engines lag by 0.5 to 5 s. */
 const MAX_REPORT_LAG_MS = 6_000;
 const MAX_PREFIXES = 64;
-/** How streams of other hosts are taken to grow where too few own streams tell. */
+/** Growth assumed for other hosts' streams while there are too few own streams to extrapolate from. */
 const ASSUMED_GROWTH = 1.1;
 const MIN_STREAMS_FOR_GROWTH = 4;
 const GROWTH_BOUNDS = [0.1, 1.6] as const;
 
-/** A newly seen endpoint. */
+/** Creates the view of a newly declared endpoint. */
 export function createEndpoint(cfg: EndpointCfg, now: number): EndpointView {
     return {
         cfg,
@@ -159,19 +165,22 @@
     };
 }
 
-/** Prompt tokens of own streams that have not begun. */
+/** Prompt tokens of this host's streams that have not started. */
 export function unreadTokens(view: EndpointView): number {
     let unread = 0;
     for (const { started, job } of view.streams.values()) if (!started) unread += job.promptTokens;
     return unread;
 }
 
-/** Prompt tokens that are unread at an endpoint, as far as this host knows. */
+/** Prompt tokens that an endpoint still has to prefill, as far as this host knows. */
 export function unreadAt(view: EndpointView): number {
     return unreadTokens(view) + view.others.unread;
 }
 
-/** Own streams without a first token within their objective: a sign that the endpoint hangs. */
+/**
+ * Number of this host's streams that have waited for their first token for longer than their objective: a sign that the
+ * endpoint hangs.
+ */
 export function stalledStreams(view: EndpointView, now: number): number {
     let stalled = 0;
     for (const { started, dispatchedAt, job } of view.streams.values()) {
@@ -180,15 +189,15 @@
     return stalled;
 }
 
-/** Own and other hosts' streams. */
+/** Number of streams at an endpoint, of this and other hosts. */
 export function streamCount(view: EndpointView): number {
     return view.streams.size + view.others.streams;
 }
 
 /**
- * The endpoint after a request was given to it.
+ * Adds a stream.
  *
- * @param unread Prompt tokens that were unread there before; what this host knows of it where it was not told.
+ * @param unread Prompt tokens that the endpoint still had to prefill before; by default what this host knows.
  *
  * @example
  * ```ts
@@ -230,13 +239,13 @@
     return next;
 }
 
-/** The endpoint after it was named as the standby of a stream's copy. */
+/** Adds the copy of a stream that runs elsewhere. */
 export function addBackup(view: EndpointView, running: RunningStream): EndpointView {
     const curve = addCurve(view.curve, running.curve, 1);
     return { ...view, backups: new Map(view.backups).set(running.job.id, running), curve };
 }
 
-/** The endpoint after a copy that it kept was given up. */
+/** Removes a copy. */
 export function removeBackup(view: EndpointView, id: string): EndpointView {
     const running = view.backups.get(id);
     if (!running) return view;
@@ -245,7 +254,7 @@
     return { ...view, backups, curve: addCurve(view.curve, running.curve, -1) };
 }
 
-/** The endpoint after a stream goes on from the copy that it kept. */
+/** Turns a copy into a running stream. */
 export function promoteBackup(view: EndpointView, id: string): EndpointView {
     const running = view.backups.get(id);
     if (!running) return view;
@@ -254,7 +263,7 @@
     return { ...view, backups, streams: new Map(view.streams).set(id, { ...running, resumedFromCopy: true }) };
 }
 
-/** The endpoint after one of its streams, or one that it keeps a copy of, went on to `produced` tokens. */
+/** Advances a stream, or the copy of one, to `produced` tokens. */
 export function advanceStream(view: EndpointView, id: string, produced: number, survival: Survival): EndpointView {
     const held = view.streams.has(id) ? "streams" : "backups";
     const running = view[held].get(id);
@@ -268,7 +277,7 @@
     };
 }
 
-/** The endpoint after one of its streams ended, however it did. */
+/** Removes a stream, however it ended. */
 export function removeStream(view: EndpointView, id: string, now: number): EndpointView {
     const running = view.streams.get(id);
     if (!running) return view;
@@ -280,18 +289,18 @@
         held: running.job.promptTokens + running.produced,
     };
     const kept = view.recentlyEnded.filter(old => now - old.endedAt < MAX_REPORT_LAG_MS);
-    // With no stream left the sum is set to zero, so that rounding does not add up over days.
+    // Once no stream or copy is left the sum is reset to zero, so that rounding errors do not accumulate over days.
     const curve = streams.size + view.backups.size === 0 ? zeroCurve() : addCurve(view.curve, running.curve, -1);
     return { ...view, streams, curve, recentlyEnded: [...kept, ended] };
 }
 
 /**
- * The endpoint after a load report: what the report counts beyond this host's own streams of that time is held by other
- * hosts. Without correction for the lag, own streams are counted as they stand now.
+ * Applies a load report: what it counts beyond this host's own streams at the time of the report is held by other
+ * hosts. Without lag correction, own streams are counted as they are now.
  *
  * @example
  * ```ts
- * takeReport(view, { at: now - 800, running: 12, waiting: 0, memoryUsed: 30_000 }, true).others.streams;
+ * applyReport(view, { at: now - 800, running: 12, waiting: 0, memoryUsed: 30_000 }, true).others.streams;
  * ```
  */
 export function applyReport(view: EndpointView, report: LoadReport, lagCorrection: boolean): EndpointView {
@@ -319,7 +328,7 @@
     return { ...view, others };
 }
 
-/** A curve for memory whose streams are not known, shaped like that of own streams. */
+/** Projects memory of unknown streams with the growth of this host's own streams. */
 function projectLikeOwn(view: EndpointView, held: number): Curve {
     const curve = zeroCurve();
     const own = view.curve.mean[0]!;
@@ -338,19 +347,19 @@
     return curve;
 }
 
-/** What an owner told counts for this long; after that the host plans as if alone with its share. */
+/** What an owner sent counts for this long; after that the host plans with its equal share only. */
 export const OTHERS_VALID_MS = 15_000;
 
-/** The endpoint after its owner told what others hold. */
+/** Applies what the owner sent about other hosts' load. */
 export function applyOthers(view: EndpointView, others: Others, now: number): EndpointView {
     return { ...view, others, toldAt: now };
 }
 
 /**
- * The share of an endpoint that a host may plan with: all of it while it is the hall's only host or knows what the others
- * hold, else an equal part.
+ * Share of an endpoint's capacity that a host may plan with: all of it if it is the hall's only host or knows what the
+ * others hold, otherwise an equal part.
  *
- * @param hosts Live hosts of the hall.
+ * @param hosts Number of live hosts of the hall.
  *
  * @example
  * ```ts
@@ -363,11 +372,11 @@
 }
 
 /**
- * The endpoint after it was heard to say something of itself. What it said before that changes nothing.
+ * Applies a limit that the endpoint announced. An announcement older than the known one is ignored.
  *
  * @example
  * ```ts
- * takeSaid(view, { limitPerS: 2.3, at: now }, now).said?.limitPerS; // 2.3
+ * applyAnnouncedLimit(view, { limitPerS: 2.3, at: now }, now).said?.limitPerS; // 2.3
  * ```
  */
 export function applyAnnouncedLimit(view: EndpointView, said: Said, now: number): EndpointView {
@@ -377,23 +386,23 @@
     return { ...view, said: { ...said, since } };
 }
 
-/** The endpoint after it asked this host for rest. Of several times the last one counts. */
+/** Applies the endpoint's request for rest. The latest end time counts. */
 export function applyRest(view: EndpointView, until: number): EndpointView {
     return { ...view, restUntil: Math.max(until, view.restUntil ?? -Infinity) };
 }
 
-/** Whether an endpoint wants nothing from this host now. */
+/** Whether an endpoint has asked this host for rest that is not over yet. */
 export function isResting({ restUntil }: EndpointView, now: number): boolean {
     return restUntil !== undefined && now < restUntil;
 }
 
-/** The endpoint after a source said whether it is leaving. */
+/** Records a source's report on whether the endpoint is leaving. */
 export function setLeaving(view: EndpointView, source: LeavingSource, leaving: boolean, now: number): EndpointView {
     const others = view.leavingBy.filter(other => other !== source);
     return updateClosing({ ...view, leavingBy: leaving ? [...others, source] : others }, now);
 }
 
-/** The endpoint as it is declared now; with no models where it is declared no more. */
+/** Applies a new declaration; an endpoint that is no longer declared gets one without models. */
 export function redeclare(view: EndpointView, cfg: EndpointCfg, now: number): EndpointView {
     return updateClosing({ ...view, cfg }, now);
 }
@@ -404,23 +413,24 @@
 }
 
 /**
- * What an endpoint may still be sent for so long after it is known to be leaving: a stream that loses its own endpoint, as one of the
- * same reclaim. Nothing may reach it 2 s after the word of its leaving, which takes up to a second to be known here.
+ * For so long after an endpoint is known to be leaving, streams that lose their own endpoint may still continue there,
+ * as both may be hit by the same reclaim. Nothing may reach it 2 s after it announced that it leaves, and this host
+ * learns of that up to a second late.
  */
 const LAST_SENDS_MS = 1_000;
 
-/** Whether a stream may still go on at an endpoint that keeps its copy, as far as leaving is concerned. */
+/** Whether a stream may still continue at an endpoint that keeps its copy, as far as leaving is concerned. */
 export function acceptsContinuation({ closingSince }: EndpointView, now: number): boolean {
     return closingSince === undefined || now - closingSince < LAST_SENDS_MS;
 }
 
-/** Whether an endpoint has said in an answer that it is leaving. */
+/** Whether an endpoint has announced in an answer that it is leaving. */
 export function saysLeaving({ leavingBy }: EndpointView): boolean {
     return leavingBy.includes("answer");
 }
 
 /**
- * Whether an endpoint takes new work at all: it is declared, is not about to leave, and its hall is not evacuated.
+ * Whether an endpoint takes new work: it is declared, is not about to leave, and its hall is not evacuated.
  *
  * @example
  * ```ts
@@ -431,7 +441,7 @@
     return leavingBy.length === 0 && cfg.models.length > 0 && cfg.isEvacuated !== true;
 }
 
-/** Whether an endpoint may serve a request by the halls that are allowed to it. */
+/** Whether a request's allowed halls include the endpoint's. */
 export function isHallAllowed({ cfg }: EndpointView, halls: readonly string[] | undefined): boolean {
     return halls === undefined || halls.includes(cfg.hall);
 }
--- a/packages/policy/src/fleet.ts
+++ b/packages/policy/src/fleet.ts
@@ -1,36 +1,37 @@
 /**
- * What bounds on an endpoint's requests are judged by: the hosts that may send to it, and what this host has let in.
+ * What a host needs to divide an endpoint's request bounds among hosts: the live hosts that share the bound, and the
+ * requests that it has admitted itself.
  *
  * @module
  */
 
 /** What this host knows of the hosts that may send to the same endpoints. */
 export interface Fleet {
-    /** When this host first heard of others; undefined before that. */
+    /** When this host first heard from other hosts; undefined before that. */
     readonly since: number | undefined;
-    /** This host's place among the live hosts, from 0. */
+    /** This host's position among the live hosts, from 0. */
     readonly place: number;
     /** Live hosts, this one included. */
     readonly live: number;
-    /** The most that were alive or named at a time. */
+    /** The largest number of hosts known at one time, whether heard from or only named by others. */
     readonly most: number;
-    /** When `place` or `live` last became another. */
+    /** When `place` or `live` last changed. */
     readonly changedAt: number;
-    /** A whole number that tells this host from most others, whatever it hears of them. */
+    /** An integer that differs between most hosts and does not depend on which hosts are heard. */
     readonly mark: number;
 }
 
-/** A host that knows of no other. */
+/** A host that knows of no other host. */
 export const ALONE: Fleet = { since: undefined, place: 0, live: 1, most: 1, changedAt: -Infinity, mark: 0 };
 
-/** Times at which requests were let in, by endpoint; the oldest first. Only of endpoints that are bounded. */
+/** Times of recent admissions by endpoint, oldest first. Only endpoints that are cold or name a limit are recorded. */
 export type RecentAdmissions = ReadonlyMap<string, readonly number[]>;
 
-/** By what it is judged whether one more request may be sent to an endpoint that bounds them. */
+/** What decides whether one more request may go to an endpoint that bounds its requests. */
 export interface AdmissionBounds {
     readonly fleet: Fleet;
-    /** What this host has let into cold or limited endpoints. */
+    /** Requests that this host recently admitted to cold or limited endpoints. */
     readonly letIn: RecentAdmissions;
-    /** Since when this host has owned each of its endpoints. */
+    /** When this host became the owner of each endpoint that it owns. */
     readonly ownedSince: ReadonlyMap<string, number>;
 }
--- a/packages/policy/src/forecast.ts
+++ b/packages/policy/src/forecast.ts
@@ -1,25 +1,25 @@
 /**
- * When a request could be served: the time to its first token at an endpoint, the time until room comes, and the times at
- * which refused callers find room again.
+ * Forecasts: the time to a request's first token at an endpoint, the time until capacity comes free, and the times at
+ * which refused callers should retry.
  *
  * @module
  */
 import { type EndpointView, unreadAt } from "./endpoint.js";
 import type { DrainRate } from "./queue-order.js";
 
-/** Starts of waiting requests that lie further back say nothing about the room of now, in milliseconds. */
+/** The drain rate is ignored if the last start of a waiting request is longer ago than this, in milliseconds. */
 const DRAIN_VALID_MS = 10_000;
 
 /**
- * Whether a request that is sent to an endpoint now begins in time. Where nothing else is to be read it cannot begin
- * sooner anywhere, and is taken for in time.
+ * Whether a request that is sent to an endpoint now gets its first token in time. If the endpoint has nothing else to
+ * prefill, no other could start it sooner, and the request counts as in time.
  *
- * @param firstTokenMs Expected time until its prompt and all before it are read.
- * @param leftMs Time that its first token has left.
+ * @param firstTokenMs Expected time until its prompt and all prompts before it are prefilled.
+ * @param leftMs Time left until its first token is due.
  *
  * @example
  * ```ts
- * beginsInTime(view, readingMs(state.readingRate, unreadAt(view) + 3_000), 1_500);
+ * startsInTime(view, prefillMs(state.prefillRate, pendingPrefill(view) + 3_000), 1_500);
  * ```
  */
 export function startsInTime(view: EndpointView, firstTokenMs: number, leftMs: number): boolean {
@@ -27,15 +27,15 @@
 }
 
 /**
- * How long the request at this place among those that wait will probably wait for room, in milliseconds: as long as room
- * for each before it took lately, the first one longer where none has come for longer. 0 where nothing is known.
+ * Expected wait for capacity of the request at a position of the queue, in milliseconds: the recent time between starts
+ * for each request before it, and longer for the first one if no start has come for longer. 0 if nothing is known.
  *
- * @param place From 1.
- * @param waitingSince When the oldest one began to wait; undefined where none waits.
+ * @param place Position in the queue, from 1.
+ * @param waitingSince When the oldest waiting request arrived; undefined if none waits.
  *
  * @example
  * ```ts
- * roomIn(state.drain, 3, state.waiting[0]?.since, now);
+ * expectedWaitMs(state.drainRate, 3, state.waiting[0]?.since, now);
  * ```
  */
 export function expectedWaitMs(
@@ -47,39 +47,40 @@
     const valid = rate !== undefined && now - rate.lastStart < DRAIN_VALID_MS ? rate : undefined;
     const since = Math.max(valid?.lastStart ?? -Infinity, waitingSince ?? now);
     const meanMs = valid?.meanMs ?? 0;
-    // A pause delays all places by its own length, not each of them.
+    // A pause delays all positions once, by its own length.
     return Math.max(meanMs, now - since) + (place - 1) * meanMs;
 }
 
-/** The times given to refused callers: each gets the next place that is forecast to be free. */
+/** The retry times given to refused callers: each caller gets the next slot that is forecast to come free. */
 export interface RetryTimes {
-    /** The last time that was given out. */
+    /** The latest retry time given out. */
     readonly last: number;
-    /** Since when callers have been refused again and again. */
+    /** When the current spell of overload, a run of refusals, began. */
     readonly overloadSince: number;
-    /** When one was refused last. */
+    /** When a caller was last refused. */
     readonly refusedAt: number;
 }
 
-/** No time given out yet. */
+/** No retry time has been given out. */
 export const NO_RETRY_TIMES: RetryTimes = { last: -Infinity, overloadSince: -Infinity, refusedAt: -Infinity };
 
-/** A refusal that comes this long after the one before begins another spell of overload, in milliseconds. */
+/** A refusal this long after the previous one begins a new spell of overload, in milliseconds. */
 const OVERLOAD_GAP_MS = 2_000;
 /**
- * How long an overload will go on is not known, but the longer it has lasted, the longer it lasts on average: after twice
- * the time that it has lasted, two of three such spells are over (Lindy's law, Pareto tail of index 1). Callers who came back
- * at the next free place were mostly refused again, as new ones kept coming: a replay of ten seconds of twice what the engines
- * serve has 29 of 48 served when they come back without it, 34 of 47 with it. Longer times gain nothing beyond noise.
+ * The duration of an overload is unknown, but the longer it has lasted, the longer it lasts on average: after twice the
+ * time that it has lasted, two of three such spells are over (Lindy's law, Pareto tail of index 1). Callers who retried
+ * at the next free slot were mostly refused again, as new requests kept arriving: in a replay of ten seconds at twice
+ * the engines' throughput, 29 of 48 retries are served without this factor and 34 of 47 with it. Longer times gain
+ * nothing beyond noise.
  */
 const OVERLOAD_FACTOR = 2;
 
 /**
- * The time to come back for one more refused caller, in milliseconds from now: after the room that is forecast, after those
- * who were refused before, and when the spell of overload has probably ended.
+ * Retry time for one more refused caller, in milliseconds from now: after the forecast capacity, after callers refused
+ * earlier, and once the spell of overload has probably ended.
  *
- * @param capacityMs When room is forecast.
- * @param intervalMs Time between two places that come free.
+ * @param capacityMs Time until capacity is forecast.
+ * @param intervalMs Time between two slots that come free.
  *
  * @example
  * ```ts
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -95,7 +95,7 @@
     speedAgeMs,
     type SpeedEstimate,
     type SpeedEvidence,
-    speedFromTold,
+    speedFromOwner,
     type ToldSpeed,
     toldSpeedOf,
     UNKNOWN_SPEED,
--- a/packages/policy/src/lateness.ts
+++ b/packages/policy/src/lateness.ts
@@ -1,5 +1,6 @@
 /**
- * How likely a request would be late at an endpoint, by its first token or by a pause, where endpoints are known to differ.
+ * Chance that a request would be late at an endpoint, by its first token or by a pause in its stream. Computed only
+ * where the endpoints of a pool are known to differ in speed.
  *
  * @module
  */
@@ -16,16 +17,16 @@
     type SpeedPool,
 } from "./speed-pool.js";
 
-/** What is expected of a request at an endpoint. */
+/** Expected timing of a request at an endpoint. */
 export interface Outlook {
-    /** Median time until its prompt and all before it are read, in milliseconds. */
+    /** Median time until its prompt and all prompts before it are prefilled, in milliseconds. */
     readonly firstTokenMs: number;
-    /** Chance that its first token comes too late or a pause is too long. */
+    /** Chance that its first token is late or that a pause exceeds its target. */
     readonly lateness: number;
 }
 
 /**
- * What is expected of a request at an endpoint; undefined where the endpoints of its kind are not known to differ.
+ * Predicts the timing of a request at an endpoint; undefined if the endpoints of its pool are not known to differ.
  *
  * @example
  * ```ts
@@ -42,21 +43,21 @@
     return { firstTokenMs, lateness: 1 - startsInTime * (1 - latePauseChance(view, demand, pool, slowness)) };
 }
 
-/** The chance that something that takes `expectedMs` at the median is over within a time. */
+/** Chance that a log-normal duration with median `expectedMs` ends within `leftMs`. */
 function chanceWithin(leftMs: number, expectedMs: number, deviation: number): number {
     if (leftMs <= 0) return 0;
     if (expectedMs <= 0) return 1;
     return cumulativeStdNormalProbability(Math.log(leftMs / expectedMs) / deviation);
 }
 
-/** Three points whose weighted mean is that of a normal distribution (Gauss and Hermite). */
+/** Three-point Gauss-Hermite quadrature over a normal distribution. */
 const QUADRATURE_POINTS = [
     { deviations: -Math.sqrt(3), share: 1 / 6 },
     { deviations: 0, share: 2 / 3 },
     { deviations: Math.sqrt(3), share: 1 / 6 },
 ] as const;
 
-/** The chance that a stream pauses for too long, as the mean over how slow the endpoint may be. */
+/** Chance that a stream pauses for longer than its target, averaged over the uncertainty of the endpoint's slowness. */
 function latePauseChance(
     view: EndpointView,
     { gapTargetMs, expectedPieces }: Demand,
--- a/packages/policy/src/length-estimate.ts
+++ b/packages/policy/src/length-estimate.ts
@@ -1,65 +1,68 @@
 /**
- * Length estimates: the chance that an output passes each further token, given those already produced.
+ * Estimates output lengths: the probability that an output reaches each further token, given those already produced.
  *
- * A group's evidence is a life table over buckets of token counts: how many outputs entered each bucket, and how many
- * ended in it (the Kaplan-Meier estimator, Kaplan and Meier 1958, which counts running and cancelled outputs rightly: an
- * output that is still running is evidence of length, not of shortness). A narrow group with little evidence leans on
- * the wider group around it, with the strength of {@link PRIOR_STRENGTH} outputs.
+ * The evidence of a group is a life table over buckets of token counts: how many outputs entered each bucket, and how
+ * many ended in it. The Kaplan-Meier estimator (Kaplan and Meier 1958) counts running and cancelled outputs correctly:
+ * an output that is still running is evidence of length, not of shortness. A narrow group with little evidence is drawn
+ * towards the wider group around it, with the weight of {@link PRIOR_STRENGTH} outputs.
  *
  * @module
  */
 import { emptyMap, getIn, setIn, type ShardMap } from "./shard-map.js";
 
-/** Lower edges of the buckets, in tokens: about two a doubling, up to 92,681. */
+/** Lower edges of the buckets, in tokens: about two per doubling, up to 92,681. */
 export const BUCKET_EDGES: readonly number[] = [
     0,
     ...Array.from({ length: 28 }, (_, i) => Math.round(8 * 2 ** (i / 2))),
 ];
-/** How many outputs of the narrow group weigh as much as the wider group's rate. */
+/** Number of outputs of the narrow group that weigh as much as the wider group's rate. */
 export const PRIOR_STRENGTH = 8;
-/** Chance to end within a bucket where nothing at all is known: a median of about 180 tokens with a heavy tail. */
+/** Probability of ending within a bucket without any evidence: a median of about 180 tokens with a heavy tail. */
 const DEFAULT_HAZARD = 0.085;
-/** Evidence above this many outputs a bucket is scaled down, so that yesterday's habits fade. */
+/** Evidence above this many outputs per bucket is halved, so that old evidence fades. */
 const MAX_EVIDENCE = 400;
-/** Largest chance to end in one bucket that is believed; keeps logarithms finite. */
+/** Largest probability of ending in one bucket; keeps logarithms finite. */
 const MAX_HAZARD = 0.999;
 
-/** Evidence of one group, by bucket. */
+/** Life table of one group, by bucket. */
 interface LifeTable {
     readonly entered: Float32Array;
     readonly ended: Float32Array;
 }
 
-/** Evidence of all groups. */
+/** Life tables of all groups. */
 export interface LengthEstimates {
     readonly tables: ShardMap<LifeTable>;
 }
 
-/** Whose outputs to look at. */
+/** The group whose outputs are evidence for a request. */
 export interface RequestGroup {
     readonly workspace: string;
     readonly service: string;
     readonly model: string;
 }
 
-/** Survival of one group's outputs. `logSurvival[i]` is the logarithm of the chance to reach `EDGES[i]`. */
+/**
+ * Survival function of one group's outputs. `logSurvival[i]` is the logarithm of the probability of reaching
+ * `BUCKET_EDGES[i]`.
+ */
 export interface Survival {
     readonly logSurvival: Float64Array;
-    /** The caller's own bound on the output, in tokens. */
+    /** The caller's own limit on the output, in tokens. */
     readonly maxTokens: number;
 }
 
-/** No evidence at all. */
+/** Creates estimates without evidence. */
 export function createEstimates(): LengthEstimates {
     return { tables: emptyMap() };
 }
 
-/** A group's own key and those of the wider groups around it, the widest first. */
+/** Keys of a group and of the wider groups around it, the widest first. */
 function groupKeys({ workspace, service, model }: RequestGroup): readonly string[] {
     return ["", `m|${model}`, `s|${service}|${model}`, `w|${workspace}|${service}|${model}`];
 }
 
-/** The bucket that holds a token count. */
+/** Index of the bucket that contains a token count. */
 function bucketOf(tokens: number): number {
     let low = 0;
     let high = BUCKET_EDGES.length - 1;
@@ -72,15 +75,15 @@
 }
 
 /**
- * The evidence after an output went from `from` to `to` tokens. Call it while a stream runs and once at its end, each
- * time from where the last call stopped.
+ * Records that an output went from `from` to `to` tokens. Call it while a stream runs and once at its end, each time
+ * from where the last call stopped.
  *
- * @param ended True where the output ended by itself at `to`; false where it goes on or was cut off.
+ * @param ended True if the output ended by itself at `to`; false if it goes on or was cut off.
  *
  * @example
  * ```ts
- * let estimates = observe(createEstimates(), group, 0, 64, false);
- * estimates = observe(estimates, group, 64, 90, true);
+ * let estimates = observeLength(createLengthEstimates(), group, 0, 64, false);
+ * estimates = observeLength(estimates, group, 64, 90, true);
  * ```
  */
 export function observe(
@@ -117,7 +120,7 @@
 }
 
 /**
- * The survival of a group's outputs by the evidence so far.
+ * Survival function of a group's outputs by the evidence so far.
  *
  * @example
  * ```ts
@@ -139,7 +142,7 @@
     return { logSurvival, maxTokens };
 }
 
-/** Survival of an output whose length is known: for the all-knowing comparison in measurements. */
+/** Survival function of an output of known length, for measurements only. */
 export function survivalOfKnownLength(tokens: number): Survival {
     return { logSurvival: new Float64Array(BUCKET_EDGES.length + 1), maxTokens: tokens };
 }
@@ -154,7 +157,7 @@
 }
 
 /**
- * Of the outputs that reached `from` tokens, the share that reaches `to`.
+ * Share of the outputs that reached `from` tokens which also reaches `to`.
  *
  * @example
  * ```ts
@@ -168,7 +171,7 @@
 }
 
 /**
- * The mean length of outputs, in tokens.
+ * Mean length of outputs, in tokens.
  *
  * @example
  * ```ts
@@ -181,7 +184,7 @@
     let reached = 1;
     for (const edge of [...BUCKET_EDGES.slice(1), BUCKET_EDGES.at(-1)! * 2]) {
         const to = Math.min(edge, survival.maxTokens);
-        // Just below the caller's bound: at it, none goes on.
+        // The value just below the caller's limit: at the limit no output goes on.
         const next = Math.exp(logSurvivalAt(survival, to));
         mean += (to - from) * (reached + next) / 2;
         if (to === survival.maxTokens) break;
@@ -192,7 +195,7 @@
 }
 
 /**
- * The length that a given share of outputs does not pass, given that `from` tokens were reached.
+ * Length that a given share of outputs does not exceed, given that `from` tokens were reached.
  *
  * @example
  * ```ts
--- a/packages/policy/src/memory-curve.ts
+++ b/packages/policy/src/memory-curve.ts
@@ -1,32 +1,31 @@
 /**
- * What running streams will hold of an engine's memory, as a curve over the tokens to come.
+ * Projected memory of an engine's running streams, as a curve over the tokens to come.
  *
- * At each point of the horizon a stream holds its prompt, what it has produced and what it will have produced, if it is
- * still running then; a sum over streams has a mean and a variance, and the peak is asked for at a quantile by the normal
- * approximation.
+ * At each point of the horizon a stream that is still running holds its prompt and the tokens that it has produced by
+ * then. A sum over streams has a mean and a variance; the peak is taken at a quantile by the normal approximation.
  *
  * @module
  */
 import { chanceToReach, type Survival } from "./length-estimate.js";
 
-/** Points of the horizon, in tokens from now. Streams of one engine advance together, a token a step. */
+/** Points of the horizon, in tokens from now. The streams of one engine advance together, one token per step. */
 export const HORIZON_TOKENS: readonly number[] = [0, 32, 96, 224, 480, 992, 2_016, 4_064, 8_160];
 
-/** Mean and variance of the tokens held at each point of the horizon. */
+/** Mean and variance of the tokens held at each point of {@link HORIZON_TOKENS}. */
 export interface Curve {
     readonly mean: Float64Array;
     readonly variance: Float64Array;
 }
 
-/** Nothing held. */
+/** A curve without any memory. */
 export function zeroCurve(): Curve {
     return { mean: new Float64Array(HORIZON_TOKENS.length), variance: new Float64Array(HORIZON_TOKENS.length) };
 }
 
 /**
- * The curve of one stream.
+ * Projects the memory of one stream.
  *
- * @param held Tokens it holds now: prompt and produced output.
+ * @param held Tokens that it holds now: prompt and produced output.
  * @param produced Output tokens so far.
  *
  * @example
@@ -46,7 +45,7 @@
 }
 
 /**
- * The sum of two curves, the second one weighted (`-1` takes it away).
+ * Adds the second curve, weighted, to the first; a weight of `-1` subtracts it.
  *
  * @example
  * ```ts
@@ -63,11 +62,11 @@
 }
 
 /**
- * The largest memory over the horizon at `z` standard deviations, of several curves together.
+ * Peak of several curves together over the horizon, `z` standard deviations above the mean.
  *
  * @example
  * ```ts
- * peakOf([running, candidate], 1.28) <= memoryTokens;
+ * peakMemory([running, candidate], 1.28) <= memoryTokens;
  * ```
  */
 export function peakOf(curves: readonly Curve[], z: number): number {
--- a/packages/policy/src/owner-answers.ts
+++ b/packages/policy/src/owner-answers.ts
@@ -1,5 +1,5 @@
 /**
- * What follows when an endpoint's owner has said where a request goes, or has not said it in time.
+ * Places a request once the owner that was asked has answered, or has not answered in time.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 import { type Decision, type SchedulerEvent, type SchedulerState, updateEndpoint } from "./scheduler-state.js";
 import { setIn } from "./shard-map.js";
 
-/** An owner's word: the request goes where it says, or goes back to those that wait. */
+/** Handles an owner's answer: sends the request to the endpoint that it names, or puts it back in the queue. */
 export function onOwnerAnswer(
     state: SchedulerState,
     { job, endpoint, standby, unread }: Extract<SchedulerEvent, { kind: "answer" }>,
@@ -26,7 +26,8 @@
     const cancelled = cancelAsk(state, job, now);
     const { waiting } = asked;
     const view = endpoint === undefined ? undefined : cancelled.endpoints.get(endpoint);
-    // Named by an owner that has not heard of its limit, or that cannot know that it wants rest from this host.
+    // The owner may not have heard of the endpoint's limit yet, and cannot know that the endpoint asked this host for
+    // rest.
     const isThrottledHere = view !== undefined && (isLimited(view) || isResting(view, now));
     if (endpoint === undefined || !view || !takesNew(view) || isThrottledHere) {
         const requeued = endpoint === undefined || isThrottledHere ? { ...waiting, noCapacityAt: now } : waiting;
@@ -43,7 +44,10 @@
         : dispatchWithStandby(reserveBackupAt(placed, job, endpoint, standby), waiting.job, endpoint, standby);
 }
 
-/** Decides alone on a request whose owner does not answer; never for an endpoint that takes nothing new by now. */
+/**
+ * Decides without the owner, which has not answered. The request is sent only if the endpoint still takes new work;
+ * otherwise it goes back to the queue.
+ */
 export function decideAlone(state: SchedulerState, job: string, now: number): Decision {
     const { waiting, endpoint } = state.asked.get(job)!;
     const view = state.endpoints.get(endpoint);
--- a/packages/policy/src/pace.ts
+++ b/packages/policy/src/pace.ts
@@ -1,38 +1,38 @@
 /**
- * The engine model of pace: time between tokens as a line over the batch, with a margin for the tail, fitted per
- * endpoint from its own streams.
+ * Model of an engine's decode pace: the time between tokens as a linear function of the batch size, with a margin for
+ * the tail, fitted per endpoint from its own streams.
  *
  * @module
  */
 
-/** Decayed sums of a least-squares line, and a tracked margin above it. Times are milliseconds. */
+/** Decayed sums of a least-squares line, and a margin above it that follows a quantile. Times are milliseconds. */
 export interface PaceFit {
     readonly weight: number;
     readonly sumBatch: number;
     readonly sumGap: number;
     readonly sumBatchSquared: number;
     readonly sumBatchGap: number;
-    /** What the largest gaps lie above the line; follows their {@link TAIL_SHARE} quantile. */
+    /** How far the largest gaps lie above the line; follows their {@link TAIL_SHARE} quantile. */
     readonly margin: number;
 }
 
-/** A line: `base + perStream * batch`. */
+/** The fitted line: `base + perStream * batch`. */
 export interface PaceLine {
     readonly base: number;
     readonly perStream: number;
 }
 
 const DECAY = 0.998;
-/** The quantile of the largest gap of a sample that the margin follows. */
+/** Quantile of the largest gaps that the margin follows. */
 export const TAIL_SHARE = 0.95;
 const MARGIN_STEP_MS = 0.4;
 const START_MARGIN_MS = 8;
-/** The line that holds before anything was seen, worth {@link PRIOR_WEIGHT} samples at each of two batches. */
+/** Prior line, with the weight of {@link PRIOR_WEIGHT} samples at each of two batch sizes. */
 const PRIOR: PaceLine = { base: 10, perStream: 0.3 };
 const PRIOR_WEIGHT = 2;
 const PRIOR_BATCHES = [1, 64] as const;
 
-/** The fit before any sample. */
+/** Returns the prior fit, before any sample. */
 export function createPace(): PaceFit {
     let fit: PaceFit = {
         weight: 0,
@@ -48,7 +48,7 @@
     return fit;
 }
 
-/** A fit of one sample, without anything assumed of the base. */
+/** Returns a fit of one sample without the prior. */
 export function paceOfSample(batch: number, gap: number): PaceFit {
     const nothing = { weight: 0, sumBatch: 0, sumGap: 0, sumBatchSquared: 0, sumBatchGap: 0, margin: START_MARGIN_MS };
     return addSample(nothing, batch, gap, 1, 1);
@@ -66,7 +66,8 @@
 }
 
 /**
- * The fit after a stretch of a stream: its mean and largest gap while about `batch` streams ran.
+ * Adds a stretch of a stream, the pieces between two progress reports: its mean and largest gap while about `batch`
+ * streams ran.
  *
  * @example
  * ```ts
@@ -82,7 +83,7 @@
     return { ...next, margin: Math.max(0, margin) };
 }
 
-/** The fitted line; neither part is ever negative. */
+/** Returns the fitted line; neither coefficient is negative. */
 export function paceLine(fit: PaceFit): PaceLine {
     const meanBatch = fit.sumBatch / fit.weight;
     const meanGap = fit.sumGap / fit.weight;
@@ -93,7 +94,7 @@
 }
 
 /**
- * The largest batch whose time between tokens, margin included, stays within a target; at least 1.
+ * Largest batch size whose time between tokens, including the margin, stays within a target; at least 1.
  *
  * @example
  * ```ts
--- a/packages/policy/src/pause-risk.ts
+++ b/packages/policy/src/pause-risk.ts
@@ -1,34 +1,40 @@
 /**
- * How likely a stream pauses beyond its target: a table of how often the longest pause of a stretch of pieces was how many
- * times as long as the gap that was expected there.
+ * Chance that a stream pauses for longer than its target. A table counts, over stretches of streams (the pieces between
+ * two progress reports), how many times the expected gap the longest pause was.
  *
  * @module
  */
 
-/** Width of a bucket, as a natural logarithm: an expected gap must be known as well as that. */
+/**
+ * Width of a bucket as a natural logarithm. A sample counts only if the endpoint's expected gap is known at least this
+ * precisely.
+ */
 export const BUCKET_LOG = Math.LN2 / 4;
-/** Buckets a doubling of the ratio of a pause to the expected gap, and doublings in all: from 1 to 64 times. */
+/**
+ * Buckets for each doubling of the ratio of the longest pause to the expected gap, and the number of doublings: ratios
+ * from 1 to 64.
+ */
 const BUCKETS_PER_DOUBLING = 4;
 const DOUBLINGS = 6;
 const BUCKETS = BUCKETS_PER_DOUBLING * DOUBLINGS + 1;
-/** Of 500 stretches back, a sample still weighs a third. */
+/** After 500 more stretches a sample still weighs a third. */
 const DECAY = 0.998;
 
 /** Decayed counts of stretches by the ratio of their longest pause to the expected gap. */
 export interface PauseTable {
-    /** Pieces in all stretches. */
+    /** Decayed count of pieces over all stretches. */
     readonly pieces: number;
     /** Stretches whose longest pause was at least `2 ** (at / BUCKETS_PER_DOUBLING)` times the expected gap. */
     readonly reached: Float64Array;
 }
 
-/** Nothing seen: no pause is expected. */
+/** A table without samples: no pause is expected. */
 export const NO_PAUSES: PauseTable = { pieces: 0, reached: new Float64Array(BUCKETS) };
 
 /**
- * The table after a stretch of a stream.
+ * Adds one stretch of a stream to the table.
  *
- * @param ratio Its longest pause as a multiple of the gap that was expected.
+ * @param ratio Its longest pause as a multiple of the expected gap.
  *
  * @example
  * ```ts
@@ -45,7 +51,7 @@
 }
 
 /**
- * The chance that a stream of so many pieces pauses once for longer than `ratio` times its expected gap.
+ * Chance that at least one pause of a stream exceeds `ratio` times its expected gap.
  *
  * @example
  * ```ts
@@ -54,11 +60,13 @@
  */
 export function pauseChance({ pieces, reached }: PauseTable, ratio: number, piecesAhead: number): number {
     if (pieces <= 0 || piecesAhead <= 0) return 0;
-    // One pause of a stretch is counted, the longest: pauses come in groups, when an endpoint is slow for a while.
+    // Only the longest pause of a stretch counts: pauses come in groups while an endpoint is slow.
     return -Math.expm1(-reachedAt(reached, ratio) / pieces * piecesAhead);
 }
 
-/** Stretches whose longest pause was at least so many times the expected gap. */
+/**
+ * Number of stretches whose longest pause was at least `ratio` times the expected gap, interpolated between buckets.
+ */
 function reachedAt(reached: Float64Array, ratio: number): number {
     const place = BUCKETS_PER_DOUBLING * Math.log2(Math.max(1, ratio));
     const low = Math.floor(place);
--- a/packages/policy/src/place.ts
+++ b/packages/policy/src/place.ts
@@ -1,6 +1,6 @@
 /**
- * Where a request runs: at the best endpoint that has room by what this host knows, or where that endpoint's owner says once it
- * was asked.
+ * Places a request at the best endpoint with capacity by what this host knows, or asks that endpoint's owner where it
+ * should run.
  *
  * @module
  */
@@ -25,13 +25,15 @@
 import { type Decision, type SchedulerState, updateEndpoint } from "./scheduler-state.js";
 import { deleteIn, setIn } from "./shard-map.js";
 
-/** Room comes as streams end and prompts are read: an owner that had none is asked again after this. */
+/**
+ * Capacity comes free as streams end and prompts are prefilled: an owner that had none is asked again after this time.
+ */
 const ASK_AGAIN_MS = 50;
 
 /**
- * Gives a request to the best endpoint that has room; undefined where none has.
+ * Places a request at the best endpoint with capacity; undefined if none has any.
  *
- * @param includeDoubted Whether endpoints of halls in doubt are tried as well.
+ * @param includeDoubted Whether endpoints that can probably not be reached are tried as well.
  */
 export function place(
     state: SchedulerState,
@@ -49,10 +51,10 @@
         .filter(candidate => candidate !== undefined);
     const pick = job.isSuspect ? fewestStreams(state) : PICKERS[state.variant.choice];
     const chosen = candidates.length > 0 ? pick(candidates, state.turn) : undefined;
-    // Rounds of telling are long in large halls: there every stream is asked for, whatever this host believes. An owner would
-    // choose for a suspect as for any other.
+    // In large halls hosts exchange their load rarely, so an owner is asked for every stream, whatever this host knows.
+    // Not for a suspect request: an owner would place it like any other.
     const alwaysAsks = alwaysAsksOwners(state) && !job.isSuspect;
-    // Each host keeps its own part of an endpoint's limit: owners let nobody in there.
+    // Each host keeps to its own share of an endpoint's limit, so owners admit nothing there.
     const advisable = views.filter(view => !isLimited(view) && !isResting(view, now));
     const id = chosen?.id ?? (alwaysAsks ? advisable[state.turn % Math.max(1, advisable.length)]?.cfg.id : undefined);
     if (id === undefined) return undefined;
@@ -76,7 +78,10 @@
     return { state: { ...next, asked }, actions: [{ kind: "ask", job: job.id, endpoint: id, question }] };
 }
 
-/** Gives a request that would be refused for room to an endpoint of a hall in doubt, which may be reached after all. */
+/**
+ * Places a request that would otherwise be refused for lack of capacity, also at endpoints in doubt: they may be
+ * reachable after all.
+ */
 export function placeIncludingDoubted(
     state: SchedulerState,
     waiting: WaitingRequest,
@@ -86,12 +91,12 @@
     return isAnyInDoubt ? place(state, waiting, now, true) : undefined;
 }
 
-/** The state after a request was sent to an endpoint by this host's own decision. */
+/** Counts a request that this host sends by its own decision against the endpoint's rate bounds. */
 export function recordOwnAdmission(state: SchedulerState, endpoint: string, now: number): SchedulerState {
     return { ...state, letIn: recordAdmission(state.letIn, state.endpoints.get(endpoint), now) };
 }
 
-/** The state without a request that an owner was asked about. */
+/** Withdraws a question to an owner and releases the capacity that was counted for the request. */
 export function cancelAsk(state: SchedulerState, job: string, now: number): SchedulerState {
     const asked = state.asked.get(job);
     if (!asked) return state;
@@ -102,7 +107,10 @@
     return { ...freed, asked: withoutKey(state.asked, job), placed: deleteIn(state.placed, job) };
 }
 
-/** The candidate of the best score. Equal ones take turns, so that hosts do not all choose the same. */
+/**
+ * Returns the candidate with the lowest score. Candidates with equal scores take turns, so that hosts do not all choose
+ * the same one.
+ */
 function lowestScore(candidates: readonly Candidate[], turn: number): Candidate {
     const first = turn - 1;
     let chosen = candidates[first % candidates.length]!;
@@ -113,7 +121,7 @@
     return chosen;
 }
 
-/** Picks the endpoint at which the fewest streams would be lost with it. */
+/** Picks the endpoint with the fewest streams, as the request may crash it. */
 function fewestStreams({ endpoints }: SchedulerState): (candidates: readonly Candidate[], turn: number) => Candidate {
     return (candidates, turn) => {
         const streamCounts = candidates.map(({ id }) => streamCount(endpoints.get(id)!));
--- a/packages/policy/src/placement-question.ts
+++ b/packages/policy/src/placement-question.ts
@@ -1,32 +1,36 @@
 /**
- * What hosts of large fleets ask the owner of endpoints, and what it answers.
+ * The question that a host of a large fleet asks an endpoint's owner before it places a request, and the owner's
+ * answer.
  *
  * @module
  */
 import type { Demand } from "./demand.js";
 import type { Curve } from "./memory-curve.js";
 
-/** What another host asks. */
+/** A host asks an owner where one of its requests, or the copy of a running one, should go. */
 export interface Question {
     readonly demand: Demand;
-    /** What the stream will hold. */
+    /** Memory that the stream is expected to hold. */
     readonly curve: Curve;
-    /** Standard deviations at which memory peaks are asked for. */
+    /** Standard deviations above the mean at which the memory peak must still fit. */
     readonly z: number;
-    /** The asker's hall. */
+    /** Hall of the host that asks. */
     readonly hall: string;
-    /** Endpoints that the asker cannot use. */
+    /** Endpoints that the asking host cannot use. */
     readonly exclude: readonly string[];
-    /** Whether an endpoint is wanted as well that keeps a copy. */
+    /** Whether the owner should also name a standby, the endpoint that keeps a copy of the stream. */
     readonly backUp: boolean;
-    /** Set where only an endpoint is sought that keeps a copy: the one where the request runs, and how full a standby may be. */
+    /**
+     * Set if only a standby is sought: the endpoint where the request runs, and the share of a standby's memory that
+     * may be planned.
+     */
     readonly standbyOf?: { readonly endpoint: string; readonly roomShare: number };
 }
 
-/** Where the request goes. */
+/** An owner's answer: where the request should run and who keeps its copy. */
 export interface PlacementAdvice {
-    /** Undefined where only a standby was sought. */
+    /** Undefined if only a standby was sought. */
     readonly endpoint: string | undefined;
-    /** Endpoint that keeps the copy; undefined where none has room or none is wanted. */
+    /** Endpoint that keeps the copy; undefined if none has capacity or none was wanted. */
     readonly standby: string | undefined;
 }
--- a/packages/policy/src/prefill-rate.ts
+++ b/packages/policy/src/prefill-rate.ts
@@ -1,34 +1,40 @@
 /**
- * How long engines take to read prompts, measured from the requests' own first tokens.
+ * How long engines take to prefill prompts, measured from each request's time to first token.
  *
  * @module
  */
 
-/** Decayed sums over requests that began: prompt tokens ahead of their first token, and the time until it came. */
+/**
+ * Decayed sums over requests that have started: prompt tokens to prefill before the first token, and the time until it
+ * came.
+ */
 export interface PrefillRate {
     readonly tokens: number;
     readonly ms: number;
 }
 
-/** Of ten requests back, a sample still weighs three quarters: a rate follows a change of the fleet within a few dozen. */
+/**
+ * After ten more requests a sample still weighs three quarters, so the rate follows a change within a few dozen
+ * requests.
+ */
 const RATE_DECAY = 0.97;
-/** Counts until the first requests have begun: as one prompt of a thousand tokens that took a tenth of a second. */
+/** Prior until requests have started: one prompt of 1,000 tokens prefilled in 100 ms. */
 const PRIOR: PrefillRate = { tokens: 1_000, ms: 100 };
 
-/** The rate before any request began. */
+/** Returns the rate before any request has started. */
 export function createPrefillRate(): PrefillRate {
     return PRIOR;
 }
 
 /**
- * The rate after a request's first token came.
+ * Updates the rate after a request's first token.
  *
- * @param tokens Prompt tokens that were unread at its endpoint when it was sent, its own included.
- * @param ms Time from then to its first token.
+ * @param tokens Prompt tokens that the endpoint still had to prefill when the request was sent, its own included.
+ * @param ms Time from sending the request to its first token.
  *
  * @example
  * ```ts
- * readingMs(observeReading(createReadingRate(), 4_000, 300), 1_000);
+ * prefillMs(observePrefill(createPrefillRate(), 4_000, 300), 1_000);
  * ```
  */
 export function observePrefill(rate: PrefillRate, tokens: number, ms: number): PrefillRate {
@@ -36,7 +42,7 @@
     return { tokens: rate.tokens * RATE_DECAY + tokens, ms: rate.ms * RATE_DECAY + ms };
 }
 
-/** Expected time until so many prompt tokens are read, in milliseconds. */
+/** Expected time to prefill so many prompt tokens, in milliseconds. */
 export function prefillMs({ tokens, ms }: PrefillRate, unread: number): number {
     return unread * ms / tokens;
 }
--- a/packages/policy/src/refusal.ts
+++ b/packages/policy/src/refusal.ts
@@ -1,6 +1,6 @@
 /**
- * When a request is refused, and when its caller is told to come back: at once where nothing runs its model or no room is forecast
- * while its first token can still come in time, so that nobody waits for what cannot be.
+ * Decides when a request is refused and when its caller should retry. A request is refused at once if no endpoint
+ * serves its model, or if no capacity is forecast in time for its first token, so that no caller waits in vain.
  *
  * @module
  */
@@ -13,10 +13,10 @@
 import { isThrottled, type Throttling, throttlingOf } from "./throttling.js";
 
 const MIN_RETRY_AFTER_MS = 250;
-/** When an endpoint for a model will be there again is not known; a caller is asked to come back after this. */
+/** It is not known when an endpoint for a model will be available again; callers are asked to retry after this time. */
 export const NO_ENDPOINT_RETRY_MS = 5_000;
 
-/** A refusal; its caller is asked to come back no sooner than {@link MIN_RETRY_AFTER_MS}. */
+/** Refuses a request; its caller is asked to retry no sooner than after {@link MIN_RETRY_AFTER_MS}. */
 export function refuse(job: string, reason: RefuseReason, detail: string, retryAfterMs: number): SchedulerAction {
     return {
         kind: "refuse",
@@ -27,18 +27,17 @@
     };
 }
 
-/** Whether any endpoint runs the model and takes new work. */
+/** Whether any endpoint serves the request's model and takes new work. */
 export function isServable(state: SchedulerState, job: Job): boolean {
     const { group: { model }, halls } = job;
     return state.endpoints.values().some(view => serves(view, { model, halls }));
 }
 
-/** Refuses a request that no endpoint serves. */
 export function refuseUnservable(job: Job): SchedulerAction {
-    return refuse(job.id, "noEndpoint", "no endpoint that takes new work runs the model", NO_ENDPOINT_RETRY_MS);
+    return refuse(job.id, "noEndpoint", "no endpoint that takes new work serves the model", NO_ENDPOINT_RETRY_MS);
 }
 
-/** What endpoints let this host send by their limits and their rest; undefined where one that may serve the request bounds nothing. */
+/** How the endpoints that could serve a request throttle this host; undefined if at least one does not. */
 function throttlingFor(
     state: SchedulerState,
     { job, avoid }: WaitingRequest,
@@ -51,18 +50,18 @@
     return throttlingOf(state, views, position, now);
 }
 
-/** Whether room is forecast for a request at this place of the queue while its first token can still come in time. */
+/** Whether capacity is forecast for a request at this position of the queue early enough for its first token. */
 export function canStartInTime(state: SchedulerState, waiting: WaitingRequest, position: number, now: number): boolean {
     const { job, since } = waiting;
     const capacityMs = state.variant.forecast
         ? expectedWaitMs(state.drainRate, position, state.waiting[0]?.since, now)
         : 0;
-    const readingMs = state.variant.forecast ? prefillMs(state.prefillRate, job.promptTokens) : 0;
+    const ownPrefillMs = state.variant.forecast ? prefillMs(state.prefillRate, job.promptTokens) : 0;
     const throttledMs = throttlingFor(state, waiting, position, now)?.waitMs ?? 0;
-    return now - since + Math.max(capacityMs, throttledMs) + readingMs < job.policy.maxWaitMs;
+    return now - since + Math.max(capacityMs, throttledMs) + ownPrefillMs < job.policy.maxWaitMs;
 }
 
-/** Refuses a request for which no room is forecast in time, and tells when its caller finds some. */
+/** Refuses a request for which no capacity is forecast in time, and tells its caller when to retry. */
 export function refuseForCapacity(
     state: SchedulerState,
     waiting: WaitingRequest,
@@ -76,25 +75,29 @@
     const capacityMs = expectedWaitMs(state.drainRate, position, state.waiting[0]?.since, now);
     const { retryTimes, afterMs } = nextRetryTime(state.retryTimes, capacityMs, state.drainRate?.meanMs ?? 0, now);
     const age = state.drainRate ? `${Math.round(now - state.drainRate.lastStart)} ms ago` : "never";
-    const detail = `room in ${Math.round(capacityMs)} ms at place ${position} after ${
+    const detail = `capacity forecast in ${Math.round(capacityMs)} ms at queue position ${position}; waited ${
         Math.round(now - since)
-    } ms, last seen ${age}`;
+    } ms; last start from the queue ${age}`;
     return { state: { ...state, retryTimes }, actions: [refuse(job.id, reason, detail, afterMs)] };
 }
 
-/** Refuses a request that the limits or the rest of all endpoints keep away. Where another host may serve it, its caller comes back soon. */
+/**
+ * Refuses a request because all endpoints throttle this host. If another host may serve it, its caller is asked to
+ * retry soon.
+ */
 function refuseThrottled(
     state: SchedulerState,
     job: Job,
     { waitMs, intervalMs, othersMayServe }: Throttling,
     now: number,
 ): Decision {
-    const next = Number.isFinite(waitMs) ? `in ${Math.round(waitMs)} ms` : "not this host's";
-    const detail = `all endpoints limit what they take, or want rest; the next request ${next}`;
+    const next = Number.isFinite(waitMs) ? `may be sent in ${Math.round(waitMs)} ms` : "belongs to another host";
+    const detail = `all endpoints limit their requests or asked for rest; the next request ${next}`;
     if (othersMayServe) return { state, actions: [refuse(job.id, "limited", detail, MIN_RETRY_AFTER_MS)] };
     const sendMs = Number.isFinite(waitMs) ? waitMs : intervalMs;
     const { retryTimes, afterMs } = nextRetryTime(state.retryTimes, sendMs, intervalMs, now);
-    // Behind many others a caller does as well to ask again soon: another host may have room, or the limits be over.
+    // Behind many others a caller may as well retry soon: another host may have capacity, or the limits may have been
+    // lifted.
     const backMs = Math.min(afterMs, NO_ENDPOINT_RETRY_MS);
     return { state: { ...state, retryTimes }, actions: [refuse(job.id, "limited", detail, backMs)] };
 }
--- a/packages/policy/src/retry-budget.ts
+++ b/packages/policy/src/retry-budget.ts
@@ -1,20 +1,21 @@
 /**
- * A budget of retries: a share of the requests, so that a failing fleet is not given more load than it had.
+ * Retry budgets: retries are bounded by a share of the requests, so that they do not multiply the load on a failing
+ * fleet.
  *
  * @module
  */
 import { emptyMap, getIn, setIn, type ShardMap } from "./shard-map.js";
 
-/** Retries that are still allowed, by workspace and by endpoint. */
+/** Retries still allowed, by key: one for each workspace and each endpoint. */
 export interface RetryBudget {
     readonly credit: ShardMap<number>;
 }
 
-/** What a key starts with and may save up at most, in retries. */
+/** Credit of a new key and the most that a key can accumulate, in retries. */
 const START_CREDIT = 3;
 const MAX_CREDIT = 20;
 
-/** A budget in which every key has its first few retries. */
+/** Creates a budget in which every key has its initial credit. */
 export function createRetryBudget(): RetryBudget {
     return { credit: emptyMap() };
 }
@@ -24,7 +25,7 @@
 }
 
 /**
- * The budget after a first attempt: each key earns its share of a retry.
+ * Returns the budget after a first attempt: each key earns its share of a retry.
  *
  * @example
  * ```ts
@@ -37,7 +38,7 @@
     return { credit };
 }
 
-/** The budget after a retry was paid for by every key, or undefined where one of them cannot pay. */
+/** Returns the budget after every key has paid for a retry; undefined if one of them cannot. */
 export function spendRetry(budget: RetryBudget, keys: readonly string[]): RetryBudget | undefined {
     if (keys.some(key => creditOf(budget, key) < 1)) return undefined;
     let credit = budget.credit;
@@ -45,17 +46,19 @@
     return { credit };
 }
 
-/** Repeated sends that a host may make: its part of what all hosts together may, in any window. */
+/**
+ * The budget of one host for repeated sends: its share of a budget that all hosts have together, over a sliding window.
+ */
 export interface FleetRetryBudget {
     /** Length of the window, in milliseconds. */
     readonly windowMs: number;
-    /** Repeated sends for each request of this host. */
+    /** Repeated sends allowed for each request of this host. */
     readonly ratio: number;
-    /** Repeated sends of all hosts together beyond that, in each window. */
+    /** Repeated sends of all hosts together that are allowed beyond that in each window. */
     readonly slack: number;
-    /** The most hosts that were alive at a time: one that is cut off must not take the others' parts. */
+    /** The largest number of hosts alive at one time. A host that is cut off must not take the others' shares. */
     readonly maxHosts: number;
-    /** Requests and repeated sends of this host, by the part of the window that they fell into; the oldest first. */
+    /** Requests and repeated sends of this host, counted by slice of the window, oldest first. */
     readonly slices: readonly Slice[];
 }
 
@@ -65,19 +68,22 @@
     readonly repeats: number;
 }
 
-/** Before it has seen others, a host takes the fleet for one of this many: the users' smallest has six. */
+/** Fleet size that a host assumes before it has heard from others: the users' smallest fleet has six. */
 const ASSUMED_HOSTS = 6;
-/** Parts of a window that are counted apart: what is forgotten a part too late only lowers the budget. */
+/** Slices per window. A slice that is dropped late only lowers the budget. */
 const SLICES = 10;
-/** The part of the budget that is used: hosts share it by how many they believe to be alive, which may be too few. */
+/**
+ * Share of the budget that is used: hosts divide it by the number of hosts that they believe to be alive, which may be
+ * too low.
+ */
 const USED_SHARE = 0.6;
 
 /**
- * A budget that nothing was taken from.
+ * Creates an unused budget.
  *
  * @example
  * ```ts
- * createFleetBudget({ windowMs: 10_000, ratio: 0.2, slack: 50 });
+ * createFleetRetryBudget({ windowMs: 10_000, ratio: 0.2, slack: 50 });
  * ```
  */
 export function createFleetBudget(bounds: Pick<FleetRetryBudget, "windowMs" | "ratio" | "slack">): FleetRetryBudget {
@@ -86,26 +92,26 @@
 
 function count(budget: FleetRetryBudget, now: number, requests: number, repeats: number): FleetRetryBudget {
     const number = Math.floor(now / budget.windowMs * SLICES);
-    // The window before the current one's begin may still count: one slice more is kept.
+    // Part of the oldest slice may still lie in the window, so one slice more than a window is kept.
     const kept = budget.slices.filter(slice => slice.number >= number - SLICES && slice.number !== number);
     const current = budget.slices.find(slice => slice.number === number) ?? { number, requests: 0, repeats: 0 };
     const next = { number, requests: current.requests + requests, repeats: current.repeats + repeats };
     return { ...budget, slices: [...kept, next] };
 }
 
-/** The budget after a request came in. */
+/** Counts a new request. */
 export function countRequest(budget: FleetRetryBudget, now: number): FleetRetryBudget {
     return count(budget, now, 1, 0);
 }
 
 /**
- * The budget after a repeated send was paid for, or undefined where this host's part is used up.
+ * Returns the budget after paying for a repeated send; undefined if this host's share is used up.
  *
- * @param hosts Hosts that are believed to be alive, this one included.
+ * @param hosts Number of hosts believed to be alive, including this one.
  *
  * @example
  * ```ts
- * const paid = takeRepeat(budget, 9, now);
+ * const paid = spendRepeat(budget, 9, now);
  * if (!paid) refuse();
  * ```
  */
--- a/packages/policy/src/scheduler-state.ts
+++ b/packages/policy/src/scheduler-state.ts
@@ -1,5 +1,5 @@
 /**
- * What one host knows for its decisions, what it is told and what follows: the values that the scheduler works on.
+ * The scheduler's types: the state of one host, the events that it handles, and the actions that follow.
  *
  * @module
  */
@@ -19,49 +19,51 @@
 import type { SpeedPools } from "./speed-pool.js";
 import type { Shown } from "./speed-samples.js";
 
-/** All that one host knows for its decisions. */
+/** Everything that one host knows for its decisions. */
 export interface SchedulerState extends AdmissionBounds {
     readonly variant: Variant;
     /** Live hosts of the hall, this one included. */
     readonly hosts: number;
     readonly endpoints: EndpointTable;
-    /** What endpoints said that are declared no more. */
+    /** Announcements of endpoints that are no longer declared. */
     readonly remembered: RetainedStates;
     readonly waiting: readonly WaitingRequest[];
     readonly estimates: LengthEstimates;
     readonly retryBudget: RetryBudget;
-    /** Bounds repeated sends in place of `retries`, where hosts share one budget. */
+    /** Bounds repeated sends instead of `retryBudget` if all hosts share one budget. */
     readonly fleetRetryBudget: FleetRetryBudget | undefined;
-    /** Hall whose endpoints are preferred; undefined where all are of one hall. */
+    /** Hall whose endpoints are preferred; undefined if all endpoints are in one hall. */
     readonly hall: string | undefined;
     readonly drainRate: DrainRate | undefined;
     readonly prefillRate: PrefillRate;
     readonly speeds: SpeedPools;
     readonly retryTimes: RetryTimes;
-    /** Endpoint of each running request. */
+    /** Endpoint of each running request, or of one whose endpoint's owner is being asked. */
     readonly placed: ShardMap<string>;
-    /** Endpoint that keeps a copy of each running request that has one. */
+    /** Standby, the endpoint that keeps the copy, of each running request that has one. */
     readonly standbys: ShardMap<string>;
     /** Endpoints that this host owns. */
     readonly owned: ReadonlySet<string>;
-    /** Requests whose endpoint's owner was asked and has not answered. */
+    /** Requests for which an owner was asked and has not answered yet. */
     readonly asked: ReadonlyMap<string, Asked>;
-    /** Running requests for which an owner was asked who keeps their copy. */
+    /** Running requests for which an owner was asked for a standby. */
     readonly askedStandby: ReadonlyMap<string, PendingStandbyAsk>;
-    /** Turn of round robin, and the seed of two choices; advances with each choice. */
+    /** Counter of choices: the turn of round robin and the seed of two random choices. */
     readonly turn: number;
 }
 
-/** A request that waits for an owner's word; its stream is already counted on the endpoint. */
+/** A request that waits for an owner's answer. Its stream is already counted at the endpoint that was asked for. */
 export interface Asked {
     readonly waiting: WaitingRequest;
     readonly endpoint: string;
     readonly at: number;
 }
 
-/** A running request whose next standby an owner was asked for. */
+/** A running request for which an owner was asked for the next standby. */
 export interface PendingStandbyAsk {
-    /** `evacuate`: its endpoint is leaving. `continue`: it goes on at another endpoint as soon as the standby is known. */
+    /**
+     * `evacuate`: its endpoint is leaving. `continue`: it continues at another endpoint once the next standby is known.
+     */
     readonly purpose: "evacuate" | "continue";
     readonly at: number;
 }
@@ -69,12 +71,15 @@
 /** How a dispatched request ended at its endpoint. */
 export type JobOutcome = "whole" | "cancelled" | "refused" | "failed" | "unreachable";
 
-/** What a host tells its decisions. */
+/** Events that a host passes to its scheduler. */
 export type SchedulerEvent =
     | { readonly kind: "endpoints"; readonly endpoints: readonly EndpointCfg[] }
     | { readonly kind: "leaving"; readonly endpoint: string; readonly source: LeavingSource; readonly leaving: boolean }
     | { readonly kind: "report"; readonly endpoint: string; readonly report: LoadReport }
-    /** How many hosts of the hall are alive, this host's place among them and its mark, and how many more are named and not heard of. */
+    /**
+     * Number of live hosts of the hall, this host's position among them and its mark, and how many more hosts are named
+     * but not heard.
+     */
     | {
         readonly kind: "hosts";
         readonly count: number;
@@ -82,30 +87,34 @@
         readonly unheard?: number;
         readonly mark?: number;
     }
-    /** As an owner, this host has let another host's request into an endpoint. */
+    /** As the owner, this host has admitted another host's request to an endpoint. */
     | { readonly kind: "letIn"; readonly endpoint: string }
-    /** Which endpoints this host owns. */
+    /** The endpoints that this host owns. */
     | { readonly kind: "owns"; readonly endpoints: readonly string[] }
-    /** An owner's word on a request: where it goes and who keeps its copy; no endpoint where none has room. */
+    /**
+     * An owner's answer about a request: its endpoint and the standby for its copy; no endpoint if none has capacity.
+     */
     | {
         readonly kind: "answer";
         readonly job: string;
         readonly endpoint: string | undefined;
         readonly standby: string | undefined;
-        /** Prompt tokens that are unread at the endpoint by the owner's account. */
+        /** Prompt tokens that the endpoint still has to prefill by the owner's account. */
         readonly unread?: number | undefined;
     }
-    /** What other hosts hold on an endpoint, as told by its owner, and what it knows of its speed. */
+    /** What other hosts hold at an endpoint, sent by its owner, and the owner's estimate of its speed. */
     | {
         readonly kind: "others";
         readonly endpoint: string;
         readonly others: Others;
         readonly speed?: ToldSpeed | undefined;
     }
-    /** Told to this host as an owner: what another host's streams showed of an endpoint's speed since it last told. */
+    /** Sent to this host as the owner: the speed samples of another host's streams since its last message. */
     | { readonly kind: "shown"; readonly host: string; readonly endpoint: string; readonly shown: Shown }
     | { readonly kind: "arrive"; readonly job: Job; readonly avoid: readonly string[]; readonly retry: boolean }
-    /** A stream went on: tokens so far, and mean and largest gap since the last such event, in milliseconds. */
+    /**
+     * A stream has progressed: tokens so far, and the mean and largest gap since the last such event, in milliseconds.
+     */
     | {
         readonly kind: "progress";
         readonly job: string;
@@ -114,55 +123,63 @@
         readonly maxGapMs: number;
     }
     | { readonly kind: "ended"; readonly job: string; readonly outcome: JobOutcome; readonly produced: number }
-    /** A request's endpoint broke off: it is to go on where its copy is kept. `failed`: the endpoint is to blame. */
+    /**
+     * A request's endpoint broke off: the request should continue where its copy is kept. `failed`: whether the
+     * endpoint is to blame.
+     */
     | { readonly kind: "continue"; readonly job: string; readonly failed: boolean }
-    /** A request's endpoint is leaving: another is to take a copy, if there is room. */
+    /** A request's endpoint is leaving: another endpoint should take a copy if there is capacity. */
     | { readonly kind: "evacuate"; readonly job: string }
-    /** An endpoint has said something of itself. */
+    /** An endpoint has announced a limit, or that it has none. */
     | { readonly kind: "said"; readonly endpoint: string; readonly said: Said }
-    /** An endpoint wants nothing from this host until then. */
+    /** An endpoint asked this host to send it nothing until then. */
     | { readonly kind: "rest"; readonly endpoint: string; readonly until: number }
-    /** An endpoint may have begun a later life; until this time, or no longer where it is over. */
+    /** An endpoint may have restarted: it counts as cold until this time; undefined once the doubt is resolved. */
     | { readonly kind: "doubt"; readonly endpoint: string; readonly until: number | undefined }
-    /** No connection to an endpoint came up, other than for a request that was dispatched to it. */
+    /** A connection to an endpoint failed, other than for a dispatched request. */
     | { readonly kind: "unreachable"; readonly endpoint: string }
-    /** What can probably not be reached from here, all of it: halls, and single endpoints; and halls that were heard again. */
+    /**
+     * All halls and single endpoints that can probably not be reached from this host, and halls that are heard again.
+     */
     | {
         readonly kind: "reach";
         readonly doubted: { readonly halls: readonly string[]; readonly endpoints: readonly string[] };
         readonly back: readonly string[];
     }
-    /** An endpoint has begun a later life: what it held is gone. Its streams are told to have ended by themselves. */
+    /**
+     * An endpoint has restarted: the copies that it kept are gone. The end of each of its streams is reported
+     * separately.
+     */
     | { readonly kind: "lifeOver"; readonly endpoint: string }
-    /** The copy of a request could not be made. */
+    /** A request's copy could not be made. */
     | { readonly kind: "copyLost"; readonly job: string }
-    /** A caller left before its request was placed. */
+    /** The caller left before its request was placed. */
     | { readonly kind: "withdraw"; readonly job: string }
     | { readonly kind: "tick" };
 
 /** Why a request is refused. */
 export type RefuseReason = "noEndpoint" | "queueFull" | "waitTooLong" | "limited" | "retryBudget";
 
-/** What a host is asked to do. */
+/** Actions that the host should carry out. */
 export type SchedulerAction =
     | {
         readonly kind: "dispatch";
         readonly job: string;
         readonly endpoint: string;
         readonly priority: number;
-        /** Where a copy of the stream is to be kept as it grows. */
+        /** Endpoint that should keep a copy of the stream as it grows. */
         readonly backUp: string | undefined;
     }
-    /** Ask the endpoint's owner where the request is to go; answer with an `answer` event. */
+    /** Ask the endpoint's owner where the request should go; the answer comes back as an `answer` event. */
     | {
         readonly kind: "ask";
         readonly job: string;
         readonly endpoint: string;
         readonly question: Question;
     }
-    /** No endpoint has room for the copy that was asked for. */
+    /** No endpoint has capacity for the requested copy. */
     | { readonly kind: "noCopy"; readonly job: string }
-    /** Copy a running request's memory from one endpoint to the other. */
+    /** Copy a running request's memory from one endpoint to another. */
     | { readonly kind: "copy"; readonly job: string; readonly from: string; readonly to: string }
     | {
         readonly kind: "refuse";
@@ -172,20 +189,20 @@
         readonly retryAfterMs: number;
     };
 
-/** The next state and what to do. */
+/** The next state and the actions to carry out. */
 export interface Decision {
     readonly state: SchedulerState;
     readonly actions: readonly SchedulerAction[];
 }
 
-/** What differs from host to host. */
+/** Options that differ between hosts. */
 export interface SchedulerOptions {
     readonly hall?: string | undefined;
     readonly retries?: FleetRetryBudget | undefined;
 }
 
 /**
- * Decisions that know of no endpoint yet.
+ * Creates the state of a scheduler that knows of no endpoint yet.
  *
  * @example
  * ```ts
@@ -223,7 +240,7 @@
     };
 }
 
-/** The state with one endpoint changed; an unknown one changes nothing. */
+/** Returns the state with one endpoint changed; an unknown endpoint changes nothing. */
 export function updateEndpoint(
     state: SchedulerState,
     id: string,
--- a/packages/policy/src/scheduler.ts
+++ b/packages/policy/src/scheduler.ts
@@ -1,7 +1,7 @@
 /**
  * One host's decisions about where and when requests run: `decide(state, event, now)`.
  *
- * Pure: the same state, event and time give the same result, so anyone can drive the decisions of many hosts from one
+ * Pure: the same state, event and time give the same result, so the decisions of many hosts can be driven from one
  * process. Times are milliseconds on one clock of the caller's choice.
  *
  * @module
@@ -9,7 +9,7 @@
 import { onArrival, serveQueue } from "./admission-queue.js";
 import { dropBackup, evacuate } from "./backups.js";
 import { onReachable, onResult, onUnreachable } from "./breaker.js";
-import { BACKUP_ROOM_SHARE, EVACUATION_ROOM_SHARE } from "./choose.js";
+import { BACKUP_MEMORY_SHARE, EVACUATION_MEMORY_SHARE } from "./choose.js";
 import { mayContinueWhileCold } from "./cold.js";
 import { restoreRetained, retainDeparted } from "./departed-endpoints.js";
 import { askStandby, decideStandbyAlone, dispatch, wantsBackup } from "./dispatch.js";
@@ -41,21 +41,24 @@
     updateEndpoint,
 } from "./scheduler-state.js";
 import { deleteIn, getIn, setIn } from "./shard-map.js";
-import { applyToldSpeed, recordPeerSums } from "./speed-tracking.js";
+import { applyOwnerSpeed, recordPeerSums } from "./speed-tracking.js";
 import { onEnded, onProgress } from "./stream-events.js";
 
-/** An owner that has not answered by then is not waited for: the host decides by what it knows. */
+/** The host waits this long for an owner's answer; after that it decides by what it knows. */
 const ASK_TIMEOUT_MS = 100;
 
-/** Progress is told at the first token, then this often up to {@link EARLY_PROGRESS_UNTIL}, then at {@link PROGRESS_EVERY}. */
+/**
+ * Progress is reported at the first token, then at multiples of {@link EARLY_PROGRESS_EVERY} up to {@link
+ * EARLY_PROGRESS_UNTIL} tokens, then at multiples of {@link PROGRESS_EVERY}.
+ */
 const EARLY_PROGRESS_EVERY = 16;
 const EARLY_PROGRESS_UNTIL = 64;
-/** Tokens between two reports of progress of a long stream. */
+/** Tokens between two progress reports of a long stream. */
 export const PROGRESS_EVERY = 64;
 
 /**
- * Whether a host tells its decisions of a stream's progress at this count of tokens: often while the stream is young and
- * its length most uncertain.
+ * Whether a stream's progress is reported at this token count: often while the stream is young and its length most
+ * uncertain.
  *
  * @example
  * ```ts
@@ -74,7 +77,7 @@
 ) => Decision;
 
 /**
- * Advances a host's decisions by one event.
+ * Handles one event.
  *
  * @example
  * ```ts
@@ -96,7 +99,7 @@
         });
         const names = new Set(endpoints.map(cfg => cfg.id));
         const gone = state.endpoints.values().filter(view => !names.has(view.cfg.id));
-        // An endpoint that is no longer declared keeps its streams until they end.
+        // An endpoint that is no longer declared is kept, without models, until its streams and copies are gone.
         const left = gone.filter(view => view.streams.size + view.backups.size > 0)
             .map(view => redeclare(view, { ...view.cfg, models: [] }, now));
         const next = EndpointTable.of([...declared, ...left]);
@@ -109,7 +112,7 @@
         return serveQueue(changed, now);
     },
     report: (state, { endpoint, report }, now) => {
-        // With owners, the account of what others hold is newer than any report.
+        // With several hosts, an owner's account of what the others hold is newer than any load report.
         if (state.variant.share === "owner" && state.hosts > 1) return { state, actions: [] };
         return serveQueue(
             updateEndpoint(state, endpoint, view => applyReport(view, report, state.variant.lagCorrection)),
@@ -133,19 +136,20 @@
     answer: onOwnerAnswer,
     others: (state, { endpoint, others, speed }, now) => {
         const taken = updateEndpoint(state, endpoint, view => applyOthers(view, others, now));
-        return serveQueue(speed ? applyToldSpeed(taken, endpoint, speed, now) : taken, now);
+        return serveQueue(speed ? applyOwnerSpeed(taken, endpoint, speed, now) : taken, now);
     },
     shown: (state, { host, endpoint, shown }, now) => ({
         state: recordPeerSums(state, host, endpoint, shown, now),
         actions: [],
     }),
     arrive: (state, { job, avoid, retry }, now) => onArrival(state, { job, avoid, retry, since: now }, now),
-    // Room that grows while streams run is found at the next tick: a search on each progress would cost far more.
+    // Capacity that comes free while streams run is used at the next tick: searching on each progress event would cost
+    // far more.
     progress: (state, event, now) => ({ state: onProgress(state, event, now), actions: [] }),
     ended: (state, { job, outcome, produced }, now) => serveQueue(onEnded(state, job, outcome, produced, now), now),
     continue: (state, { job, failed }, now) => continueAtStandby(state, job, failed, now),
     evacuate: (state, { job }, now) =>
-        askStandby(state, job, "evacuate", EVACUATION_ROOM_SHARE, now) ?? evacuate(state, job, now),
+        askStandby(state, job, "evacuate", EVACUATION_MEMORY_SHARE, now) ?? evacuate(state, job, now),
     said: (state, { endpoint, said }, now) => ({
         state: updateEndpoint(state, endpoint, view => applyAnnouncedLimit(view, said, now)),
         actions: [],
@@ -194,12 +198,12 @@
             next = settled.state;
             actions.push(...settled.actions);
         }
-        const drained = serveQueue(next, now);
-        return { state: drained.state, actions: [...actions, ...drained.actions] };
+        const served = serveQueue(next, now);
+        return { state: served.state, actions: [...actions, ...served.actions] };
     },
 };
 
-/** The copy from which a request may go on now. */
+/** A copy from which a request may continue now. */
 interface UsableCopy {
     readonly standby: string;
     readonly running: RunningStream;
@@ -219,18 +223,18 @@
 }
 
 /**
- * Whether a running request could go on elsewhere now: a copy of it is kept, and may be used.
+ * Whether a running request could continue elsewhere now: a copy of it is kept and may be used.
  *
  * @example
  * ```ts
- * if (!canGoOn(state, "r1", now)) wait();
+ * if (!canContinue(state, "r1", now)) wait();
  * ```
  */
 export function canGoOn(state: SchedulerState, job: string, now: number): boolean {
     return usableCopy(state, job, now) !== undefined;
 }
 
-/** Lets a request go on at the endpoint that keeps its copy; refused where no such endpoint is left. */
+/** Continues a request at the endpoint that keeps its copy; refused if there is no usable copy. */
 function continueAtStandby(state: SchedulerState, job: string, failed: boolean, now: number): Decision {
     const source = getIn(state.placed, job);
     const copy = usableCopy(state, job, now);
@@ -250,6 +254,8 @@
         standbys: deleteIn(promoted.standbys, job),
         letIn: isLimited(keeper) ? recordAdmission(promoted.letIn, keeper, now) : promoted.letIn,
     };
-    const asks = wantsBackup(next, running.job) ? askStandby(next, job, "continue", BACKUP_ROOM_SHARE, now) : undefined;
+    const asks = wantsBackup(next, running.job)
+        ? askStandby(next, job, "continue", BACKUP_MEMORY_SHARE, now)
+        : undefined;
     return asks ?? dispatch(next, running.job, standby, now);
 }
--- a/packages/policy/src/speed-estimate.ts
+++ b/packages/policy/src/speed-estimate.ts
@@ -1,88 +1,98 @@
 /**
- * How slow one endpoint is by what its streams showed: a weighted mean on a logarithmic scale.
+ * Estimates how slow one endpoint is from its streams: a weighted mean on a logarithmic scale.
  *
- * Samples that lie close together share what slowed the endpoint for that moment. They count as one, the best of them, or
- * a busy moment would pass for certainty; and each host counts once among them, or one that errs often would decide.
+ * Samples that lie close together share a momentary cause. They count as one, with the weight of the best of them;
+ * otherwise a busy moment would pass for certainty. Within such a window each host counts once; otherwise a host that
+ * errs often would decide.
  *
  * @module
  */
 
-/** Samples of this time are taken as one, in milliseconds: streams of an endpoint are slowed together for about as long. */
+/**
+ * Length of the window in which samples count as one, in milliseconds: the streams of an endpoint are slowed together
+ * for about as long.
+ */
 const WINDOW_MS = 600;
-/** Of so many moments back, one still weighs a third: some ten seconds of a busy endpoint, as long as a long stream runs. */
+/**
+ * After this many more windows a window still weighs a third: some ten seconds of a busy endpoint, as long as a long
+ * stream runs.
+ */
 const DECAY_WINDOWS = 16;
-/** What was seen so long ago weighs a third whatever came since, in milliseconds: endpoints warm up, are moved and throttled. */
+/**
+ * Evidence of this age weighs a third even without newer samples, in milliseconds: endpoints warm up, are moved and are
+ * throttled.
+ */
 const DECAY_MS = 120_000;
 
-/** Samples of one host. */
+/** Samples of one host within a window. */
 interface HostSamples {
     readonly count: number;
     readonly sum: number;
-    /** Weight of the best of them, which is what they weigh together. */
+    /** Weight of the best sample, and so of all of them together. */
     readonly maxWeight: number;
 }
 
-/** Samples that are taken as one. Weights are one over the variance of a sample. */
+/** Samples that count as one. The weight of a sample is the inverse of its variance. */
 interface SampleWindow {
     readonly since: number;
-    /** When the last of them came. */
+    /** When the latest sample came. */
     readonly at: number;
-    /** What each host's samples came to. */
+    /** Samples by host. */
     readonly hosts: ReadonlyMap<string, HostSamples>;
 }
 
-/** What is known of an endpoint's speed. Values are natural logarithms of its time for the same work against others'. */
+/** Evidence of an endpoint's speed. Values are natural logarithms of its time for the same work relative to others'. */
 export interface SpeedEvidence {
-    /** Decayed sums over moments that are past, as of `at`. */
+    /** Decayed sums of weights and weighted values over closed windows, as of `at`. */
     readonly weight: number;
     readonly sum: number;
     readonly at: number;
-    /** The moment that is being seen; undefined before any sample. */
+    /** The window that is still open; undefined before the first sample. */
     readonly window: SampleWindow | undefined;
 }
 
-/** What one sample says. */
+/** One sample as a deviation from expectation. */
 export interface Residual {
-    /** Natural logarithm of the time that was seen against the one expected of the mean endpoint, bounded. */
+    /** Natural logarithm of the observed time relative to that expected of the mean endpoint, clipped. */
     readonly value: number;
-    /** What it deviates from its endpoint's mean. */
+    /** Deviation from the endpoint's own mean. */
     readonly deviation: number;
-    /** One over the variance of such a sample. */
+    /** Inverse variance of such a sample. */
     readonly weight: number;
 }
 
-/** An estimate: the mean of what was seen, and its weight, one over its variance; 0 where nothing was seen. */
+/** An estimate: a mean and its weight, the inverse of its variance; weight 0 without samples. */
 export interface SpeedEstimate {
     readonly mean: number;
     readonly weight: number;
 }
 
-/** What an owner tells of an endpoint's speed. */
+/** An owner's estimate of an endpoint's speed, as sent to other hosts. */
 export interface ToldSpeed {
-    /** Natural logarithm of its time for the same work against others'. */
+    /** Natural logarithm of its time for the same work relative to others'. */
     readonly value: number;
-    /** One over the variance of the value, when it was seen. */
+    /** Inverse variance of the value when the endpoint was last sampled. */
     readonly weight: number;
     readonly ageMs: number;
 }
 
-/** Nothing seen. */
+/** No evidence. */
 export const UNKNOWN_SPEED: SpeedEvidence = { weight: 0, sum: 0, at: 0, window: undefined };
 
-/** No endpoint is taken for more than so many times as slow, or as fast, as others by what a host tells. */
-const MAX_TOLD_LOG_RATIO = Math.log(32);
-/** Nor is it taken for better known than by so many samples of a deviation of a tenth. */
-const MAX_TOLD_WEIGHT = 10_000;
+/** Bound on a received estimate: no endpoint counts as more than 32 times slower or faster than others. */
+const MAX_OWNER_LOG_RATIO = Math.log(32);
+/** Bound on the weight of a received estimate: that of 100 samples with a deviation of a tenth. */
+const MAX_OWNER_WEIGHT = 10_000;
 
 /**
- * The speed after a sample.
+ * Adds a sample to the evidence.
  *
  * @param host The host that saw it.
  *
  * @example
  * ```ts
  * const residual = { value: Math.log(2), weight: 4, deviation: 0 };
- * estimateOf(observeSpeed(UNKNOWN_SPEED, residual, "k1-a", now), now).mean; // 0.69
+ * speedEstimateOf(observeSpeed(UNKNOWN_SPEED, residual, "k1-a", now), now).mean; // 0.69
  * ```
  */
 export function observeSpeed(speed: SpeedEvidence, residual: Residual, host: string, now: number): SpeedEvidence {
@@ -100,7 +110,7 @@
     return { ...window, at: now, hosts: new Map(window.hosts).set(host, added) };
 }
 
-/** The mean over the hosts of a moment, each by its best sample, and what they weigh together. */
+/** Estimate of one window: the mean over its hosts, each weighted by its best sample. */
 function windowEstimate({ hosts }: SampleWindow): SpeedEstimate {
     let weights = 0;
     let sum = 0;
@@ -113,7 +123,7 @@
     return { mean: sum / weights, weight };
 }
 
-/** Sums with the moment that is being seen closed. */
+/** Returns the decayed sums with the open window closed. */
 function closedSums(speed: SpeedEvidence, now: number): Omit<SpeedEvidence, "window"> {
     const { window } = speed;
     const kept = Math.exp(-Math.max(0, now - speed.at) / DECAY_MS);
@@ -124,13 +134,13 @@
     return { weight: speed.weight * past + added, sum: speed.sum * past + added * mean, at: now };
 }
 
-/** The mean of what was seen of an endpoint, and how much it weighs by now. */
+/** Current estimate of an endpoint's speed. */
 export function estimateOf(speed: SpeedEvidence, now: number): SpeedEstimate {
     const { weight, sum } = closedSums(speed, now);
     return { mean: weight > 0 ? sum / weight : 0, weight };
 }
 
-/** What an owner tells of an endpoint's speed; undefined where nothing was seen. */
+/** Returns the estimate that an owner sends to other hosts; undefined without samples. */
 export function toldSpeedOf(speed: SpeedEvidence, now: number): ToldSpeed | undefined {
     const ageMs = speedAgeMs(speed, now);
     if (ageMs === undefined) return undefined;
@@ -139,20 +149,20 @@
 }
 
 /**
- * The speed that an owner told. What is told is bounded, as any host may err.
+ * Turns an estimate received from an owner into evidence. Values are bounded, as a host may send wrong ones.
  *
  * @example
  * ```ts
- * takeToldSpeed({ value: 0.5, weight: 40, ageMs: 200 }, now);
+ * speedFromOwner({ value: 0.5, weight: 40, ageMs: 200 }, now);
  * ```
  */
-export function speedFromTold({ value, weight, ageMs }: ToldSpeed, now: number): SpeedEvidence {
-    const mean = Math.min(MAX_TOLD_LOG_RATIO, Math.max(-MAX_TOLD_LOG_RATIO, value));
-    const known = Math.min(MAX_TOLD_WEIGHT, Math.max(0, weight));
+export function speedFromOwner({ value, weight, ageMs }: ToldSpeed, now: number): SpeedEvidence {
+    const mean = Math.min(MAX_OWNER_LOG_RATIO, Math.max(-MAX_OWNER_LOG_RATIO, value));
+    const known = Math.min(MAX_OWNER_WEIGHT, Math.max(0, weight));
     return { weight: known, sum: known * mean, at: now - Math.max(0, ageMs), window: undefined };
 }
 
-/** Time since an endpoint's speed was last seen, in milliseconds; undefined where it never was. */
+/** Time since an endpoint's last sample, in milliseconds; undefined without samples. */
 export function speedAgeMs({ weight, at, window }: SpeedEvidence, now: number): number | undefined {
     if (window) return now - window.at;
     return weight > 0 ? now - at : undefined;
--- a/packages/policy/src/speed-pool.ts
+++ b/packages/policy/src/speed-pool.ts
@@ -1,10 +1,10 @@
 /**
- * What the endpoints of one kind have in common: how long the mean endpoint takes, how far samples scatter, and how far the
- * endpoints differ from each other beyond that.
+ * Statistics over a pool, the endpoints that run the same models: how long the mean endpoint takes, how far samples
+ * scatter, and how far the endpoints differ beyond that scatter.
  *
- * An endpoint's own estimate is drawn towards the mean of its kind by as much as it is uncertain (empirical Bayes); whether the
- * endpoints differ at all is tested as for studies that are pooled (Cochran 1954, DerSimonian and Laird 1986). Where they do not,
- * all count as alike.
+ * An endpoint's own estimate is shrunk towards the pool's mean according to its uncertainty (empirical Bayes). Whether
+ * the endpoints differ at all is tested as in a meta-analysis of studies (Cochran 1954, DerSimonian and Laird 1986); if
+ * they do not, all count as equal.
  *
  * @module
  */
@@ -13,59 +13,74 @@
 import { estimateOf, type Residual, type SpeedEstimate, type SpeedEvidence } from "./speed-estimate.js";
 import type { SpeedSample, StretchSample } from "./speed-samples.js";
 
-/** Of 500 samples back, a sample still weighs a third. */
+/** After 500 more samples a sample still weighs a third. */
 const DECAY = 0.998;
-/** Until enough was seen, a sample is taken to be off by half, with the strength of so many samples. */
+/** Prior variance of a sample, and its weight in samples: a sample is taken to be off by half. */
 const PRIOR_VARIANCE = 0.25;
 const PRIOR_SAMPLES = 4;
-/** A sample counts as no further off than so many deviations: wild ones must not decide (Huber 1964, for normal samples). */
+/**
+ * Deviations are clipped to this number of standard deviations, so that outliers do not decide (Huber 1964, for normal
+ * samples).
+ */
 const HUBER_DEVIATIONS = 1.345;
-/** Mean square of normal deviates that are so bounded: without it the bound would shrink with the scatter that it leaves. */
+/**
+ * Mean square of standard normal deviates that are clipped in this way. Without this correction the bound would shrink
+ * with the scatter that it leaves.
+ */
 const CLIPPED_MEAN_SQUARE = 0.71;
-/** Deviations beyond what chance gives from which endpoints count as uneven: a fleet of alike ones is served as such. */
+/**
+ * Endpoints count as different once their differences exceed chance by this many standard deviations, so that a uniform
+ * fleet is treated as uniform.
+ */
 const SIGNIFICANT_DEVIATIONS = 3;
 
-/** Finer than pauses are told apart an endpoint need not be known; and one whose samples hardly scatter may still change. */
+/**
+ * Minimum variance of a sample: the pause table cannot resolve finer differences, and an endpoint whose samples hardly
+ * scatter may still change.
+ */
 const MIN_VARIANCE = BUCKET_LOG ** 2;
 
-/** A decayed sum and its weight. */
+/** A decayed sum and its weight, which together give a mean. */
 interface DecayedMean {
     readonly weight: number;
     readonly sum: number;
 }
 
-/** What is known of all endpoints of a kind. */
+/** Statistics over all endpoints of a pool. */
 export interface SpeedPool {
-    /** Mean logarithms: of a first token's time per unread token, and of a gap against the line over the batch. */
+    /**
+     * Mean logarithms: of the time to first token per prompt token to prefill, and of a gap relative to the line over
+     * the batch size.
+     */
     readonly levels: { readonly [K in SpeedSample["kind"]]: DecayedMean };
     /** Squared deviations of samples from their endpoint's mean. */
     readonly noise: { readonly [K in SpeedSample["kind"]]: DecayedMean };
-    /** Gaps of the mean endpoint over its batch; undefined before any. */
+    /** Gaps of the mean endpoint by batch size; undefined before the first sample. */
     readonly pace: PaceFit | undefined;
     readonly pauses: PauseTable;
-    /** Weighted mean of the endpoints' estimates. */
+    /** Weighted mean of the endpoints' speed estimates. */
     readonly mean: number;
-    /** Variance between endpoints beyond that of samples; 0 where they may well be alike. */
+    /** Variance between endpoints beyond the scatter of samples; 0 if they may well be equal. */
     readonly variance: number;
     /** When the endpoints were last compared. */
     readonly comparedAt: number;
 }
 
-/** What is known of endpoints' speeds, by the kind of endpoint. */
+/** Pools by the models that their endpoints run. */
 export type SpeedPools = ReadonlyMap<string, SpeedPool>;
 
-/** An endpoint's slowness against the mean of its kind. */
+/** An endpoint's slowness relative to the mean of its pool. */
 export interface Slowness {
-    /** Natural logarithm of its time for the same work; 0 where it is not known to differ. */
+    /** Natural logarithm of its relative time for the same work; 0 if it is not known to differ. */
     readonly log: number;
-    /** Standard deviation of that. */
+    /** Standard deviation of the logarithm. */
     readonly deviation: number;
 }
 
 const NO_VALUES: DecayedMean = { weight: 0, sum: 0 };
 const PRIOR_NOISE: DecayedMean = { weight: PRIOR_SAMPLES, sum: PRIOR_SAMPLES * PRIOR_VARIANCE };
 
-/** Endpoints of which nothing was seen. */
+/** A pool without samples. */
 export const EMPTY_POOL: SpeedPool = {
     levels: { first: NO_VALUES, stretch: NO_VALUES },
     noise: { first: PRIOR_NOISE, stretch: PRIOR_NOISE },
@@ -86,17 +101,18 @@
     return weight > 0 ? sum / weight : 0;
 }
 
-/** Variance of a sample of an endpoint, on the logarithmic scale. */
+/** Variance of an endpoint's samples, on the logarithmic scale. */
 export function noiseOf(pool: SpeedPool, kind: SpeedSample["kind"]): number {
     return Math.max(MIN_VARIANCE, meanOf(pool.noise[kind]));
 }
 
 /**
- * How slow an endpoint is against the mean of its kind, drawn towards it by as much as it is uncertain.
+ * Estimates an endpoint's slowness relative to the mean of its pool, shrunk towards that mean according to its
+ * uncertainty.
  *
  * @example
  * ```ts
- * Math.exp(slownessOf(pool, view.speed, now).log); // 1.67 where it takes two thirds longer
+ * Math.exp(slownessOf(pool, view.speed, now).logRatio); // 1.67 where it takes two thirds longer
  * ```
  */
 export function slownessOf({ mean, variance }: SpeedPool, speed: SpeedEvidence, now: number): Slowness {
@@ -108,7 +124,7 @@
 }
 
 /**
- * The gap that is expected of an endpoint's streams, in milliseconds; undefined before any was seen.
+ * Expected gap of an endpoint's streams, in milliseconds; undefined before the first sample.
  *
  * @param log The endpoint's slowness, as a natural logarithm.
  */
@@ -119,7 +135,7 @@
 }
 
 /**
- * The time that an endpoint is expected to take for unread tokens, in milliseconds; undefined before any was seen.
+ * Expected time of an endpoint to prefill so many prompt tokens, in milliseconds; undefined before the first sample.
  *
  * @param log The endpoint's slowness, as a natural logarithm.
  */
@@ -131,7 +147,7 @@
     return first.weight > 0 ? unread * Math.exp(meanOf(first) + log) : undefined;
 }
 
-/** What a sample of an endpoint says; undefined where it says nothing. */
+/** Computes a sample's deviation from expectation; undefined if the sample is unusable or the pool has no level yet. */
 export function residualOf(
     pool: SpeedPool,
     speed: SpeedEvidence,
@@ -150,7 +166,7 @@
     return { value: centre + deviation, deviation, weight: 1 / noise };
 }
 
-/** A sample's time on the logarithmic scale: per unread token, or against the line over the batch. */
+/** A sample's time on the logarithmic scale: per prompt token, or relative to the line over the batch size. */
 function logTimeOf({ pace, levels }: SpeedPool, batch: number, sample: SpeedSample): number | undefined {
     if (sample.kind === "first") {
         if (!(sample.unread > 0) || !(sample.ms > 0)) return undefined;
@@ -163,10 +179,10 @@
 }
 
 /**
- * The pool after a sample of an endpoint; the first one of a kind sets its level.
+ * Adds a sample of an endpoint to the pool; the first sample of each kind sets its level.
  *
- * @param speed What is known of the endpoint, before the sample.
- * @param batch Streams that run there.
+ * @param speed Evidence of the endpoint's speed before the sample.
+ * @param batch Number of streams running there.
  */
 export function observePool(
     pool: SpeedPool,
@@ -200,7 +216,10 @@
     return { ...pool, pace: paceOfSample(batch, sample.meanGapMs) };
 }
 
-/** A deviation from a mean of few samples is larger than that from the true mean. */
+/**
+ * Adds a sample's squared deviation to the noise. A deviation from a mean of few samples is larger than one from the
+ * true mean; the factor `samples / (samples + 1)` corrects for that.
+ */
 function observeNoise(
     pool: SpeedPool,
     speed: SpeedEvidence,
@@ -215,7 +234,10 @@
     return addValue(noise, deviation * deviation / CLIPPED_MEAN_SQUARE * samples / (samples + 1));
 }
 
-/** The line after a stretch. `plain` is its gap's logarithm against the line, as of the mean endpoint. */
+/**
+ * Adds a stretch to the line. `adjusted` is the logarithm of its gap relative to the line, adjusted to the mean
+ * endpoint.
+ */
 function observeGap(
     { pace }: SpeedPool,
     batch: number,
@@ -228,7 +250,9 @@
     return { pace: observePace(pace, batch, gapMs, longestMs) };
 }
 
-/** The pauses after a sample of an endpoint whose own gap is well known; what else is seen has no measure. */
+/**
+ * Adds a stretch to the pause table if the endpoint's own gap is known precisely enough to measure the pause against.
+ */
 function observePausesOf(
     pool: SpeedPool,
     { mean, weight }: SpeedEstimate,
@@ -242,11 +266,11 @@
 }
 
 /**
- * The pool after its endpoints' estimates were compared.
+ * Compares the estimates of a pool's endpoints and updates its mean and variance.
  *
  * @example
  * ```ts
- * comparePool(pool, views.map(view => estimateOf(view.speed, now))).variance; // 0 where they may well be alike
+ * comparePool(pool, views.map(view => speedEstimateOf(view.speed, now))).variance; // 0 where they may well be alike
  * ```
  */
 export function comparePool(pool: SpeedPool, estimates: readonly SpeedEstimate[]): SpeedPool {
@@ -256,14 +280,14 @@
     const mean = known.reduce((total, estimate) => total + estimate.weight * estimate.mean, 0) / sum;
     const squares = known.reduce((total, estimate) => total + estimate.weight * (estimate.mean - mean) ** 2, 0);
     const byChance = known.length - 1;
-    const isSure = squares > byChance + SIGNIFICANT_DEVIATIONS * Math.sqrt(2 * byChance);
-    if (!isSure) return { ...pool, mean, variance: 0 };
+    const isSignificant = squares > byChance + SIGNIFICANT_DEVIATIONS * Math.sqrt(2 * byChance);
+    if (!isSignificant) return { ...pool, mean, variance: 0 };
     const scale = sum - known.reduce((total, { weight }) => total + weight * weight, 0) / sum;
     const variance = (squares - byChance) / scale;
     return { ...pool, mean: meanOfUneven(known, variance), variance };
 }
 
-/** The mean of endpoints that differ: one that was seen often counts for little more than another. */
+/** Mean of endpoints that differ: an endpoint with many samples counts for little more than another. */
 function meanOfUneven(known: readonly SpeedEstimate[], variance: number): number {
     let sum = 0;
     let total = 0;
--- a/packages/policy/src/speed-samples.ts
+++ b/packages/policy/src/speed-samples.ts
@@ -1,21 +1,22 @@
 /**
- * What an endpoint's streams showed of its speed: samples, and the sums of them that hosts tell owners.
+ * Samples of an endpoint's speed, taken from its streams, and the sums of samples that hosts send to the endpoint's
+ * owner.
  *
  * @module
  */
 
-/** The time that a request's first token took. */
+/** Time to a request's first token. */
 export interface FirstTokenSample {
     readonly kind: "first";
-    /** Prompt tokens that were unread when it was sent, its own included. */
+    /** Prompt tokens that the endpoint still had to prefill when the request was sent, its own included. */
     readonly unread: number;
     readonly ms: number;
 }
 
-/** A stretch of a stream between two reports of its progress. Times are milliseconds. */
+/** A stretch of a stream: the pieces between two progress reports. Times are milliseconds. */
 export interface StretchSample {
     readonly kind: "stretch";
-    /** Pauses in it, one for each piece. */
+    /** Number of pieces, and so of gaps. */
     readonly pieces: number;
     readonly meanGapMs: number;
     readonly longestMs: number;
@@ -24,7 +25,7 @@
 /** One sample of an endpoint's speed. */
 export type SpeedSample = FirstTokenSample | StretchSample;
 
-/** Sums of samples: they only grow, so that what is new is a difference. Times are milliseconds. */
+/** Sums of samples. They only grow, so what is new since the last message is a difference. Times are milliseconds. */
 export interface Shown {
     readonly firsts: number;
     readonly unread: number;
@@ -37,7 +38,7 @@
     readonly longestMs: number;
 }
 
-/** No sample. */
+/** Sums without samples. */
 export const NOTHING_SHOWN: Shown = {
     firsts: 0,
     unread: 0,
@@ -48,7 +49,7 @@
     longestMs: 0,
 };
 
-/** The sums with one more sample. */
+/** Adds one sample. */
 export function addSpeedSample(shown: Shown, sample: SpeedSample): Shown {
     if (sample.kind === "first") {
         return {
@@ -68,12 +69,12 @@
 }
 
 /**
- * What was added since some sums were told; undefined where nothing was. Sums that are smaller than what was told are of an
- * endpoint that was declared anew.
+ * Samples added since the sums that were last sent; undefined if there are none. Sums smaller than those last sent
+ * belong to an endpoint that was declared anew.
  *
  * @example
  * ```ts
- * shownSince(addShown(told, sample), told)?.firsts; // 1
+ * speedSumsSince(addSpeedSample(told, sample), told)?.firsts; // 1
  * ```
  */
 export function shownSince(shown: Shown, told: Shown): Shown | undefined {
@@ -91,10 +92,13 @@
     };
 }
 
-/** Streams report their progress at least after so many pieces. */
+/** Streams report their progress at least once in so many pieces. */
 const MAX_PIECES = 64;
 
-/** Told sums as samples: one of each kind at most, and of no more pieces than there can be, whatever a host claims to have seen. */
+/**
+ * Turns received sums into at most one sample of each kind. The number of pieces is bounded by what is possible, as a
+ * host may send a wrong number.
+ */
 export function samplesFromSums(
     { firsts, unread, firstMs, stretches, pieces, gapMs, longestMs }: Shown,
 ): readonly SpeedSample[] {
--- a/packages/policy/src/speed-tracking.ts
+++ b/packages/policy/src/speed-tracking.ts
@@ -1,12 +1,12 @@
 /**
- * Takes in what streams show of endpoints' speeds: own streams as they run, those of other hosts as they are told, and what an
- * endpoint's owner makes of all.
+ * Records speed samples of endpoints: from this host's streams, from other hosts if this one is the owner, and from the
+ * owner's estimate.
  *
  * @module
  */
 import { type EndpointView, streamCount } from "./endpoint.js";
 import { type SchedulerState, updateEndpoint } from "./scheduler-state.js";
-import { estimateOf, observeSpeed, speedAgeMs, speedFromTold, type ToldSpeed } from "./speed-estimate.js";
+import { estimateOf, observeSpeed, speedAgeMs, speedFromOwner, type ToldSpeed } from "./speed-estimate.js";
 import {
     comparePool,
     EMPTY_POOL,
@@ -19,22 +19,25 @@
 } from "./speed-pool.js";
 import { addSpeedSample, samplesFromSums, type Shown, type SpeedSample } from "./speed-samples.js";
 
-/** This host among those that show something of an endpoint. */
+/** Key of this host among the hosts that contribute samples. */
 const OWN_HOST = "";
-/** Endpoints are compared this often at most, in milliseconds: rarer than samples come to an owner of many. */
+/**
+ * Minimum time between two comparisons of a pool's endpoints, in milliseconds. An owner of many endpoints receives
+ * samples more often.
+ */
 const COMPARE_INTERVAL_MS = 100;
 
-/** Endpoints of a kind run the same models, and are compared with each other. */
+/** Key of an endpoint's pool. Endpoints that run the same models form a pool and are compared with each other. */
 export function poolKeyOf({ cfg }: EndpointView): string {
     return cfg.models.join(" ");
 }
 
-/** What is known of the endpoints of this one's kind. */
+/** The pool of an endpoint. */
 export function poolOf(pools: SpeedPools, view: EndpointView): SpeedPool {
     return pools.get(poolKeyOf(view)) ?? EMPTY_POOL;
 }
 
-/** The state after an own stream showed something; it is told to the endpoint's owner as well. */
+/** Records a sample of an own stream; its sums are later sent to the endpoint's owner. */
 export function recordOwnSample(
     state: SchedulerState,
     endpoint: string,
@@ -46,7 +49,7 @@
     return recordSamples(shown, endpoint, [sample], estimatesHere ? OWN_HOST : undefined, now);
 }
 
-/** The state after another host told, as to its owner, what its streams showed of an endpoint. */
+/** Records, as the endpoint's owner, the sums that another host sent. */
 export function recordPeerSums(
     state: SchedulerState,
     host: string,
@@ -57,17 +60,20 @@
     return recordSamples(state, endpoint, samplesFromSums(shown), host, now);
 }
 
-/** The state after an owner told what it knows of an endpoint's speed. */
-export function applyToldSpeed(state: SchedulerState, endpoint: string, told: ToldSpeed, now: number): SchedulerState {
+/** Takes the speed estimate that the endpoint's owner sent. */
+export function applyOwnerSpeed(state: SchedulerState, endpoint: string, told: ToldSpeed, now: number): SchedulerState {
     if (state.owned.has(endpoint)) return state;
     return refreshPool(
-        updateEndpoint(state, endpoint, view => ({ ...view, speed: speedFromTold(told, now) })),
+        updateEndpoint(state, endpoint, view => ({ ...view, speed: speedFromOwner(told, now) })),
         endpoint,
         now,
     );
 }
 
-/** @param host The host that saw the samples; undefined where this one does not estimate the speed, but hears of it from the owner. */
+/**
+ * @param host The host that saw the samples; undefined if this host does not estimate the speed itself but receives it
+ * from the owner.
+ */
 function recordSamples(
     state: SchedulerState,
     endpoint: string,
@@ -76,7 +82,7 @@
     now: number,
 ): SchedulerState {
     const view = state.endpoints.get(endpoint);
-    // What is declared no more is of no kind.
+    // An endpoint that is no longer declared has no models and belongs to no pool.
     if (!view || view.cfg.models.length === 0) return state;
     const batch = streamCount(view);
     let { speed } = view;
@@ -92,32 +98,32 @@
     return host !== undefined ? refreshPool(next, endpoint, now) : next;
 }
 
-/** The state after the endpoints of one's kind were compared, unless they just were. */
+/** Compares the endpoints of an endpoint's pool, unless they were compared just before. */
 function refreshPool(state: SchedulerState, endpoint: string, now: number): SchedulerState {
     const view = state.endpoints.get(endpoint);
     if (!view) return state;
-    const kind = poolKeyOf(view);
+    const key = poolKeyOf(view);
     const known = poolOf(state.speeds, view);
     if (now - known.comparedAt < COMPARE_INTERVAL_MS) return state;
     const estimates = state.endpoints.values()
-        .filter(other => poolKeyOf(other) === kind)
+        .filter(other => poolKeyOf(other) === key)
         .map(({ speed }) => estimateOf(speed, now));
     const pool = { ...comparePool(known, estimates), comparedAt: now };
-    return { ...state, speeds: new Map(state.speeds).set(kind, pool) };
+    return { ...state, speeds: new Map(state.speeds).set(key, pool) };
 }
 
-/** What is known of an endpoint's speed, for those who look after it. */
+/** An endpoint's slowness as shown to operators. */
 export interface KnownSpeed extends Slowness {
-    /** Time since its streams last showed something, in milliseconds; undefined where they never did. */
+    /** Time since its last sample, in milliseconds; undefined if there was none. */
     readonly ageMs: number | undefined;
 }
 
 /**
- * What is known of an endpoint's speed against the mean of its kind.
+ * An endpoint's slowness relative to the mean of its pool.
  *
  * @example
  * ```ts
- * Math.exp(knownSpeed(state, view, now).log); // 0.6 where it takes six tenths of the time
+ * Math.exp(endpointSlowness(state, view, now).logRatio); // 0.6 where it takes six tenths of the time
  * ```
  */
 export function knownSpeed({ speeds }: Pick<SchedulerState, "speeds">, view: EndpointView, now: number): KnownSpeed {
--- a/packages/policy/src/stream-events.ts
+++ b/packages/policy/src/stream-events.ts
@@ -1,5 +1,6 @@
 /**
- * What running requests tell: lengths, pace and reading speed as they go on, and what is free again when they end.
+ * Updates the state as streams progress and end: length estimates, pace, prefill rate and speed samples, and the
+ * capacity that an ended request frees.
  *
  * @module
  */
@@ -15,7 +16,7 @@
 import type { SpeedSample } from "./speed-samples.js";
 import { recordOwnSample } from "./speed-tracking.js";
 
-/** The state after a stream went on. */
+/** Handles progress of a stream. */
 export function onProgress(
     state: SchedulerState,
     event: Extract<SchedulerEvent, { kind: "progress" }>,
@@ -45,7 +46,10 @@
     }));
 }
 
-/** What a stream's progress shows of its endpoint's speed; undefined where it shows nothing. */
+/**
+ * Speed sample in a stream's progress; undefined if the stream has just continued from a copy, as the pause says
+ * nothing about its endpoint.
+ */
 function speedSampleOf(
     running: RunningStream,
     { produced, meanGapMs, maxGapMs }: Extract<SchedulerEvent, { kind: "progress" }>,
@@ -58,7 +62,7 @@
     return { kind: "stretch", pieces, meanGapMs, longestMs: maxGapMs };
 }
 
-/** The state after a request ended at its endpoint. */
+/** Handles the end of a request at its endpoint. */
 export function onEnded(
     before: SchedulerState,
     job: string,
@@ -73,9 +77,9 @@
     const running = id === undefined ? undefined : state.endpoints.get(id)?.streams.get(job);
     if (id === undefined || !running) return state;
     const placed = deleteIn(state.placed, job);
-    const whole = outcome === "whole";
-    const estimates = produced > running.produced || whole
-        ? observe(state.estimates, running.job.group, running.produced, Math.max(produced, running.produced), whole)
+    const isWhole = outcome === "whole";
+    const estimates = produced > running.produced || isWhole
+        ? observe(state.estimates, running.job.group, running.produced, Math.max(produced, running.produced), isWhole)
         : state.estimates;
     return updateEndpoint(dropBackup({ ...state, placed, estimates }, job), id, view => {
         return { ...removeStream(view, job, now), breaker: breakerAfter(view.breaker, outcome, now) };
--- a/packages/policy/src/throttling.ts
+++ b/packages/policy/src/throttling.ts
@@ -1,6 +1,6 @@
 /**
- * When a host may send one more request where all endpoints that could serve it bound what they are sent: the limits that they
- * name, and the rest that they asked this host for.
+ * When a host may send one more request if every endpoint that could serve it throttles it, by an announced limit or by
+ * rest that it asked this host for.
  *
  * @module
  */
@@ -8,22 +8,28 @@
 import { type EndpointView, isResting } from "./endpoint.js";
 import type { SchedulerState } from "./scheduler-state.js";
 
-/** What bounded endpoints let a host send. */
+/** When throttled endpoints next take a request of this host. */
 export interface Throttling {
-    /** Time until the request at a place of the queue may be sent; Infinity where none of the next ones is this host's. */
+    /**
+     * Time until the request at a position of the queue may be sent; Infinity if none of the next send times belongs to
+     * this host.
+     */
     readonly waitMs: number;
-    /** Time between two requests that this host may send, in the mean; 0 where rest alone keeps them away. */
+    /** Mean time between two requests that this host may send; 0 if only rest keeps them back. */
     readonly intervalMs: number;
-    /** Whether another host may serve a request sooner, as an endpoint wants rest from this one alone. */
+    /** Whether another host may serve the request sooner, because an endpoint wants rest from this host only. */
     readonly othersMayServe: boolean;
 }
 
-/** Whether an endpoint bounds what this host sends it now. */
+/** Whether an endpoint throttles this host now, by a limit or by rest. */
 export function isThrottled(view: EndpointView, now: number): boolean {
     return isLimited(view) || isResting(view, now);
 }
 
-/** When this host may send requests to an endpoint, as times from now; as many as are asked for where only rest bounds it. */
+/**
+ * Times from now at which this host may send requests to an endpoint. If only rest holds it back, `count` requests may
+ * go when the rest ends.
+ */
 function sendTimesOf(
     view: EndpointView,
     { letIn, fleet }: SchedulerState,
@@ -36,14 +42,14 @@
 }
 
 /**
- * When this host may send one more request; undefined where an endpoint bounds nothing.
+ * When this host may send one more request; undefined if at least one endpoint does not throttle it.
  *
- * @param views Endpoints that the request may go to.
- * @param position Its place among those that wait, from 1.
+ * @param views Endpoints that could serve the request.
+ * @param position The request's position in the queue, from 1.
  *
  * @example
  * ```ts
- * boundedRoom(state, views, 1, now)?.waitMs; // 2_600: the only endpoint has asked for rest
+ * throttlingOf(state, views, 1, now)?.waitMs; // 2_600: the only endpoint has asked for rest
  * ```
  */
 export function throttlingOf(
--- a/packages/policy/src/workspace-limits.ts
+++ b/packages/policy/src/workspace-limits.ts
@@ -1,21 +1,25 @@
 /**
- * Limits of a workspace: requests and tokens a minute, open streams. All matching limits must allow a request before
- * anything is sent; tokens are reserved by estimate and settled by what ran; only what provably did not run is given
- * back in full. ("Per-Caller Caps Layered on Top of Tool Tiers": all limits must have room, the check comes before the
- * call is built, no refund after a time-out, and a refusal names window, limit, use and reset.)
+ * Limits of a workspace: requests and tokens per minute, and open streams. Every limit must allow a request before
+ * anything is sent. Tokens are reserved by estimate and settled by what ran; only requests that provably did not run
+ * are refunded in full. (The pattern "Per-Caller Caps Layered on Top of Tool Tiers": all limits must have room, the
+ * check comes before the call is built, there is no refund after a time-out, and a refusal names window, limit, use and
+ * reset.)
  *
  * @module
  */
 import { deleteIn, emptyMap, getIn, setIn, type ShardMap } from "./shard-map.js";
 
-/** The limits that hold for a workspace, or for this host's share of it. */
+/** The limits of a workspace, or this host's share of them. */
 export interface WorkspaceLimits {
     readonly requestsPerMinute: number;
     readonly tokensPerMinute: number;
     readonly openStreams: number;
 }
 
-/** Use of one workspace. The two rates are token buckets that hold at most one minute's worth. */
+/**
+ * Usage of one workspace. `requests` and `tokens` are what is left in token buckets that hold at most one minute's
+ * worth.
+ */
 interface Usage {
     readonly requests: number;
     readonly tokens: number;
@@ -23,19 +27,19 @@
     readonly at: number;
 }
 
-/** Use of all workspaces on this host. */
+/** Usage of all workspaces on this host. */
 export interface LimitState {
     readonly usage: ShardMap<Usage>;
     readonly reserved: ShardMap<Reservation>;
 }
 
-/** What one request holds until it is settled. */
+/** Tokens reserved for one request until it is settled. */
 interface Reservation {
     readonly workspace: string;
     readonly tokens: number;
 }
 
-/** A refusal that names the limit, its use and when there is room again. */
+/** A refusal that names the limit, its usage, and when the request could fit. */
 export interface LimitRefusal {
     readonly kind: "limitReached";
     readonly limit: keyof WorkspaceLimits;
@@ -45,16 +49,16 @@
     readonly resetMs?: number | undefined;
 }
 
-/** The result of asking for a request's share. */
+/** Result of {@link reserve}. */
 export type ReserveResult =
     | { readonly ok: true; readonly state: LimitState }
     | { readonly ok: false; readonly refusal: LimitRefusal };
 
 const MINUTE_MS = 60_000;
-/** When an open stream will end is not known; a caller is asked to come back after this. */
+/** It is not known when an open stream will end; callers are asked to retry after this time. */
 const OPEN_STREAM_RETRY_MS = 1_000;
 
-/** No use at all. */
+/** Creates the state without any usage. */
 export function createLimits(): LimitState {
     return { usage: emptyMap(), reserved: emptyMap() };
 }
@@ -95,7 +99,7 @@
 }
 
 /**
- * Takes a request's share of every limit, or none of them.
+ * Reserves what a request needs of every limit, or of none if one of them is exhausted.
  *
  * @param tokens Prompt tokens and expected output.
  *
@@ -131,14 +135,17 @@
     };
 }
 
-/** How a request ended, for its limits. `ranTokens` is undefined where that is not known: the reservation is kept. */
+/**
+ * How a request ended, as far as its limits are concerned. `ranTokens` is undefined if unknown; then the reservation is
+ * kept.
+ */
 export type Settlement =
     | { readonly kind: "notRun" }
     | { readonly kind: "ran"; readonly ranTokens: number | undefined };
 
 /**
- * Settles a request's share: gives all back if it did not run, else the difference between estimate and truth. A second
- * call for the same request changes nothing.
+ * Settles a request: refunds everything if it did not run, otherwise the difference between estimate and actual tokens.
+ * A second call for the same request changes nothing.
  *
  * @example
  * ```ts
--- a/packages/policy/test/speed.test.ts
+++ b/packages/policy/test/speed.test.ts
@@ -18,7 +18,7 @@
     slownessOf,
     type SpeedEstimate,
     type SpeedEvidence,
-    speedFromTold,
+    speedFromOwner,
     type SpeedPool,
     type SpeedSample,
     toldSpeedOf,
@@ -193,10 +193,10 @@
     let speed = UNKNOWN_SPEED;
     t.is(toldSpeedOf(speed, 0), undefined);
     for (let now = 0; now < 5_000; now += 1_000) speed = observeSpeed(speed, seen(0.5), "a", now);
-    const taken = speedFromTold(toldSpeedOf(speed, 6_000)!, 100_000);
+    const taken = speedFromOwner(toldSpeedOf(speed, 6_000)!, 100_000);
     const [own, told] = [estimateOf(speed, 6_000), estimateOf(taken, 100_000)];
     t.true(Math.abs(own.mean - told.mean) < 1e-9 && Math.abs(own.weight - told.weight) < 1e-9);
-    const wild = estimateOf(speedFromTold({ value: 1e9, weight: 1e12, ageMs: 0 }, 0), 0);
+    const wild = estimateOf(speedFromOwner({ value: 1e9, weight: 1e12, ageMs: 0 }, 0), 0);
     t.true(wild.mean < 4 && wild.weight <= 10_000);
 });
 
--- a/packages/standins/src/memory-mutations.ts
+++ b/packages/standins/src/memory-mutations.ts
@@ -30,8 +30,8 @@
     {
         promise: "memory: an answer is read less far ahead as the budget fills",
         file: ACCOUNT_SOURCE,
-        find: "Math.min(left, budgetBytes - totalHeld(account)));\n}\n\n/** How much may wait for one peer",
-        replace: "left);\n}\n\n/** How much may wait for one peer",
+        find: "Math.min(left, budgetBytes - totalHeld(account)));\n}\n\n/** How many bytes may queue for one peer",
+        replace: "left);\n}\n\n/** How many bytes may queue for one peer",
         tests: [ACCOUNT],
     },
     {
--- a/packages/standins/src/speed-mutations.ts
+++ b/packages/standins/src/speed-mutations.ts
@@ -55,7 +55,7 @@
     {
         promise: "what a host tells of a speed is bounded",
         file: SPEED_SOURCE,
-        find: "Math.min(MAX_TOLD_LOG_RATIO, Math.max(-MAX_TOLD_LOG_RATIO, value))",
+        find: "Math.min(MAX_OWNER_LOG_RATIO, Math.max(-MAX_OWNER_LOG_RATIO, value))",
         replace: "value",
         tests: [SPEED],
     },
