--- a/packages/policy/src/memory-account.ts
+++ b/packages/policy/src/memory-account.ts
@@ -142,7 +142,7 @@
  *
  * @example
  * ```ts
- * callToGiveUp([["quick", { bytes: 9_000, stalledMs: 0 }], ["slow", { bytes: 9_000, stalledMs: 5_000 }]]); // "slow"
+ * callToGiveUp([["quick", { bytes: 9_000, stuckMs: 0 }], ["slow", { bytes: 9_000, stuckMs: 5_000 }]]); // "slow"
  * ```
  */
 export function firstToGiveUp<K>(holders: Iterable<readonly [K, MemoryHolder]>): K | undefined {
--- a/packages/policy/test/backups.test.ts
+++ b/packages/policy/test/backups.test.ts
@@ -56,7 +56,7 @@
     return action;
 }
 
-test("a stream that asks for it is backed up at another endpoint, whose memory is counted and whose batch is not", t => {
+test("a stream that asks for a backup gets one at another endpoint, which counts its memory but not its batch", t => {
     const after = drive(fleetOf(THREE), [arrive(jobOf("j"))]);
     const { endpoint, backUp } = dispatched(after);
     t.not(backUp, undefined);
@@ -66,21 +66,24 @@
     t.true(standby.curve.mean[0]! >= 2_000);
 });
 
-test("none is backed up where it did not ask, or where memory is planned too far", t => {
+test("a stream gets no backup if it did not ask for one, or if too much memory is planned already", t => {
     t.is(dispatched(drive(fleetOf(THREE), [arrive(jobOf("j", { backUp: false }))])).backUp, undefined);
     const small = [endpointOf("e1"), endpointOf("e2", "h1", 3_000)];
     t.is(dispatched(drive(fleetOf(small), [arrive(jobOf("j"))])).backUp, undefined);
 });
 
 const SIX = ["e1", "e2", "e3", "e4", "e5", "e6"].map(id => endpointOf(id, "h1", 22_000));
-/** Streams of 3,000 tokens and up to 1,800 more that take 7 s each, as at the peak of a day: some 35 run at a time. */
-const PEAK = { everyMs: 200, firstMs: 500, wholeMs: 7_000, lengthMs: 30_000, tokens: 750 };
-
-/** How many of the streams that come are begun. */
-function playPeak(variant: Variant): { readonly came: number; readonly begun: number; readonly copied: number } {
+/**
+ * Streams with prompts of 3,000 tokens and up to 1,800 output tokens that take 7 s each, as at the peak of a day: some
+ * 35 run at a time.
+ */
+const PEAK = { everyMs: 200, firstMs: 500, durationMs: 7_000, lengthMs: 30_000, tokens: 750 };
+
+/** Plays a peak and counts the streams that arrive, are dispatched and get a copy. */
+function simulatePeak(variant: Variant): { readonly arrived: number; readonly begun: number; readonly copied: number } {
     let { state } = drive(createScheduler(variant), [{ kind: "endpoints", endpoints: SIX }]);
     const due: { readonly at: number; readonly event: SchedulerEvent }[] = [];
-    const counts = { came: 0, begun: 0, copied: 0 };
+    const counts = { arrived: 0, begun: 0, copied: 0 };
     const feed = (event: SchedulerEvent, now: number): void => {
         const next = decide(state, event, now);
         state = next.state;
@@ -91,7 +94,7 @@
             const { job } = action;
             due.push(
                 { at: now + PEAK.firstMs, event: { kind: "progress", job, produced: 1, meanGapMs: 30, maxGapMs: 60 } },
-                { at: now + PEAK.wholeMs, event: { kind: "ended", job, outcome: "whole", produced: PEAK.tokens } },
+                { at: now + PEAK.durationMs, event: { kind: "ended", job, outcome: "whole", produced: PEAK.tokens } },
             );
         }
     };
@@ -100,7 +103,7 @@
         due.splice(0, due.length, ...due.filter(({ at }) => at > now));
         feed({ kind: "tick" }, now);
         if (now % PEAK.everyMs !== 0) continue;
-        counts.came += 1;
+        counts.arrived += 1;
         const job = makeJob(`j${now}`, { backUp: true, promptTokens: 3_000, maxTokens: 1_800 }, {
             objectiveMs: 1_800,
             maxWaitMs: 1_800,
@@ -111,21 +114,21 @@
     return counts;
 }
 
-test("at a peak copies do not stand in the place of streams that come", t => {
-    const { came, begun } = playPeak(VARIANT);
-    const without = playPeak({ ...VARIANT, backups: false });
-    // The engines just bear this load.
-    t.true(without.begun >= 0.95 * came && without.begun < came, `${without.begun} of ${came}`);
+test("at peak load copies do not take the capacity of arriving streams", t => {
+    const { arrived, begun } = simulatePeak(VARIANT);
+    const without = simulatePeak({ ...VARIANT, backups: false });
+    // This load is just within the engines' capacity.
+    t.true(without.begun >= 0.95 * arrived && without.begun < arrived, `${without.begun} of ${arrived}`);
     t.true(begun >= 0.98 * without.begun, `${begun} of ${without.begun}`);
 });
 
-test("where memory is ample each stream has its copy", t => {
+test("every stream has a copy while memory is ample", t => {
     const calm = SIX.map((_, at) => arrive(jobOf(`j${at}`)));
     const { state } = drive(fleetOf(SIX), calm);
     t.is(state.endpoints.values().reduce((sum, { backups }) => sum + backups.size, 0), calm.length);
 });
 
-test("memory of stream and copy is free again when it ends", t => {
+test("the memory of a stream and of its copy is released when the stream ends", t => {
     const before = drive(fleetOf(THREE), [arrive(jobOf("j"))]).state;
     const { state } = drive(before, [{ kind: "ended", job: "j", outcome: "whole", produced: 40 }]);
     for (const view of state.endpoints.values()) {
@@ -134,7 +137,7 @@
     }
 });
 
-test("it goes on at its copy, which then runs, and gets another copy", t => {
+test("a broken stream continues at its standby and gets another copy", t => {
     const placed = drive(fleetOf(THREE), [arrive(jobOf("j"))]);
     const { endpoint, backUp } = dispatched(placed);
     const going = drive(placed.state, [{ kind: "continue", job: "j", failed: false }]);
@@ -147,14 +150,14 @@
 const LEAVES: Readonly<Record<string, (endpoint: string) => SchedulerEvent>> = {
     "its registration": leaving,
     "an answer": endpoint => ({ kind: "leaving", endpoint, source: "answer", leaving: true }),
-    "no registration any more": endpoint => ({
+    "a lapsed registration": endpoint => ({
         kind: "endpoints",
         endpoints: THREE.filter(({ id }) => id !== endpoint),
     }),
 };
 
 for (const [source, leave] of Object.entries(LEAVES)) {
-    test(`it goes on at a copy whose endpoint leaves, by ${source}, only for a moment after that is known`, t => {
+    test(`a stream continues at a standby that is leaving, by ${source}, only shortly after that is known`, t => {
         const begun = drive(fleetOf(THREE), [arrive(jobOf("j"))]);
         const standby = dispatched(begun).backUp!;
         const { state } = drive(begun.state, [leave(standby)], 1_000);
@@ -164,12 +167,12 @@
     });
 }
 
-test("without a copy it does not go on", t => {
+test("a stream without a copy is refused when its endpoint breaks off", t => {
     const alone = drive(fleetOf([endpointOf("e1")]), [arrive(jobOf("j"))]);
     t.like(drive(alone.state, [{ kind: "continue", job: "j", failed: true }]).actions, [{ kind: "refuse" }]);
 });
 
-test("a life that is over holds no copies, and its streams nothing of the next one's memory", t => {
+test("a restarted endpoint keeps no copies of its earlier life, nor memory for that life's streams", t => {
     const begun = drive(fleetOf(THREE), [arrive(jobOf("j"))]);
     const { endpoint, backUp } = dispatched(begun);
     const again = THREE.map(cfg => cfg.id === backUp ? endpointOf(`${cfg.id}@2`) : cfg);
@@ -186,7 +189,7 @@
     });
 });
 
-test("streams of a leaving endpoint are evacuated unless their copy's standby stays", t => {
+test("streams of a leaving endpoint are evacuated unless their standby stays", t => {
     const placed = drive(fleetOf(THREE), [arrive(jobOf("j"))]);
     const { endpoint, backUp } = dispatched(placed);
     const left = drive(placed.state, [leaving(endpoint)]).state;
@@ -206,7 +209,7 @@
 };
 
 for (const [loss, eventOf] of Object.entries(LOSSES)) {
-    test(`a stream whose copy's standby ${loss} gets another copy once its own endpoint is leaving`, t => {
+    test(`a stream whose standby ${loss} gets another copy once its own endpoint is leaving`, t => {
         const placed = drive(fleetOf(THREE), [arrive(jobOf("j"))]);
         const { endpoint, backUp } = dispatched(placed);
         const unkept = drive(placed.state, [eventOf(backUp!)]).state;
@@ -221,7 +224,7 @@
     });
 }
 
-test("nothing is copied away from an endpoint that cannot be reached", t => {
+test("no stream is evacuated from an unreachable endpoint", t => {
     const placed = drive(fleetOf(THREE), [arrive(jobOf("j"))]);
     const { endpoint, backUp } = dispatched(placed);
     const { state } = drive(placed.state, [
@@ -232,14 +235,14 @@
     t.deepEqual(jobsToEvacuate(state, 0), []);
 });
 
-test("streams of an endpoint that is declared no more are evacuated too", t => {
+test("streams of an endpoint that is no longer declared are evacuated", t => {
     const placed = drive(fleetOf([endpointOf("e1"), endpointOf("e2", "h1", 2_500)]), [arrive(jobOf("j"))]);
     t.is(dispatched(placed).backUp, undefined);
     const { state } = drive(placed.state, [{ kind: "endpoints", endpoints: [endpointOf("e3")] }]);
     t.deepEqual(jobsToEvacuate(state, 0), ["j"]);
 });
 
-test("prompts that are still to be read make an endpoint wait, those of other hosts as well", t => {
+test("an endpoint with prompts left to prefill is avoided, also if they are other hosts'", t => {
     const [first, second] = [endpointOf("e1"), endpointOf("e2")];
     const busy = drive(fleetOf([first, second]), [{
         kind: "others",
@@ -254,14 +257,14 @@
     t.is(dispatched(drive(busy.state, [arrive(jobOf("j"))])).endpoint, "e2");
 });
 
-test("the own hall goes first among endpoints that are otherwise alike", t => {
+test("among equal endpoints those of the own hall are preferred", t => {
     for (const hall of ["h1", "h2"]) {
         const fleet = fleetOf([endpointOf("e1", "h1"), endpointOf("e2", "h2")], hall);
         t.is(dispatched(drive(fleet, [arrive(jobOf("j"))])).endpoint, hall === "h1" ? "e1" : "e2");
     }
 });
 
-test("what cannot be reached gets nothing more for a while, also where it is most of them", t => {
+test("unreachable endpoints get no requests for a while, even if they are the majority", t => {
     let state = fleetOf(THREE);
     for (const id of ["a", "b"]) {
         const placed = drive(state, [arrive(jobOf(id, { backUp: false, promptTokens: 100 }))]);
@@ -277,7 +280,7 @@
     t.is(reached.size, 1);
 });
 
-test("a hall is taken for cut off once half of its endpoints cannot be reached", t => {
+test("a hall counts as unreachable once half of its endpoints are", t => {
     const away = ["a1", "a2", "a3", "a4"].map(id => endpointOf(id, "h2"));
     const curve = { mean: new Float64Array(9).fill(26_000), variance: new Float64Array(9) };
     const crowded = { streams: 4, unread: 0, stalled: 0, curve };
@@ -317,13 +320,13 @@
     t.true(all <= 0.2 * requests * hosts + 60);
 });
 
-test("a host that sees few others does not take their parts", t => {
+test("a host that hears few others does not take their shares of the retry budget", t => {
     let budget = budgetAfter(0);
     budget = spendRepeat(budget, 20, 0)!;
     t.true(repeatsOf(budget, 1) <= repeatsOf(budgetAfter(0), 20));
 });
 
-test("the budget forgets what left its window, and only that", t => {
+test("the fleet's retry budget forgets what has left its window, and only that", t => {
     const used = budgetAfter(200);
     const most = repeatsOf(used, 6);
     let spent: FleetRetryBudget = used;
@@ -335,7 +338,7 @@
 const FULL: SchedulerEvent = {
     kind: "others",
     endpoint: "e1",
-    // Fits now, and by the plan never: what runs there is expected to grow beyond the memory.
+    // A request fits now, but never by the projection: the running streams are expected to outgrow the memory.
     others: {
         streams: 4,
         unread: 0,
@@ -353,7 +356,7 @@
     } as SchedulerEvent;
 }
 
-test("a request at the end of its wait is refused where the plan has no room, though it would fit now", t => {
+test("a request at the end of its wait is refused if projected memory has no room, although it would fit now", t => {
     const one = drive(createScheduler(VARIANT, 1), [{ kind: "endpoints", endpoints: [endpointOf("e1")] }]).state;
     for (const held of [almostFull(40_000), FULL]) {
         const waiting = drive(one, [held, arrive(jobOf("j"))]);
@@ -362,7 +365,7 @@
     }
 });
 
-test("time in which nothing waited does not make a wait look long", t => {
+test("idle time does not lengthen the expected wait", t => {
     t.true(expectedWaitMs({ lastStart: 0, meanMs: 20 }, 1, 59_990, 60_000) < 50);
     t.true(
         expectedWaitMs({ lastStart: 54_000, meanMs: 20 }, 1, 50_000, 60_000) > 5_000,
@@ -370,7 +373,7 @@
     );
 });
 
-/** A stream that runs on a host of a large fleet, which asks an owner for everything. */
+/** A running stream of a host in a large fleet, where an owner is asked for every request. */
 function largeFleet(): { readonly state: SchedulerState; readonly endpoint: string; readonly backUp: string } {
     const variant = { ...VARIANT, askAlways: true };
     const created = createScheduler(variant, 1, { hall: "h1" });
@@ -385,7 +388,7 @@
     return { state, endpoint, backUp };
 }
 
-test("in a large fleet an owner names who takes the copy of a stream whose endpoint leaves", t => {
+test("in a large fleet an owner names the standby for a stream whose endpoint leaves", t => {
     const { state, endpoint, backUp } = largeFleet();
     const left = drive(state, [leaving(endpoint), leaving(backUp)]).state;
     const asked = drive(left, [{ kind: "evacuate", job: "j" }]);
@@ -399,7 +402,7 @@
     t.deepEqual(silent.actions, [{ kind: "copy", job: "j", from: endpoint, to: "e3" }], "it decides alone");
 });
 
-test("in a large fleet a stream goes on at its copy once an owner has named the next standby, or is silent", t => {
+test("in a large fleet a stream continues at its standby once an owner has named the next one or has not answered in time", t => {
     const { state, backUp } = largeFleet();
     const broken = drive(state, [{ kind: "continue", job: "j", failed: true }]);
     t.is(broken.actions[0]?.kind, "ask");
@@ -410,14 +413,14 @@
     t.deepEqual(drive(left, [{ kind: "answer", job: "j", endpoint: undefined, standby: "e3" }]).actions, []);
 });
 
-test("an endpoint whose streams do not begin gets no more while another has room, also by the word of others", t => {
+test("an endpoint with stalled streams, own or other hosts', gets no more while another has capacity", t => {
     const [first, second] = [endpointOf("e1"), endpointOf("e2", "h2")];
     const late = jobOf("any").policy.objectiveMs + 1;
     const fleet = fleetOf([first, second], "h1");
     const placed = drive(fleet, [arrive(jobOf("stuck", { backUp: false }))]);
     t.is(dispatched(placed).endpoint, "e1", "the own hall's");
     const curve = { mean: new Float64Array(9), variance: new Float64Array(9) };
-    // The other one has streams enough to be the worse choice but for the stuck one.
+    // e2 has so many streams that it is the worse choice unless e1 has a stalled stream.
     const busy = { streams: 4, unread: 0, stalled: 0, curve };
     const stuck = drive(placed.state, [{ kind: "others", endpoint: "e2", others: busy }]);
     t.is(dispatched(drive(stuck.state, [arrive(jobOf("j", { backUp: false }))], late)).endpoint, "e2");
--- a/packages/policy/test/cold.test.ts
+++ b/packages/policy/test/cold.test.ts
@@ -11,9 +11,9 @@
 } from "../src/index.js";
 import { makeJob } from "./job.js";
 
-/** Requests a second that all hosts together may send: a quarter of it is 10. */
+/** Requests per second that all hosts together may send; a quarter of it is 10. */
 const PER_S = 40;
-/** Long after a host's start. */
+/** Long after the host started. */
 const LATER = 60_000;
 const FLEET: Fleet = { since: 0, place: 0, live: 66, most: 66, changedAt: 0, mark: 0 };
 
@@ -21,21 +21,21 @@
     Record<string, { readonly fleet?: Partial<Fleet>; readonly ownedSince?: number; readonly most: number }>
 > = {
     "an owner: a quarter": { ownedSince: 0, most: 10 },
-    "an owner of a moment ago: none, as what the one before let in still counts": {
+    "a new owner: none, as the admissions of the one before still count": {
         ownedSince: LATER - 1_999,
         most: 0,
     },
-    "one of the first hosts: one": { fleet: { place: 9 }, most: 1 },
+    "one of the first hosts by position: one": { fleet: { place: 9 }, most: 1 },
     "one of the others: none": { fleet: { place: 10 }, most: 0 },
-    "one of few hosts: its part": { fleet: { live: 3, most: 3, place: 2 }, most: 3 },
+    "one of few hosts: its share": { fleet: { live: 3, most: 3, place: 2 }, most: 3 },
     "a host that hears half of the hosts: none": { fleet: { live: 33 }, most: 0 },
     "an owner that hears half of the hosts: none": { fleet: { live: 33 }, ownedSince: 0, most: 0 },
     "an owner that has just started: none": { fleet: { since: LATER - 9_999 }, ownedSince: 0, most: 0 },
-    "a host that has heard of nobody yet: none": { fleet: { since: undefined }, most: 0 },
+    "a host that has not heard from others yet: none": { fleet: { since: undefined }, most: 0 },
 };
 
 for (const [name, { fleet, ownedSince, most }] of Object.entries(ALLOWED)) {
-    test(`into a cold endpoint lets ${name}`, t => {
+    test(`admissions to a cold endpoint by ${name}`, t => {
         t.is(coldAllowance(PER_S, { ...FLEET, ...fleet }, ownedSince, LATER), most);
     });
 }
@@ -54,7 +54,7 @@
     );
 }
 
-/** A host that has known its fleet for a while. */
+/** A host that has known its fleet since time 0. */
 function hostOf(endpoints: readonly EndpointCfg[], hosts = 1): SchedulerState {
     const variant = { ...DEFAULT_VARIANT, backups: true, prefix: false };
     const told: SchedulerEvent = { kind: "hosts", count: hosts, place: 0, unheard: 0 };
@@ -68,7 +68,7 @@
     retry: false,
 });
 
-/** Requests by the endpoint that they were sent to. */
+/** Endpoints that requests were sent to, one entry per request. */
 function sent({ actions }: ReturnType<typeof decide>): readonly string[] {
     return actions.flatMap(action => action.kind === "dispatch" ? [action.endpoint] : []);
 }
@@ -76,7 +76,7 @@
 const cold = (until: number, perS = PER_S) => ({ cold: { until, perS } });
 const JOBS = Array.from({ length: 30 }, (_, at) => arrive(`j${at}`));
 
-test("a cold endpoint is sent no more than its part, the others take the rest", t => {
+test("a cold endpoint is sent no more than its bound, the others take the rest", t => {
     const state = hostOf([endpointOf("cold", cold(LATER + 5_000)), endpointOf("warm")], 1);
     const to = sent(drive(state, JOBS, LATER));
     t.is(to.length, JOBS.length);
@@ -101,7 +101,7 @@
     t.false(named.includes("gone"));
 });
 
-test("what waits for an owner's word does not go to a hall that is evacuated meanwhile", t => {
+test("a request that waits for an owner's answer does not go to a hall evacuated meanwhile", t => {
     const endpoints = [endpointOf("e1"), endpointOf("e2", { hall: "h2" })];
     const variant = { ...DEFAULT_VARIANT, askAlways: true };
     const hosts: SchedulerEvent = { kind: "hosts", count: 66, place: 1, unheard: 0 };
@@ -116,17 +116,17 @@
     t.deepEqual(sent(drive(told.state, [{ kind: "tick" }], LATER + 200)), []);
 });
 
-/** A stream at e1 with its copy at e2. */
-function copied(parts: Partial<EndpointCfg>): ReturnType<typeof decide> {
+/** Breaks off a stream and lets it continue, with these settings for its standby. */
+function continueFromCopy(parts: Partial<EndpointCfg>): ReturnType<typeof decide> {
     const before = drive(hostOf([endpointOf("e1"), endpointOf("e2")]), [arrive("j")], LATER);
     const source = sent(before)[0]!;
     const endpoints = ["e1", "e2"].map(id => endpointOf(id, id === source ? {} : parts));
     return drive(before.state, [{ kind: "endpoints", endpoints }, { kind: "continue", job: "j", failed: true }], LATER);
 }
 
-test("a stream goes on at its copy, but not in an evacuated hall, nor at a cold endpoint whose copies are too many", t => {
-    t.is(sent(copied({})).length, 1);
-    t.is(sent(copied({ isEvacuated: true })).length, 0);
-    t.is(sent(copied({ ...cold(LATER + 1_000), memoryTokens: 1_000 })).length, 1);
-    t.is(sent(copied({ ...cold(LATER + 1_000), memoryTokens: 2_000 })).length, 0);
+test("a stream continues at its standby, but not in an evacuated hall, nor at a cold endpoint with room for too many copies", t => {
+    t.is(sent(continueFromCopy({})).length, 1);
+    t.is(sent(continueFromCopy({ isEvacuated: true })).length, 0);
+    t.is(sent(continueFromCopy({ ...cold(LATER + 1_000), memoryTokens: 1_000 })).length, 1);
+    t.is(sent(continueFromCopy({ ...cold(LATER + 1_000), memoryTokens: 2_000 })).length, 0);
 });
--- a/packages/policy/test/endpoint-limit.test.ts
+++ b/packages/policy/test/endpoint-limit.test.ts
@@ -13,12 +13,12 @@
 } from "../src/index.js";
 import { makeJob } from "./job.js";
 
-/** Long after a host's start. */
+/** Long after the host started. */
 const LATER = 60_000;
 const FLEET: Fleet = { ...ALONE, since: 0, live: 6, most: 6 };
 
-/** The parts of all hosts of a fleet. */
-function partsOf(perS: number, fleet: Partial<Fleet> = {}): readonly number[] {
+/** Shares of all hosts of a fleet, largest first. */
+function sharesOf(perS: number, fleet: Partial<Fleet> = {}): readonly number[] {
     const { live } = { ...FLEET, ...fleet };
     return Array.from({ length: live }, (_, place) => limitShare("e1", perS, { ...FLEET, ...fleet, place }, LATER))
         .sort((a, b) => b - a);
@@ -28,33 +28,37 @@
     return numbers.reduce((sum, number) => sum + number, 0);
 }
 
-const PARTS: Readonly<
+const SHARES: Readonly<
     Record<string, { readonly perS: number; readonly fleet?: Partial<Fleet>; readonly parts: readonly number[] }>
 > = {
     "ten in 4.35 s among six hosts": { perS: 2.3, parts: [2, 2, 2, 2, 1, 1] },
-    "one in 10 s of a limit of nothing, to hear when it is over": { perS: 0, parts: [1, 0, 0, 0, 0, 0] },
-    "two in 6.7 s of less than one a second": { perS: 0.3, parts: [1, 1, 0, 0, 0, 0] },
-    "what goes round evenly to hosts that hear half of the others": {
+    "one in 10 s for a limit of zero, to learn when it is lifted": { perS: 0, parts: [1, 0, 0, 0, 0, 0] },
+    "two in 6.7 s for less than one per second": { perS: 0.3, parts: [1, 1, 0, 0, 0, 0] },
+    "an even division without the remainder for hosts that hear half of the others": {
         perS: 4.8,
         fleet: { live: 3 },
         parts: [3, 3, 3],
     },
-    "nothing to a host that has just started": {
+    "none for a host that has just started": {
         perS: 100,
         fleet: { since: LATER - 2_999 },
         parts: [0, 0, 0, 0, 0, 0],
     },
-    "nothing to a host that has heard of nobody": { perS: 100, fleet: { since: undefined }, parts: [0, 0, 0, 0, 0, 0] },
+    "none for a host that has not heard from others": {
+        perS: 100,
+        fleet: { since: undefined },
+        parts: [0, 0, 0, 0, 0, 0],
+    },
 };
 
-for (const [name, { perS, fleet, parts }] of Object.entries(PARTS)) {
-    test(`of a limit there are ${name}`, t => t.deepEqual(partsOf(perS, fleet), parts));
+for (const [name, { perS, fleet, parts }] of Object.entries(SHARES)) {
+    test(`shares of a limit: ${name}`, t => t.deepEqual(sharesOf(perS, fleet), parts));
 }
 
-test("parts of all hosts come to the limit, however many they are", t => {
+test("the shares of all hosts add up to the limit, however many hosts there are", t => {
     for (const live of [1, 6, 66, 350]) {
         for (const perS of [0.3, 2.3, 17, 110.5]) {
-            t.is(sumOf(partsOf(perS, { live, most: live })), Math.ceil(4 * perS), `${live} hosts, ${perS} a second`);
+            t.is(sumOf(sharesOf(perS, { live, most: live })), Math.ceil(4 * perS), `${live} hosts, ${perS} a second`);
         }
     }
 });
@@ -73,7 +77,7 @@
     );
 }
 
-/** A host of a fleet that has been there for a while, and endpoints of which some name a limit. */
+/** A host of a long-running fleet, with endpoints of which some announced a limit. */
 function hostOf(
     limits: Readonly<Record<string, number | undefined>>,
     hosts = 1,
@@ -83,13 +87,13 @@
     const told: SchedulerEvent = { kind: "hosts", count: hosts, place: 0 };
     const { state } = drive(started, [told, { kind: "endpoints", endpoints: Object.keys(limits).map(endpointOf) }], 0);
     const said = Object.entries(limits).flatMap(([endpoint, limitPerS]): SchedulerEvent[] =>
-        limitPerS === undefined ? [] : [{ kind: "said", endpoint, said: { limitPerS, at: SAID_AT } }]
+        limitPerS === undefined ? [] : [{ kind: "said", endpoint, said: { limitPerS, at: ANNOUNCED_AT } }]
     );
-    return drive(state, said, SAID_AT).state;
+    return drive(state, said, ANNOUNCED_AT).state;
 }
 
-/** Limits were named longer ago than their spans, and not so long that they are in doubt. */
-const SAID_AT = LATER - 9_000;
+/** Limits were announced longer ago than their spans, but are not stale yet. */
+const ANNOUNCED_AT = LATER - 9_000;
 
 const arrive = (id: string): SchedulerEvent => ({
     kind: "arrive",
@@ -103,13 +107,13 @@
     return actions.flatMap(action => action.kind === "dispatch" ? [action.endpoint] : []);
 }
 
-test("a limited endpoint is sent its limit, the others take the rest", t => {
+test("a limited endpoint is sent its limit, and the others take the rest", t => {
     const to = sent(drive(hostOf({ e1: 2.3, e2: undefined }), JOBS, LATER));
     t.is(to.length, JOBS.length);
     t.is(to.filter(id => id === "e1").length, 10);
 });
 
-test("where all are limited, what they do not take is refused at once, with the time of the next request", t => {
+test("if all endpoints are limited, excess requests are refused at once, with the time of the next send", t => {
     const { actions } = drive(hostOf({ e1: 1, e2: 1 }), JOBS, LATER);
     const refused = actions.filter(action => action.kind === "refuse");
     t.is(sent({ state: hostOf({}), actions }).length, 8);
@@ -117,7 +121,7 @@
     t.true(refused.every(({ reason, retryAfterMs }) => reason === "limited" && retryAfterMs >= 4_000));
 });
 
-test("a request waits for a limit that lets it in soon", t => {
+test("a request waits for a limit that soon admits it", t => {
     const again: SchedulerEvent = { kind: "said", endpoint: "e1", said: { limitPerS: 1, at: LATER } };
     const full = drive(hostOf({ e1: 1 }), [again, ...JOBS.slice(0, 4)], LATER).state;
     const soon = drive(full, [arrive("late")], LATER + 3_900);
@@ -125,7 +129,7 @@
     t.deepEqual(sent(drive(soon.state, [{ kind: "tick" }], LATER + 4_001)), ["e1"]);
 });
 
-test("a limit that is over binds nothing, one that was said before it neither", t => {
+test("a lifted limit binds nothing, nor does a limit announced before it was lifted", t => {
     const over = drive(hostOf({ e1: 0 }), [
         { kind: "said", endpoint: "e1", said: { limitPerS: undefined, at: LATER } },
         { kind: "said", endpoint: "e1", said: { limitPerS: 0, at: LATER - 1 } },
@@ -133,7 +137,7 @@
     t.is(sent(drive(over.state, JOBS, LATER)).length, JOBS.length);
 });
 
-test("copies are kept where no limit is named, and else where one is", t => {
+test("copies are kept at endpoints without a limit, or else at limited ones", t => {
     const backUps = (limits: Readonly<Record<string, number | undefined>>): readonly (string | undefined)[] =>
         drive(hostOf(limits), [arrive("j")], LATER).actions.map(action =>
             action.kind === "dispatch" ? action.backUp : undefined
@@ -142,7 +146,7 @@
     t.is(backUps({ e1: undefined, e2: 100 })[0], "e2");
 });
 
-test("a stream goes on at a limited standby only within its limit", t => {
+test("streams continue at a limited standby only within its limit", t => {
     const state = hostOf({ e1: undefined, e2: undefined });
     const running = drive(state, JOBS.slice(0, 3), LATER);
     const [standby] = running.actions.flatMap(action => action.kind === "dispatch" ? action.backUp ?? [] : []);
@@ -164,7 +168,7 @@
     t.deepEqual(sent(on), [standby]);
 });
 
-test("owners let nobody into a limited endpoint, and a host sends what its part allows without asking", t => {
+test("owners admit nothing to a limited endpoint, and a host sends its share without asking", t => {
     const large = { askAlways: true };
     const { actions } = drive(hostOf({ e1: 100, e2: undefined }, 66, large), JOBS, LATER);
     const part = limitShare("e1", 100, { ...FLEET, live: 66, most: 66 }, LATER);
@@ -185,8 +189,8 @@
     t.deepEqual(sent(told), []);
 });
 
-test("hosts take turns in finding out if a limit is over that nobody has heard of for a while", t => {
-    const inDoubt = SAID_AT + 10_000;
+test("hosts take turns in probing a limit that none has heard of for a while", t => {
+    const inDoubt = ANNOUNCED_AT + 10_000;
     const turns = Array.from({ length: 6 }, (_, place) => {
         const fleet: SchedulerEvent = { kind: "hosts", count: 6, place };
         const { state } = drive(hostOf({ e1: 0 }, 6), [fleet], LATER);
--- a/packages/policy/test/forecast.test.ts
+++ b/packages/policy/test/forecast.test.ts
@@ -36,7 +36,7 @@
         return this.tell({ kind: "arrive", job, avoid: [], retry: false }, now)[0];
     }
 
-    /** Serves a request whose first token takes so long, and ends it. */
+    /** Serves a request whose first token takes `firstMs`, and ends it. */
     serve(id: string, now: number, firstMs: number): void {
         this.arrive(makeJob(id), now);
         this.tell({ kind: "progress", job: id, produced: 1, meanGapMs: 0, maxGapMs: 0 }, now + firstMs);
@@ -44,19 +44,19 @@
     }
 }
 
-/** The endpoint's memory taken by others, so that nothing fits. */
-function full(endpoint = "e1"): SchedulerEvent {
+/** Other hosts hold all memory of the endpoint, so nothing fits. */
+function fullEndpoint(endpoint = "e1"): SchedulerEvent {
     const curve = { mean: new Float64Array(9).fill(30_000), variance: new Float64Array(9) };
     return { kind: "others", endpoint, others: { streams: 9, unread: 0, stalled: 0, curve } };
 }
 
-function free(endpoint = "e1", unread = 0): SchedulerEvent {
+function freeEndpoint(endpoint = "e1", unread = 0): SchedulerEvent {
     const curve = { mean: new Float64Array(9), variance: new Float64Array(9) };
     return { kind: "others", endpoint, others: { streams: 1, unread, stalled: 0, curve } };
 }
 
 for (const msPerToken of [0.02, 0.07, 0.2]) {
-    test(`the time to read a prompt follows an engine of ${msPerToken} ms a token`, t => {
+    test(`the prefill rate follows an engine of ${msPerToken} ms per token`, t => {
         const driver = new Driver();
         for (let at = 0; at < 100; at++) driver.serve(`j${at}`, at * 1_000, 2_000 * msPerToken);
         const forecast = prefillMs(driver.state.prefillRate, 1_000);
@@ -64,19 +64,19 @@
     });
 }
 
-test("a request is not sent behind prompts that cannot be read in time, but is to an endpoint that reads nothing", t => {
+test("a request is not sent behind prompts that cannot be prefilled in time, but is to an idle endpoint", t => {
     const driver = new Driver();
     for (let at = 0; at < 100; at++) driver.serve(`j${at}`, at * 1_000, 200);
-    driver.tell(free("e1", 14_000), 100_000);
+    driver.tell(freeEndpoint("e1", 14_000), 100_000);
     t.is(driver.arrive(makeJob("behind"), 100_001), undefined);
     const idle = new Driver();
     t.like(idle.arrive(makeJob("large", { promptTokens: 25_000 }), 0), { kind: "dispatch" });
 });
 
-test("while room comes too slowly a request is refused at once, with times to come back in order", t => {
+test("while capacity comes free too slowly requests are refused at once, with increasing retry times", t => {
     const driver = new Driver();
-    driver.tell(full(), 0);
-    // One place came free each 400 ms.
+    driver.tell(fullEndpoint(), 0);
+    // One request was started every 400 ms.
     driver.state = { ...driver.state, drainRate: { lastStart: 1_000, meanMs: 400 } };
     for (let at = 0; at < 3; at++) t.is(driver.arrive(makeJob(`waits${at}`), 1_000), undefined);
     const refused = [0, 1, 2].map(at => driver.arrive(makeJob(`late${at}`), 1_000));
@@ -84,15 +84,15 @@
     t.deepEqual(times, [1_600, 2_000, 2_400]);
 });
 
-test("a wait whose forecast turns bad is refused then, not at its end", t => {
+test("a waiting request is refused as soon as its forecast turns bad, not at the end of its wait", t => {
     const driver = new Driver();
-    driver.tell(full(), 0);
+    driver.tell(fullEndpoint(), 0);
     t.is(driver.arrive(makeJob("j"), 0), undefined);
     t.deepEqual(driver.tell({ kind: "tick" }, 300), []);
     t.like(driver.tell({ kind: "tick" }, 900)[0], { kind: "refuse", reason: "waitTooLong" });
 });
 
-test("room is forecast from how fast it came lately, or from how long none has come", t => {
+test("the expected wait follows the recent drain rate, or the time since the last start", t => {
     t.is(expectedWaitMs(undefined, 1, undefined, 50), 0);
     t.is(expectedWaitMs({ lastStart: 900, meanMs: 200 }, 3, 950, 1_000), 600);
     t.is(expectedWaitMs({ lastStart: 500, meanMs: 200 }, 1, 400, 1_000), 500);
@@ -103,7 +103,7 @@
     );
 });
 
-test("callers come back one after the other", t => {
+test("refused callers get increasing retry times", t => {
     const first = nextRetryTime(NO_RETRY_TIMES, 400, 50, 0);
     const second = nextRetryTime(first.retryTimes, 400, 50, 0);
     t.deepEqual([first.afterMs, second.afterMs], [400, 450]);
--- a/packages/policy/test/in-doubt.test.ts
+++ b/packages/policy/test/in-doubt.test.ts
@@ -30,7 +30,7 @@
     }, { state, actions: [] });
 }
 
-function begin(endpoints: readonly EndpointCfg[], more: Partial<typeof DEFAULT_VARIANT> = {}): SchedulerState {
+function createHost(endpoints: readonly EndpointCfg[], more: Partial<typeof DEFAULT_VARIANT> = {}): SchedulerState {
     const state = createScheduler({ ...DEFAULT_VARIANT, pace: false, ...more }, 1, { hall: "k1" });
     return decide(state, { kind: "endpoints", endpoints }, 0).state;
 }
@@ -50,8 +50,8 @@
 const PLAIN = { admission: "none", choice: "leastOutstanding" } as const;
 const ONE_EACH = ["k1-a", "k2-a", "k3-a"].map(id => endpointOf(id));
 
-test("calls go to halls that are not in doubt, however busy these are", t => {
-    const { state } = drive(begin(ONE_EACH, PLAIN), [doubt("k2")]);
+test("calls go to halls that are not in doubt, however busy those are", t => {
+    const { state } = drive(createHost(ONE_EACH, PLAIN), [doubt("k2")]);
     const { actions } = drive(state, Array.from({ length: 30 }, (_, at) => arrive(`r${at}`)));
     t.deepEqual([...new Set(dispatchedTo(actions))].toSorted(), ["k1-a", "k3-a"]);
 });
@@ -59,13 +59,13 @@
 test("calls go to endpoints that are not in doubt, and to others of the same hall", t => {
     const endpoints = ["k1-a", "k2-a", "k2-b"].map(id => endpointOf(id));
     const doubted = { halls: [], endpoints: ["k2-a"] };
-    const { state } = drive(begin(endpoints, PLAIN), [{ kind: "reach", doubted, back: [] }]);
+    const { state } = drive(createHost(endpoints, PLAIN), [{ kind: "reach", doubted, back: [] }]);
     const { actions } = drive(state, Array.from({ length: 30 }, (_, at) => arrive(`r${at}`)));
     t.deepEqual([...new Set(dispatchedTo(actions))].toSorted(), ["k1-a", "k2-b"]);
 });
 
-test("where only halls in doubt are left, calls go there", t => {
-    const { state } = drive(begin(ONE_EACH, PLAIN), [
+test("calls go to halls in doubt if no others are left", t => {
+    const { state } = drive(createHost(ONE_EACH, PLAIN), [
         doubt("k2", "k3"),
         { kind: "unreachable", endpoint: "k1-a" },
     ]);
@@ -74,26 +74,29 @@
     t.false(dispatchedTo(actions).includes("k1-a"));
 });
 
-test("where nothing is in doubt, nothing changes", t => {
+test("an empty report of doubts changes no decision", t => {
     const calls = Array.from({ length: 12 }, (_, at) => arrive(`r${at}`));
-    const untouched = drive(begin(ONE_EACH, PLAIN), calls);
-    const told = drive(begin(ONE_EACH, PLAIN), [doubt(), ...calls]);
+    const untouched = drive(createHost(ONE_EACH, PLAIN), calls);
+    const told = drive(createHost(ONE_EACH, PLAIN), [doubt(), ...calls]);
     t.deepEqual(told.actions, untouched.actions);
 });
 
-test("a stream and its copy keep to halls that are not in doubt", t => {
+test("a stream and its copy are placed in halls that are not in doubt", t => {
     const endpoints = ["k1-a", "k2-a", "k2-b", "k3-a"].map(id => endpointOf(id));
-    const { state } = drive(begin(endpoints, { backups: true }), [doubt("k2")]);
+    const { state } = drive(createHost(endpoints, { backups: true }), [doubt("k2")]);
     const { actions } = drive(state, [arrive("r1", [], { backUp: true })]);
     const [dispatched] = actions.filter(action => action.kind === "dispatch");
     t.like(dispatched, { endpoint: "k1-a", backUp: "k3-a" });
-    const other = drive(begin(endpoints, { backups: true }), [doubt("k2", "k3"), arrive("r1", [], { backUp: true })]);
+    const other = drive(createHost(endpoints, { backups: true }), [
+        doubt("k2", "k3"),
+        arrive("r1", [], { backUp: true }),
+    ]);
     t.like(other.actions[0], { endpoint: "k1-a", backUp: undefined }, "a copy there is worth nothing now");
 });
 
-test("a request waits for room where it can be reached, and is tried in a hall in doubt before it is refused", t => {
+test("a request waits for capacity in reachable halls, and is tried in a hall in doubt before it is refused", t => {
     const endpoints = [endpointOf("k1-a", 3_000), endpointOf("k2-a", 3_000)];
-    const { state } = drive(begin(endpoints), [doubt("k2")]);
+    const { state } = drive(createHost(endpoints), [doubt("k2")]);
     const filled = drive(state, [arrive("r1", [], { promptTokens: 2_900 }), arrive("r2", [], { promptTokens: 2_900 })]);
     t.deepEqual(dispatchedTo(filled.actions), ["k1-a"], "the second waits");
     const late = drive(filled.state, [{ kind: "tick" }], NOW + 1_600);
@@ -104,16 +107,16 @@
     t.deepEqual(over.actions.map(({ kind }) => kind), ["refuse"], "it has no room there either");
 });
 
-test("a request for which the queue is full is tried in a hall in doubt", t => {
+test("a request that finds the queue full is tried in a hall in doubt", t => {
     const endpoints = [endpointOf("k1-a", 3_000), endpointOf("k2-a", 3_000)];
-    const { state } = drive(begin(endpoints), [doubt("k2"), arrive("r1", [], { promptTokens: 2_900 })]);
+    const { state } = drive(createHost(endpoints), [doubt("k2"), arrive("r1", [], { promptTokens: 2_900 })]);
     const job = makeJob("r2", { promptTokens: 2_900 }, { queueLimit: 0 });
     const { actions } = drive(state, [{ kind: "arrive", job, avoid: [], retry: false }]);
     t.deepEqual(dispatchedTo(actions), ["k2-a"]);
 });
 
-test("endpoints of a hall that is heard again are tried at once, one request each", t => {
-    const lost = drive(begin([endpointOf("k2-a")], PLAIN), [
+test("endpoints of a hall that is heard again are probed at once, with one request each", t => {
+    const lost = drive(createHost([endpointOf("k2-a")], PLAIN), [
         { kind: "unreachable", endpoint: "k2-a" },
         { kind: "unreachable", endpoint: "k2-a" },
         { kind: "unreachable", endpoint: "k2-a" },
@@ -124,7 +127,7 @@
     const back = drive(lost.state, [{ kind: "reach", doubted: NOTHING, back: ["k2"] }]);
     t.true(breakerIn(back.state).openUntil <= NOW);
     t.false(back.state.endpoints.get("k2-a")!.isInDoubt);
-    const failing = drive(begin([endpointOf("k2-a")], PLAIN), [
+    const failing = drive(createHost([endpointOf("k2-a")], PLAIN), [
         arrive("r1"),
         { kind: "ended", job: "r1", outcome: "failed", produced: 0 },
         { kind: "reach", doubted: NOTHING, back: ["k2"] },
@@ -137,14 +140,14 @@
     { kind: "owns", endpoints: [] },
 ];
 
-/** Endpoints that the owner is asked to leave out. */
+/** Endpoints that the owner is asked to exclude, one list per question. */
 function excluded(actions: readonly SchedulerAction[]): readonly (readonly string[])[] {
     return actions.flatMap(action => action.kind === "ask" ? [action.question.exclude] : []);
 }
 
-test("an owner is asked to leave out what is in doubt, and not before a request would be refused", t => {
+test("an owner is asked to exclude endpoints in doubt, until the request would otherwise be refused", t => {
     const endpoints = ["k1-a", "k2-a", "k3-a"].map(id => endpointOf(id));
-    const { state } = drive(begin(endpoints, { askAlways: true }), [...LARGE_FLEET, doubt("k2")]);
+    const { state } = drive(createHost(endpoints, { askAlways: true }), [...LARGE_FLEET, doubt("k2")]);
     const asked = drive(state, [arrive("r1")]);
     t.deepEqual(excluded(asked.actions), [["k2-a"]]);
     const noRoom = { kind: "answer", job: "r1", endpoint: undefined, standby: undefined } as const;
--- a/packages/policy/test/job.ts
+++ b/packages/policy/test/job.ts
@@ -1,5 +1,5 @@
 /**
- * Requests for tests of the decisions.
+ * Requests for tests of the scheduler.
  *
  * @module
  */
@@ -21,7 +21,10 @@
     retryShare: 0,
 };
 
-/** A request of 2,000 tokens in and 500 out; parts of it and of its policy may be replaced. */
+/**
+ * A request with a prompt of 2,000 tokens and up to 500 output tokens; fields of it and of its policy can be
+ * overridden.
+ */
 export function makeJob(id: string, more: Partial<Job> = {}, policy: Partial<JobPolicy> = {}): Job {
     return {
         id,
--- a/packages/policy/test/memory-account.test.ts
+++ b/packages/policy/test/memory-account.test.ts
@@ -15,7 +15,7 @@
 } from "../src/index.js";
 
 const BUDGET = 40_000_000;
-/** What any answer may be ahead of its caller. */
+/** Read-ahead that any answer gets. */
 const LEAST_AHEAD = 16_384;
 
 function accountOf(held: Partial<Record<HeldKind, number>>): MemoryAccount {
@@ -25,7 +25,7 @@
     );
 }
 
-/** Lets readers who take nothing hold what they may, in turn, until none may hold more. */
+/** Lets stalled readers hold as much as they may, in turn, until none may hold more. */
 function fillWith(readers: number, account = createAccount(BUDGET)): readonly [MemoryAccount, readonly number[]] {
     const held = Array.from({ length: readers }, () => 0);
     const part = 4_096;
@@ -41,28 +41,28 @@
     }
 }
 
-test("the budget is a part of what a host has above its rest, and never nothing", t => {
+test("the memory budget is a share of what a host has above its baseline, and never zero", t => {
     t.true(budgetOf(602_000_000) > budgetOf(178_000_000));
     t.true(budgetOf(178_000_000) > 0);
-    // With the process at rest there is room left for what no account sees.
+    // Beside an idle process there is room for memory that the account does not see.
     t.true(budgetOf(178_000_000) + 75_000_000 < 178_000_000);
     t.true(mayTakeIn(createAccount(budgetOf(50_000_000)), 4_000_000));
 });
 
-test("what is held is the sum of what was added and taken back", t => {
+test("the total held is the sum of what was added and released", t => {
     const account = accountOf({ body: 5, answer: 7, unread: 11, link: 13 });
     t.is(totalHeld(account), 36);
     t.is(totalHeld(holdMore(account, HeldKind.Answer, -7)), 29);
     t.is(totalHeld(createAccount(BUDGET)), 0);
 });
 
-test("one slow reader alone is read far ahead of", t => {
-    // A stream of the users' is 100 KB or so; an answer of 1 MB a second is borne for ten seconds and more.
+test("a single slow reader gets a large read-ahead", t => {
+    // The users' streams have about 100 KB; an answer of 1 MB per second is buffered for more than ten seconds.
     t.true(readAheadBytes(createAccount(BUDGET)) >= 10_000_000);
 });
 
 for (const readers of [1, 2, 5, 20, 100, 500]) {
-    test(`${readers} readers who take nothing get equal parts and keep no bodies out`, t => {
+    test(`${readers} stalled readers get equal shares and keep no bodies out`, t => {
         const [account, held] = fillWith(readers);
         t.true(Math.max(...held) - Math.min(...held) <= 8_192);
         t.true(Math.min(...held) >= LEAST_AHEAD);
@@ -71,51 +71,51 @@
     });
 }
 
-test("a reader who comes when others hold all that they may is still read ahead of a little", t => {
+test("a reader that arrives when others hold their full share still gets a little read-ahead", t => {
     const [account] = fillWith(500);
     t.true(readAheadBytes(account) >= LEAST_AHEAD);
 });
 
-test("the largest is stopped first as the budget fills", t => {
+test("the largest holder is paused first as the budget fills", t => {
     const held = 6_000_000;
     t.true(readAheadBytes(accountOf({ unread: held })) > held);
     t.true(readAheadBytes(accountOf({ unread: 15_000_000 })) < held);
     t.true(readAheadBytes(accountOf({ body: 36_000_000 })) < held);
 });
 
-test("bodies are taken in while there is room, and the last of it is kept for answers", t => {
+test("bodies are accepted up to their share, and the rest is kept for answers", t => {
     t.true(mayTakeIn(createAccount(BUDGET), 4_000_000));
     const full = accountOf({ body: 30_000_000 });
     t.false(mayTakeIn(full, 1));
     t.true(readAheadBytes(full) >= 10_000_000);
 });
 
-test("a host that holds only bodies is not over its budget by taking in what it may", t => {
+test("a host that accepts all bodies that it may stays within its budget", t => {
     let account = createAccount(BUDGET);
     while (mayTakeIn(account, 4_000_000)) account = holdMore(account, HeldKind.Body, 4_000_000);
     t.false(isOverBudget(account));
 });
 
-test("what waits for peers is bounded by its own part, and by what is left of all", t => {
+test("messages queued for peers are bounded by their share and by what is left of the budget", t => {
     t.true(linkBytes(createAccount(BUDGET)) <= BUDGET / 8);
     t.is(linkBytes(accountOf({ link: BUDGET / 8 })), 0);
     t.is(linkBytes(accountOf({ body: BUDGET })), 0);
 });
 
-test("peers who read nothing keep neither answers nor bodies out", t => {
+test("stalled peers keep neither answers nor bodies out", t => {
     const account = accountOf({ link: BUDGET / 8 });
     t.is(readAheadBytes(account), readAheadBytes(createAccount(BUDGET)));
     t.true(mayTakeIn(account, 4_000_000));
 });
 
-test("a budget that was full is full until it has room again", t => {
+test("a full budget stays full until it falls below the reopening share", t => {
     t.false(isFull(accountOf({ body: 25_000_000 }), false));
     t.true(isFull(accountOf({ body: 31_000_000 }), false));
     t.true(isFull(accountOf({ body: 25_000_000 }), true));
     t.false(isFull(accountOf({ body: 19_000_000 }), true));
 });
 
-/** Holders and who of them is given up first. */
+/** Calls that hold memory, and which is given up first. */
 const FIRST: readonly {
     readonly why: string;
     readonly holders: Readonly<Record<string, { readonly bytes: number; readonly stuckMs: number }>>;
@@ -132,16 +132,16 @@
         first: "slower",
     },
     {
-        why: "a slow one before a larger whose reader takes its bytes",
+        why: "a slow one before a larger one whose reader keeps reading",
         holders: { quick: { bytes: 4_000_000, stuckMs: 0 }, slow: { bytes: 50_000, stuckMs: 3_000 } },
         first: "slow",
     },
     {
-        why: "the largest where nobody's reader is waited for",
+        why: "the largest if no reader is waited for",
         holders: { small: { bytes: 1_000, stuckMs: 0 }, large: { bytes: 2_000, stuckMs: 0 } },
         first: "large",
     },
-    { why: "nobody who holds nothing", holders: { idle: { bytes: 0, stuckMs: 9_000 } }, first: undefined },
+    { why: "no call that holds nothing", holders: { idle: { bytes: 0, stuckMs: 9_000 } }, first: undefined },
 ];
 
 for (const { why, holders, first } of FIRST) {
--- a/packages/policy/test/overload.test.ts
+++ b/packages/policy/test/overload.test.ts
@@ -10,20 +10,20 @@
 } from "../src/index.js";
 import { makeJob } from "./job.js";
 
-/** A load: requests a second over time, in milliseconds from its start. */
+/** A load: requests per second over time, in milliseconds from its start. */
 interface Load {
     readonly perS: (now: number) => number;
     readonly lengthMs: number;
 }
 
-/** What became of a load's callers. */
+/** Outcome for the callers of a load. */
 interface Outcome {
-    asked: number;
+    arrived: number;
     served: number;
-    /** Refused at their first try. */
+    /** Callers refused at their first attempt. */
     refused: number;
-    /** Of those, how many were served when they came back. */
-    servedAgain: number;
+    /** Of those, the callers served when they retried. */
+    servedOnRetry: number;
     /** Waits that ended in a refusal, in milliseconds. */
     readonly waits: number[];
 }
@@ -32,13 +32,13 @@
 const ENGINES = 4;
 const MEMORY = 30_000;
 const PROMPT = 3_000;
-/** Tokens of an output, and the time that it takes: streams of a quarter of these to seven quarters. */
+/** Mean output tokens and duration of a stream; streams have 0.25 to 1.75 times these. */
 const OUTPUT = 500;
 const STREAM_MS = 7_000;
-/** Callers come back once, and wait no longer than this for it. */
-const MOST_AWAY_MS = 13_000;
+/** Callers retry once, after at most this time. */
+const MAX_RETRY_DELAY_MS = 13_000;
 
-/** Four engines that hold eight streams or so each: some four and a half streams a second. */
+/** Four engines with room for about eight streams each, which serve about 4.5 streams per second. */
 function fleet(): SchedulerState {
     const endpoints = Array.from({ length: ENGINES }, (_, at) => ({
         id: `e${at}`,
@@ -58,15 +58,15 @@
     );
 }
 
-/** Replays a load through the decisions of one host; callers obey the times that they are given. */
+/** Replays a load through one host's scheduler; callers retry at the times that they are given. */
 function replay({ perS, lengthMs }: Load): Outcome {
-    const outcome: Outcome = { asked: 0, served: 0, refused: 0, servedAgain: 0, waits: [] };
+    const outcome: Outcome = { arrived: 0, served: 0, refused: 0, servedOnRetry: 0, waits: [] };
     let state = fleet();
     let due = 0;
     const began = new Map<string, number>();
     const running: { readonly id: string; readonly at: number; readonly endsAt: number; readonly tokens: number }[] =
         [];
-    const back: { readonly id: string; readonly at: number }[] = [];
+    const retries: { readonly id: string; readonly at: number }[] = [];
     const tell = (event: SchedulerEvent, now: number): void => {
         const next = decide(state, event, now);
         state = next.state;
@@ -76,8 +76,8 @@
         const returned = action.job.endsWith("/2");
         if (action.kind === "dispatch") {
             outcome.served += 1;
-            if (returned) outcome.servedAgain += 1;
-            // Lengths by a fixed sequence, so that each replay is the same.
+            if (returned) outcome.servedOnRetry += 1;
+            // Stream lengths follow a fixed sequence, so each replay is the same.
             const share = 0.25 + 1.5 * ((outcome.served * 0.618) % 1);
             running.push({
                 id: action.job,
@@ -90,13 +90,13 @@
         outcome.waits.push(now - began.get(action.job)!);
         if (returned) return;
         outcome.refused += 1;
-        back.push({ id: `${action.job}/2`, at: now + Math.min(action.retryAfterMs, MOST_AWAY_MS) });
+        retries.push({ id: `${action.job}/2`, at: now + Math.min(action.retryAfterMs, MAX_RETRY_DELAY_MS) });
     };
-    const ask = (id: string, now: number): void => {
+    const arrive = (id: string, now: number): void => {
         began.set(id, now);
         tell({ kind: "arrive", job: jobOf(id), avoid: [], retry: false }, now);
     };
-    for (let now = 0; now < lengthMs + 2 * MOST_AWAY_MS; now += STEP_MS) {
+    for (let now = 0; now < lengthMs + 2 * MAX_RETRY_DELAY_MS; now += STEP_MS) {
         for (const stream of running.filter(({ endsAt }) => endsAt <= now)) {
             running.splice(running.indexOf(stream), 1);
             tell({ kind: "ended", job: stream.id, outcome: "whole", produced: stream.tokens }, now);
@@ -106,28 +106,30 @@
             const produced = 1 + Math.floor((now - at) / STREAM_MS * OUTPUT);
             tell({ kind: "progress", job: id, produced, meanGapMs: 14, maxGapMs: 20 }, now);
         }
-        for (const caller of back.filter(({ at }) => at <= now)) {
-            back.splice(back.indexOf(caller), 1);
-            ask(caller.id, now);
+        for (const caller of retries.filter(({ at }) => at <= now)) {
+            retries.splice(retries.indexOf(caller), 1);
+            arrive(caller.id, now);
         }
         due += now < lengthMs ? perS(now) * STEP_MS / 1_000 : 0;
-        for (; due >= 1; due--) ask(`r${outcome.asked++}`, now);
+        for (; due >= 1; due--) arrive(`r${outcome.arrived++}`, now);
         if (state.waiting.length > 0) tell({ kind: "tick" }, now);
     }
     return outcome;
 }
 
-/** A burst of twice what the engines serve, for ten seconds, and a third of it otherwise. */
+/** A burst of ten seconds at twice the engines' throughput, and a third of the throughput otherwise. */
 const BURST: Load = { perS: now => now >= 5_000 && now < 15_000 ? 10 : 1.5, lengthMs: 40_000 };
 
-test("of callers who are refused in a burst and come back when they are told, most are served", t => {
-    const { asked, served, refused, servedAgain } = replay(BURST);
-    t.log(`${asked} asked, ${served} served; ${refused} refused, ${servedAgain} of them served when they came back`);
+test("most callers refused in a burst are served when they retry at the time they were given", t => {
+    const { arrived, served, refused, servedOnRetry } = replay(BURST);
+    t.log(
+        `${arrived} arrived, ${served} served; ${refused} refused, ${servedOnRetry} of them served when they retried`,
+    );
     t.true(refused > 20, "the load is above what the engines serve");
-    t.true(servedAgain > 0.7 * refused, `${servedAgain} of ${refused}`);
+    t.true(servedOnRetry > 0.7 * refused, `${servedOnRetry} of ${refused}`);
 });
 
-test("nobody is refused while there is room", t => {
+test("no request is refused while there is capacity", t => {
     const { refused } = replay({ perS: () => 3, lengthMs: 30_000 });
     t.is(refused, 0);
 });
--- a/packages/policy/test/plain-halls.ts
+++ b/packages/policy/test/plain-halls.ts
@@ -1,34 +1,34 @@
 /**
- * Plain calls of three halls with one endpoint each, which serves a few calls at a time and lets others wait: how long calls
- * take and how many of them leave their hall, by what each host knows of its own calls alone.
+ * Simulates plain calls of three halls with one endpoint each, which serves a few calls at a time and queues the
+ * others. Measures how long calls take and how many are served in another hall, if each host knows only its own calls.
  *
  * @module
  */
 import { createScheduler, decide, DEFAULT_VARIANT, type SchedulerState } from "../src/index.js";
 import { makeJob } from "./job.js";
 
-/** How the halls fare. */
+/** Load of the halls. */
 export interface PlainLoad {
     readonly hostsPerHall: number;
-    /** Calls a second that come to the hosts of each hall. */
+    /** Calls per second that arrive at the hosts of each hall. */
     readonly perS: readonly number[];
     readonly seed: number;
 }
 
-/** What became of the calls. */
-export interface PlainDay {
-    /** How long they took, in milliseconds, the shortest first. */
-    readonly tookMs: readonly number[];
-    /** Share of them that were served in another hall. */
-    readonly awayShare: number;
+/** Outcome of a simulation. */
+export interface PlainOutcome {
+    /** Durations of the calls in milliseconds, shortest first. */
+    readonly durationsMs: readonly number[];
+    /** Share of the calls that were served in another hall. */
+    readonly remoteShare: number;
 }
 
 const SLOTS = 6;
 const RUN_MS = 30_000;
-/** One way to an endpoint, in milliseconds. */
-const NEAR_MS = 0.1;
-const FAR_MS = 1.4;
-/** Work of a call: log-normal, with a mean of 43 ms. */
+/** One-way latency to an endpoint in the own or another hall, in milliseconds. */
+const OWN_HALL_MS = 0.1;
+const REMOTE_HALL_MS = 1.4;
+/** Service time of a call: log-normal, with a mean of 43 ms. */
 const WORK_LOG_MEAN = 3.65;
 const WORK_LOG_DEVIATION = 0.47;
 
@@ -42,25 +42,25 @@
     readonly waiting: (() => void)[];
 }
 
-interface Due {
+interface ScheduledEvent {
     readonly at: number;
     readonly run: () => void;
 }
 
-/** Plays the calls of half a minute. */
-export function playPlain(load: PlainLoad): PlainDay {
-    return new Halls(load).play();
+/** Simulates half a minute of calls. */
+export function simulatePlainCalls(load: PlainLoad): PlainOutcome {
+    return new Simulation(load).run();
 }
 
-class Halls {
+class Simulation {
     private readonly random: () => number;
     private readonly hosts: readonly Host[];
     private readonly endpoints: readonly Endpoint[];
-    private readonly due: Due[] = [];
-    private readonly tookMs: number[] = [];
+    private readonly due: ScheduledEvent[] = [];
+    private readonly durationsMs: number[] = [];
     private now = 0;
     private calls = 0;
-    private away = 0;
+    private remoteCalls = 0;
 
     constructor(private readonly load: PlainLoad) {
         this.random = seeded(load.seed);
@@ -76,23 +76,25 @@
         );
     }
 
-    play(): PlainDay {
+    run(): PlainOutcome {
         for (const [hall, perS] of this.load.perS.entries()) {
-            for (let at = this.pause(perS); at < RUN_MS; at += this.pause(perS)) this.at(at, () => this.call(hall));
+            for (let at = this.gapMs(perS); at < RUN_MS; at += this.gapMs(perS)) {
+                this.schedule(at, () => this.startCall(hall));
+            }
         }
         for (let next = this.due.pop(); next; next = this.due.pop()) {
             this.now = next.at;
             next.run();
         }
-        return { tookMs: this.tookMs.sort((a, b) => a - b), awayShare: this.away / this.calls };
+        return { durationsMs: this.durationsMs.sort((a, b) => a - b), remoteShare: this.remoteCalls / this.calls };
     }
 
-    private pause(perS: number): number {
+    private gapMs(perS: number): number {
         return -Math.log(1 - this.random()) * 1_000 / perS;
     }
 
-    /** Does something at a time; what is due last stands first. */
-    private at(time: number, run: () => void): void {
+    /** Schedules an event; the queue is sorted by time, latest first. */
+    private schedule(time: number, run: () => void): void {
         let [low, high] = [0, this.due.length];
         while (low < high) {
             const middle = (low + high) >> 1;
@@ -102,7 +104,7 @@
         this.due.splice(low, 0, { at: time, run });
     }
 
-    private call(hall: number): void {
+    private startCall(hall: number): void {
         const { hostsPerHall } = this.load;
         const host = this.hosts[hall * hostsPerHall + Math.floor(this.random() * hostsPerHall)]!;
         const id = `r${this.calls += 1}`;
@@ -114,16 +116,16 @@
         host.state = state;
         const [dispatched] = actions.flatMap(action => action.kind === "dispatch" ? [Number(action.endpoint)] : []);
         const began = this.now;
-        const wayMs = dispatched === hall ? NEAR_MS : FAR_MS;
-        if (dispatched !== hall) this.away += 1;
-        const served = (): void => this.at(this.now + wayMs, () => this.answered(host, id, began));
-        this.at(this.now + wayMs, () => this.reach(this.endpoints[dispatched!]!, served));
+        const wayMs = dispatched === hall ? OWN_HALL_MS : REMOTE_HALL_MS;
+        if (dispatched !== hall) this.remoteCalls += 1;
+        const served = (): void => this.schedule(this.now + wayMs, () => this.onAnswer(host, id, began));
+        this.schedule(this.now + wayMs, () => this.serve(this.endpoints[dispatched!]!, served));
     }
 
-    private reach(endpoint: Endpoint, served: () => void): void {
+    private serve(endpoint: Endpoint, served: () => void): void {
         const begin = (): void => {
             endpoint.busy += 1;
-            this.at(this.now + this.work(), () => {
+            this.schedule(this.now + this.serviceMs(), () => {
                 endpoint.busy -= 1;
                 served();
                 endpoint.waiting.shift()?.();
@@ -133,19 +135,19 @@
         else endpoint.waiting.push(begin);
     }
 
-    private work(): number {
+    private serviceMs(): number {
         const radius = Math.sqrt(-2 * Math.log(1 - this.random()));
         const normal = radius * Math.cos(2 * Math.PI * this.random());
         return Math.exp(WORK_LOG_MEAN + WORK_LOG_DEVIATION * normal);
     }
 
-    private answered(host: Host, job: string, began: number): void {
-        this.tookMs.push(this.now - began);
+    private onAnswer(host: Host, job: string, began: number): void {
+        this.durationsMs.push(this.now - began);
         host.state = decide(host.state, { kind: "ended", job, outcome: "whole", produced: 1 }, this.now).state;
     }
 }
 
-/** A seeded source of numbers in [0, 1) (mulberry32). */
+/** Seeded random numbers in [0, 1) (mulberry32). */
 function seeded(seed: number): () => number {
     let at = seed;
     return () => {
--- a/packages/policy/test/policy.test.ts
+++ b/packages/policy/test/policy.test.ts
@@ -67,7 +67,7 @@
     return Array.from({ length: count }, (_, at) => ({ id: `e${at}`, hall: "h", models: ["m"], memoryTokens }));
 }
 
-/** Drives decisions through events at given times. */
+/** Feeds events to a scheduler and collects its actions. */
 class Driver {
     state: SchedulerState;
     actions: SchedulerAction[] = [];
@@ -96,7 +96,7 @@
     return lengths.reduce((sum, length) => observe(sum, group, 0, length, true), estimates);
 }
 
-test("with evidence, the stated quantiles hold for lengths that were not seen", t => {
+test("with evidence, the estimated quantiles hold for new lengths", t => {
     const random = xoroshiro128plus(5);
     const draw = (): number =>
         Math.round(200 * Math.exp((unsafeUniformIntDistribution(0, 2_000, random) - 1_000) / 700));
@@ -108,7 +108,7 @@
     }
 });
 
-test("an output that still runs is evidence of length", t => {
+test("a running output is evidence of length", t => {
     const short = feed(Array<number>(50).fill(30));
     const running = Array.from({ length: 50 }).reduce<LengthEstimates>(
         sum => observe(sum, GROUP, 0, 2_000, false),
@@ -120,14 +120,14 @@
     );
 });
 
-test("a new workspace leans on its model's other workspaces", t => {
+test("a new workspace is estimated from its model's other workspaces", t => {
     const estimates = feed(Array<number>(100).fill(1_500));
     const fresh = survivalOf(estimates, { ...GROUP, workspace: "new" }, 9_000);
     t.true(chanceToReach(fresh, 0, 1_000) > 0.8);
     t.true(chanceToReach(survivalOf(createEstimates(), GROUP, 9_000), 0, 1_000) < 0.6);
 });
 
-test("survival never rises and ends at the caller's bound", t => {
+test("survival never rises and ends at the caller's limit", t => {
     fc.assert(
         fc.property(
             fc.array(fc.integer({ min: 1, max: 40_000 }), { maxLength: 50 }),
@@ -145,7 +145,7 @@
     );
 });
 
-test("the pace is learnt, and the batch bounded by it", t => {
+test("the pace is learnt and bounds the batch", t => {
     let fit = createPace();
     for (let round = 0; round < 2_000; round++) {
         const batch = 1 + round % 100;
@@ -155,7 +155,7 @@
     t.true(batch > 65 && batch < 85, `${batch}: 10 + 0.4 n + 4 <= 44 allows 75`);
 });
 
-test("work waits while an engine's memory is planned away, and goes when it is free", t => {
+test("requests wait while an engine's memory is planned, and start when it is released", t => {
     const driver = new Driver(endpointsOf(1, 3_000));
     t.is(driver.arrive(jobOf("a", { promptTokens: 2_000 }), 0)?.kind, "dispatch");
     t.is(driver.arrive(jobOf("b", { promptTokens: 2_000 }), 1), undefined);
@@ -163,7 +163,7 @@
     t.like(next, { kind: "dispatch", job: "b" });
 });
 
-test("a wait that cannot succeed is refused at once, with the time to come back", t => {
+test("a request is refused if the queue is full or its wait too long, with a time to retry", t => {
     const driver = new Driver(endpointsOf(1, 3_000));
     driver.arrive(jobOf("a", { promptTokens: 2_900 }), 0);
     for (let at = 0; at < POLICY.queueLimit; at++) {
@@ -178,7 +178,7 @@
     t.true(refused.every(action => action.kind !== "refuse" || action.retryAfterMs >= 250));
 });
 
-test("live work goes before batch work, and age ends starvation", t => {
+test("live requests go before batch requests, and age ends starvation", t => {
     const wait = (
         priority: JobPolicy["priority"],
         since: number,
@@ -195,7 +195,7 @@
     t.like(driver.tell({ kind: "ended", job: "live2", outcome: "whole", produced: 1 }, 25_001)[0], { job: "batch1" });
 });
 
-test("an endpoint that any source calls leaving gets nothing, until that source takes it back", t => {
+test("an endpoint that any source reports as leaving gets nothing until that source takes it back", t => {
     const driver = new Driver(endpointsOf(2));
     const say = (source: "settings" | "hostList" | "endpoint", leaving: boolean) =>
         driver.tell({ kind: "leaving", endpoint: "e0", source, leaving }, 0);
@@ -207,7 +207,7 @@
     t.like(driver.arrive(jobOf("back"), 10), { endpoint: "e0" });
 });
 
-test("requests that wait for a model that no endpoint takes any more are refused at once", t => {
+test("requests waiting for a model that no endpoint serves any more are refused at once", t => {
     const driver = new Driver(endpointsOf(1, 3_000));
     driver.arrive(jobOf("a", { promptTokens: 2_900 }), 0);
     driver.arrive(jobOf("b", { promptTokens: 2_900 }), 1);
@@ -218,7 +218,7 @@
     });
 });
 
-test("ejection opens after failures in a row, probes once, and cannot eject a whole model", t => {
+test("the breaker opens after consecutive failures, probes once, and cannot eject a whole model", t => {
     let breaker = CLOSED;
     for (let at = 0; at < 3; at++) breaker = onResult(breaker, false, 0);
     t.false(allowsRequest(breaker, 500));
@@ -252,7 +252,7 @@
     t.true(retries >= 0.09 * requests);
 });
 
-test("a crowded endpoint's owner is asked; its word, or its silence, decides", t => {
+test("a crowded endpoint's owner is asked; its answer decides, or the host itself if none comes", t => {
     const crowded = (): Driver => {
         const driver = new Driver(endpointsOf(1, 3_000));
         driver.tell({ kind: "hosts", count: 2 }, 0);
@@ -296,7 +296,7 @@
     t.deepEqual(gone.tell(answer("e0"), 3), []);
 });
 
-test("an owner may send a request to another endpoint than the one that was asked for", t => {
+test("an owner may name another endpoint than the one that it was asked about", t => {
     const driver = new Driver(endpointsOf(2, 3_000));
     driver.tell({ kind: "hosts", count: 2 }, 0);
     const others = {
@@ -315,7 +315,7 @@
     t.is(driver.state.endpoints.get(other === "e0" ? "e1" : "e0")?.streams.size, 0);
 });
 
-test("a host that hears nothing from an owner plans with its equal share", t => {
+test("a host that hears nothing from an owner plans with an equal share", t => {
     const driver = new Driver(endpointsOf(1));
     const view = () => driver.state.endpoints.get("e0")!;
     t.is(plannedShare(view(), 4, 0), 0.25);
@@ -325,7 +325,7 @@
     t.is(plannedShare(view(), 1, 20_000), 1);
 });
 
-test("limits take all or nothing, give back only what did not run, and say when to return", t => {
+test("limits reserve all or nothing, refund only what did not run, and name a retry time", t => {
     const limits = { requestsPerMinute: 2, tokensPerMinute: 1_000, openStreams: 5 };
     let state = createLimits();
     const take = (id: string, tokens: number, now: number) => {
--- a/packages/policy/test/rest.test.ts
+++ b/packages/policy/test/rest.test.ts
@@ -11,7 +11,7 @@
 } from "../src/index.js";
 import { makeJob } from "./job.js";
 
-/** Long after a host's start. */
+/** Long after the host started. */
 const LATER = 60_000;
 const REST_MS = 3_000;
 
@@ -29,7 +29,7 @@
     );
 }
 
-/** A host that knows these endpoints. */
+/** Creates a host that knows these endpoints. */
 function hostOf(endpoints: readonly string[], hosts = 1, variant: Partial<Variant> = {}): SchedulerState {
     const started = createScheduler({ ...DEFAULT_VARIANT, backups: true, prefix: false, ...variant });
     const told: SchedulerEvent = { kind: "hosts", count: hosts, place: 0 };
@@ -49,18 +49,18 @@
     return actions.flatMap(action => action.kind === "dispatch" ? [action.endpoint] : []);
 }
 
-test("an endpoint that wants rest is sent nothing until its time is over", t => {
+test("an endpoint that asked for rest is sent nothing until the rest is over", t => {
     const { state } = drive(hostOf(["e1", "e2"]), [rest("e1")], LATER);
     t.false(sent(drive(state, JOBS, LATER + REST_MS - 1)).includes("e1"));
     t.true(sent(drive(state, JOBS, LATER + REST_MS)).includes("e1"));
 });
 
-test("of several times the last one counts", t => {
+test("of several requests for rest the latest end counts", t => {
     const { state } = drive(hostOf(["e1", "e2"]), [rest("e1"), rest("e1", LATER + 1_000)], LATER);
     t.false(sent(drive(state, JOBS, LATER + 2_000)).includes("e1"));
 });
 
-test("what waits goes when the rest is over, and what would wait too long is refused at once", t => {
+test("a waiting request is sent when the rest is over; one that would wait too long is refused at once", t => {
     const { state } = drive(hostOf(["e1"]), [rest("e1")], LATER);
     const [refused] = drive(state, [arrive("early")], LATER).actions;
     t.like(refused, { kind: "refuse", reason: "limited", retryAfterMs: 250 });
@@ -69,7 +69,7 @@
     t.deepEqual(sent(drive(waits.state, [{ kind: "tick" }], LATER + REST_MS)), ["e1"]);
 });
 
-test("a stream does not go on at a standby that wants rest", t => {
+test("a stream does not continue at a standby that asked for rest", t => {
     const running = drive(hostOf(["e1", "e2"]), [arrive("j")], LATER);
     const [dispatched] = running.actions;
     t.is(dispatched?.kind, "dispatch");
@@ -79,7 +79,7 @@
     t.deepEqual(sent(drive(state, [{ kind: "continue", job: "j", failed: true }], LATER + REST_MS)), [standby]);
 });
 
-test("an owner that an endpoint wants rest from still names it to others, who ask it for another where it wants rest from them", t => {
+test("an owner still names an endpoint that asked it for rest; other hosts exclude it if it asked them", t => {
     const variant = { askAlways: true };
     const asked = drive(hostOf(["e1"], 66, variant), [arrive("j")], LATER);
     const [ask] = asked.actions;
@@ -95,13 +95,13 @@
     t.true(other?.kind === "ask" && other.question.exclude.includes("e1"));
 });
 
-test("nor does a host that decides alone, as its owner is silent, send anything there", t => {
+test("a host whose owner does not answer sends nothing to an endpoint that asked it for rest", t => {
     const asked = drive(hostOf(["e1"], 66, { askAlways: true }), [arrive("j")], LATER);
     const { state } = drive(asked.state, [rest("e1")], LATER + 5);
     t.deepEqual(sent(drive(state, [{ kind: "tick" }], LATER + 200)), []);
 });
 
-test("a registration that goes and comes back in the same life does not end the rest", t => {
+test("a registration that lapses and returns in the same life does not end the rest", t => {
     const endpoints: SchedulerEvent = { kind: "endpoints", endpoints: ["e1", "e2"].map(endpointOf) };
     const gone: SchedulerEvent = { kind: "endpoints", endpoints: [endpointOf("e2")] };
     const { state } = drive(hostOf(["e1", "e2"]), [rest("e1"), gone, endpoints], LATER);
--- a/packages/policy/test/speed.test.ts
+++ b/packages/policy/test/speed.test.ts
@@ -25,14 +25,14 @@
     UNKNOWN_SPEED,
 } from "../src/index.js";
 
-/** Times of the mean endpoint. */
+/** Gap and prefill time of the mean endpoint. */
 const GAP_MS = 40;
 const MS_PER_TOKEN = 0.15;
 const BATCH = 6;
-/** Scatter of samples, as a natural logarithm. */
+/** Standard deviation of samples on the logarithmic scale. */
 const SCATTER = 0.25;
 
-/** Normal deviates of a seed (Box and Muller 1958). */
+/** Seeded normal deviates (Box and Muller 1958). */
 function normal(seed: number): () => number {
     let state = seed >>> 0;
     const uniform = (): number => {
@@ -55,8 +55,8 @@
     return { value, weight: 16, deviation: 0 };
 }
 
-/** Endpoints that are watched by one owner. */
-class Watched {
+/** Endpoints whose speeds one owner estimates. */
+class WatchedEndpoints {
     pool: SpeedPool = EMPTY_POOL;
     readonly speeds: SpeedEvidence[];
 
@@ -64,7 +64,7 @@
         this.speeds = slowness.map(() => UNKNOWN_SPEED);
     }
 
-    see(at: number, sample: SpeedSample, now: number, host = "a"): void {
+    record(at: number, sample: SpeedSample, now: number, host = "a"): void {
         const speed = this.speeds[at]!;
         const residual = residualOf(this.pool, speed, BATCH, sample, now);
         this.pool = observePool(this.pool, speed, BATCH, sample, now);
@@ -72,12 +72,12 @@
         this.speeds[at] = observeSpeed(speed, residual, host, now);
     }
 
-    /** Two samples a second of each endpoint, unless they are to come more rarely. */
-    watch(forMs: number, random: () => number, from = 0, everyMs = 500): void {
+    /** Takes two samples per second of each endpoint, or one every `everyMs`. */
+    sampleFor(forMs: number, random: () => number, from = 0, everyMs = 500): void {
         for (let now = from; now < from + forMs; now += everyMs) {
             for (const [at, slowness] of this.slowness.entries()) {
                 const make = now % (2 * everyMs) === 0 ? first : stretch;
-                this.see(at, make(slowness, random()), now + at);
+                this.record(at, make(slowness, random()), now + at);
             }
         }
         this.pool = comparePool(this.pool, this.estimates(from + forMs));
@@ -87,8 +87,8 @@
         return this.speeds.map(speed => estimateOf(speed, now));
     }
 
-    /** Slowness as it is known, as a factor. */
-    known(at: number, now: number): number {
+    /** Estimated slowness as a factor. */
+    estimatedFactor(at: number, now: number): number {
         return Math.exp(slownessOf(this.pool, this.speeds[at]!, now).log);
     }
 }
@@ -96,45 +96,45 @@
 const THREE_SPEEDS = Array.from({ length: 31 }, (_, at) => [1 / 0.6, 1, 1 / 1.6][at % 3]!);
 
 test("endpoints of three speeds are told apart after three seconds of two samples each", t => {
-    const watched = new Watched(THREE_SPEEDS);
-    watched.watch(3_000, normal(1));
-    const known = THREE_SPEEDS.map((_, at) => watched.known(at, 3_000));
+    const watched = new WatchedEndpoints(THREE_SPEEDS);
+    watched.sampleFor(3_000, normal(1));
+    const known = THREE_SPEEDS.map((_, at) => watched.estimatedFactor(at, 3_000));
     const ofKind = (kind: number): readonly number[] => known.filter((_, at) => at % 3 === kind);
     t.true(Math.min(...ofKind(0)) > Math.max(...ofKind(2)), "no slow one passes for a fast one");
-    // Halfway to the next speed an endpoint would be taken for one of another kind.
+    // Halfway to the next speed an endpoint would count as one of that speed.
     const mean = (kind: number): number => ofKind(kind).reduce((sum, value) => sum + value, 0) / ofKind(kind).length;
     t.true(mean(0) / mean(1) > Math.sqrt(1 / 0.6));
     t.true(mean(1) / mean(2) > Math.sqrt(1.6));
 });
 
-test("endpoints that are alike count as alike, however samples scatter", t => {
+test("equal endpoints count as equal, however samples scatter", t => {
     let uneven = 0;
     for (let seed = 1; seed <= 200; seed++) {
-        const watched = new Watched(Array.from({ length: 31 }, () => 1));
-        watched.watch(6_000, normal(seed), 0, 1_000);
+        const watched = new WatchedEndpoints(Array.from({ length: 31 }, () => 1));
+        watched.sampleFor(6_000, normal(seed), 0, 1_000);
         if (watched.pool.variance > 0) uneven += 1;
         else t.true(watched.speeds.every(speed => slownessOf(watched.pool, speed, 6_000).log === 0));
     }
     t.true(uneven <= 2, `${uneven} of 200`);
 });
 
-test("a new endpoint counts as the mean of its kind, and is known within its first second", t => {
-    const watched = new Watched([...THREE_SPEEDS, 1 / 0.6]);
+test("a new endpoint counts as the mean of its pool, and its speed is known within its first second", t => {
+    const watched = new WatchedEndpoints([...THREE_SPEEDS, 1 / 0.6]);
     const random = normal(2);
     for (let now = 0; now < 5_000; now += 500) {
-        for (const at of THREE_SPEEDS.keys()) watched.see(at, stretch(THREE_SPEEDS[at]!, random()), now + at);
+        for (const at of THREE_SPEEDS.keys()) watched.record(at, stretch(THREE_SPEEDS[at]!, random()), now + at);
     }
     watched.pool = comparePool(watched.pool, watched.estimates(5_000));
     const fresh = slownessOf(watched.pool, watched.speeds[31]!, 5_000);
     t.is(fresh.log, 0);
-    watched.see(31, first(1 / 0.6, random()), 5_400);
-    watched.see(31, stretch(1 / 0.6, random()), 5_900);
+    watched.record(31, first(1 / 0.6, random()), 5_400);
+    watched.record(31, stretch(1 / 0.6, random()), 5_900);
     const known = slownessOf(watched.pool, watched.speeds[31]!, 6_000);
     t.true(known.deviation > 0 && known.deviation < fresh.deviation);
     t.true(known.log > Math.log(1 / 0.6) / 2, String(known.log));
 });
 
-test("samples of one moment count as one", t => {
+test("samples within one window count as one", t => {
     const residual = { value: 0.5, weight: 16, deviation: 0.5 };
     const one = observeSpeed(UNKNOWN_SPEED, residual, "a", 0);
     let many = one;
@@ -145,51 +145,51 @@
     t.true(estimateOf(later, 1_000).weight > 24);
 });
 
-test("what was seen long ago weighs little against what is seen now", t => {
+test("old samples weigh little against new ones", t => {
     let speed = UNKNOWN_SPEED;
     for (let now = 0; now < 10_000; now += 1_000) speed = observeSpeed(speed, seen(1), "a", now);
     for (let now = 600_000; now < 603_000; now += 1_000) speed = observeSpeed(speed, seen(-1), "a", now);
     t.true(estimateOf(speed, 603_000).mean < -0.7);
 });
 
-test("a spell of slowness is no lasting one", t => {
-    const watched = new Watched(THREE_SPEEDS);
-    watched.watch(10_000, normal(3));
-    const before = watched.known(1, 10_000);
-    // As long as spells last, of which an endpoint has one in some seconds.
-    for (let now = 10_000; now < 10_600; now += 100) watched.see(1, stretch(2.5), now);
-    t.true(watched.known(1, 10_600) / before < 1.25, "halfway to the next speed");
+test("a short spell of slowness does not count as lasting", t => {
+    const watched = new WatchedEndpoints(THREE_SPEEDS);
+    watched.sampleFor(10_000, normal(3));
+    const before = watched.estimatedFactor(1, 10_000);
+    // Spells last about this long, and an endpoint has one every few seconds.
+    for (let now = 10_000; now < 10_600; now += 100) watched.record(1, stretch(2.5), now);
+    t.true(watched.estimatedFactor(1, 10_600) / before < 1.25, "halfway to the next speed");
 });
 
-test("an endpoint that has become slower for good is found to be so", t => {
+test("an endpoint that has become permanently slower is recognized", t => {
     const slowness = [...THREE_SPEEDS];
-    const watched = new Watched(slowness);
+    const watched = new WatchedEndpoints(slowness);
     const random = normal(5);
-    watched.watch(30_000, random);
+    watched.sampleFor(30_000, random);
     slowness[2] = 1 / 0.6;
-    watched.watch(60_000, random, 30_000);
-    t.true(watched.known(2, 90_000) > watched.known(1, 90_000));
+    watched.sampleFor(60_000, random, 30_000);
+    t.true(watched.estimatedFactor(2, 90_000) > watched.estimatedFactor(1, 90_000));
 });
 
-test("one host's wild samples do not move an endpoint to another speed", t => {
+test("outliers from one host do not move an endpoint to another speed", t => {
     for (const factor of [1e6, 1e-6, Infinity, -1, NaN]) {
-        const watched = new Watched(THREE_SPEEDS);
+        const watched = new WatchedEndpoints(THREE_SPEEDS);
         const random = normal(4);
         for (let now = 0; now < 10_000; now += 250) {
             for (const [at, slowness] of THREE_SPEEDS.entries()) {
-                watched.see(at, stretch(slowness, random()), now + at, `host ${now % 1_000}`);
+                watched.record(at, stretch(slowness, random()), now + at, `host ${now % 1_000}`);
             }
-            if (now > 2_000) watched.see(1, stretch(factor), now + 100, "liar");
+            if (now > 2_000) watched.record(1, stretch(factor), now + 100, "liar");
         }
         watched.pool = comparePool(watched.pool, watched.estimates(10_000));
-        const known = Math.log(watched.known(1, 10_000));
-        // A step between two speeds is half a logarithm.
+        const known = Math.log(watched.estimatedFactor(1, 10_000));
+        // Two neighbouring speeds differ by half a natural logarithm.
         t.true(Math.abs(known) < 0.25, `${factor}: ${known}`);
-        t.true(watched.known(0, 10_000) > watched.known(2, 10_000) * 1.6);
+        t.true(watched.estimatedFactor(0, 10_000) > watched.estimatedFactor(2, 10_000) * 1.6);
     }
 });
 
-test("what is told of an endpoint's speed comes across, and is bounded", t => {
+test("an owner's speed estimate survives the transfer and is bounded", t => {
     let speed = UNKNOWN_SPEED;
     t.is(toldSpeedOf(speed, 0), undefined);
     for (let now = 0; now < 5_000; now += 1_000) speed = observeSpeed(speed, seen(0.5), "a", now);
@@ -200,7 +200,7 @@
     t.true(wild.mean < 4 && wild.weight <= 10_000);
 });
 
-test("only what is new is told, as one sample of each kind", t => {
+test("only new samples are sent, as one of each kind", t => {
     const told = addSpeedSample(addSpeedSample(NOTHING_SHOWN, first(1)), stretch(1));
     t.is(shownSince(told, told), undefined);
     const next = addSpeedSample(addSpeedSample(told, stretch(2)), stretch(4));
@@ -212,11 +212,11 @@
     t.deepEqual(sample, { kind: "stretch", pieces: 16, meanGapMs: 3 * GAP_MS, longestMs: 6 * GAP_MS });
     const [claimed] = samplesFromSums({ ...since, pieces: 1e9 });
     t.true(claimed?.kind === "stretch" && claimed.pieces <= 64);
-    // An endpoint that was declared anew begins to count anew.
+    // The sums of an endpoint that was declared anew start again from zero.
     t.is(shownSince(addSpeedSample(NOTHING_SHOWN, first(1)), next)?.firsts, 1);
 });
 
-test("the chance of a pause is what was seen, and never less for longer streams or closer targets", t => {
+test("the chance of a pause matches the samples, and never falls for longer streams or tighter targets", t => {
     let table = NO_PAUSES;
     t.is(pauseChance(table, 1, 1_000), 0);
     for (let at = 0; at < 400; at++) table = observePauses(table, 16, at % 8 === 0 ? 4.1 : 2.1);
--- a/packages/policy/test/uneven-choice.test.ts
+++ b/packages/policy/test/uneven-choice.test.ts
@@ -1,6 +1,4 @@
-/**
- * Choices between endpoints that one host knows to differ, on streams that it ran there.
- */
+/** Choices between endpoints of different speeds, which the host has learnt from its own streams. */
 import test from "ava";
 import {
     assess,
@@ -20,10 +18,13 @@
 const NAMES = ["slow-1", "fast-1", "slow-2", "fast-2", "slow-3", "fast-3"];
 const TARGET_MS = 180;
 const PIECE_TOKENS = 4;
-/** A prompt is read in as many gaps. */
+/** Prefilling a prompt takes as long as this many gaps. */
 const READ_GAPS = 10;
 
-/** A host alone. A slow endpoint takes twice the time of a fast one, and pauses for three and a half gaps now and then. */
+/**
+ * A single host. A slow endpoint takes `slowGapMs` for a gap and a fast one 35 ms; every third stretch has a pause of
+ * 3.5 gaps.
+ */
 class Host {
     state: SchedulerState;
     now = 0;
@@ -44,36 +45,36 @@
         return endpoint.startsWith("slow") ? this.slowGapMs : 35;
     }
 
-    /** Where a request is sent, or what else becomes of it. */
+    /** Sends a request; returns its endpoint, or what became of it otherwise. */
     send(job: Job): string {
         const [action] = this.tell({ kind: "arrive", job, avoid: [], retry: false });
         return action?.kind === "dispatch" ? action.endpoint : action?.kind ?? "waits";
     }
 
-    /** A sent request's prompt is read: its first piece comes. */
+    /** Prefills a sent request's prompt: its first piece arrives. */
     begin(job: Job, endpoint: string): void {
         this.now += READ_GAPS * this.gapOf(endpoint);
         this.tell({ kind: "progress", job: job.id, produced: PIECE_TOKENS, meanGapMs: 0, maxGapMs: 0 });
     }
 
-    /** A begun stream goes on for a stretch of pieces; pauses come in every third one. */
-    goOn(job: Job, endpoint: string, stretch: number): void {
+    /** Advances a stream by one stretch of pieces; every third stretch has a pause. */
+    advance(job: Job, endpoint: string, stretch: number): void {
         const meanGapMs = this.gapOf(endpoint);
         const maxGapMs = meanGapMs * (stretch % 3 === 0 ? 3.5 : 1.5);
         const produced = PIECE_TOKENS * (1 + 16 * stretch);
         this.tell({ kind: "progress", job: job.id, produced, meanGapMs, maxGapMs });
     }
 
-    /** Streams that run one after the other, and show what each endpoint is. */
+    /** Runs streams one after the other, from which the host learns each endpoint's speed. */
     learn(rounds: number): void {
         for (let round = 0; round < rounds; round++) {
             for (const at of NAMES.keys()) {
-                const job = long(`learn ${round}/${at}`);
+                const job = longStream(`learn ${round}/${at}`);
                 const endpoint = this.send(job);
                 this.begin(job, endpoint);
                 for (const stretch of [1, 2, 3]) {
                     this.now += 200;
-                    this.goOn(job, endpoint, stretch);
+                    this.advance(job, endpoint, stretch);
                 }
                 this.tell({ kind: "ended", job: job.id, outcome: "whole", produced: 800 });
             }
@@ -86,25 +87,25 @@
         return new Map(views.map(view => [view.cfg.id, assess(view, wanted, this.state, this.now)?.lateness]));
     }
 
-    /** An endpoint's memory, as far as others hold it. */
-    hold(endpoint: string, tokens: number): void {
+    /** Sets the memory of an endpoint that other hosts hold. */
+    holdMemory(endpoint: string, tokens: number): void {
         const curve = { mean: new Float64Array(9).fill(tokens), variance: new Float64Array(9) };
         this.tell({ kind: "others", endpoint, others: { streams: 4, unread: 0, stalled: 0, curve } });
     }
 }
 
-/** A stream of some hundred pieces. */
-function long(id: string, policy: Partial<Job["policy"]> = {}): Job {
+/** A request for a stream of some hundred pieces. */
+function longStream(id: string, policy: Partial<Job["policy"]> = {}): Job {
     const group = { workspace: "w", service: "reviews", model: "m" };
     const job = { group, promptTokens: 3_000, maxTokens: 1_000, tokensPerPiece: PIECE_TOKENS };
     return makeJob(id, job, { gapTargetMs: TARGET_MS, objectiveMs: 1_800, maxWaitMs: 1_800, ...policy });
 }
 
-test("long streams go to fast endpoints while these have room", t => {
+test("long streams go to fast endpoints while those have capacity", t => {
     const host = new Host(70);
     host.learn(6);
     const sent = Array.from({ length: 9 }, (_, at) => {
-        const job = long(`r${at}`);
+        const job = longStream(`r${at}`);
         const endpoint = host.send(job);
         host.begin(job, endpoint);
         return endpoint;
@@ -112,28 +113,28 @@
     t.true(sent.every(endpoint => endpoint.startsWith("fast")), sent.join(" "));
 });
 
-test("what can be in time nowhere goes where it is least late, and is not refused", t => {
+test("a request that would be late everywhere goes where it is least late and is not refused", t => {
     const host = new Host(400);
     host.learn(6);
-    for (const name of NAMES.filter(name => name.startsWith("fast"))) host.hold(name, 30_000);
-    const lateness = host.lateness(long("r"));
+    for (const name of NAMES.filter(name => name.startsWith("fast"))) host.holdMemory(name, 30_000);
+    const lateness = host.lateness(longStream("r"));
     for (const [id, chance] of lateness) {
         if (id.startsWith("fast")) t.is(chance, undefined, "it has no room");
         else t.true(chance! > 0.5, String(chance));
     }
-    t.regex(host.send(long("r")), /^slow/);
+    t.regex(host.send(longStream("r")), /^slow/);
 });
 
-test("no endpoint stands idle while requests wait", t => {
+test("no endpoint is idle while requests wait", t => {
     const host = new Host(400);
     host.learn(6);
-    const sent = Array.from({ length: 60 }, (_, at) => host.send(long(`r${at}`, { queueLimit: 100 })));
+    const sent = Array.from({ length: 60 }, (_, at) => host.send(longStream(`r${at}`, { queueLimit: 100 })));
     t.true(sent.some(where => where === "waits"));
     const idle = host.state.endpoints.values().filter(({ streams }) => streams.size === 0);
     t.deepEqual(idle.map(({ cfg }) => cfg.id), []);
 });
 
-test("a stream is expected to be late the more the longer it is, and not where its target is wide", t => {
+test("the expected lateness grows with the length of a stream, and is low for a wide target", t => {
     const host = new Host(70);
     host.learn(6);
     const slow = (job: Job): number => host.lateness(job).get("slow-1")!;
@@ -141,30 +142,30 @@
         gapTargetMs: TARGET_MS,
         maxWaitMs: 1_800,
     });
-    t.true(slow(long("r")) > slow(short) + 0.1);
-    t.true(slow(long("r")) > slow(long("w", { gapTargetMs: 60_000 })) + 0.1);
+    t.true(slow(longStream("r")) > slow(short) + 0.1);
+    t.true(slow(longStream("r")) > slow(longStream("w", { gapTargetMs: 60_000 })) + 0.1);
 });
 
-test("the pause in which a stream goes on from its copy is not held against the endpoint that it goes on at", t => {
+test("the pause while a stream moves to its standby does not count against the standby's speed", t => {
     const host = new Host(70, { backups: true });
-    const job = { ...long("r"), backUp: true };
+    const job = { ...longStream("r"), backUp: true };
     const [sent] = host.tell({ kind: "arrive", job, avoid: [], retry: false });
     const { endpoint, backUp } = sent as Extract<SchedulerAction, { kind: "dispatch" }>;
     host.begin(job, endpoint);
-    host.goOn(job, endpoint, 1);
+    host.advance(job, endpoint, 1);
     host.tell({ kind: "continue", job: job.id, failed: true });
     const shown = (): number => host.state.endpoints.get(backUp!)!.shown.stretches;
-    host.goOn(job, backUp!, 2);
+    host.advance(job, backUp!, 2);
     t.is(shown(), 0);
-    host.goOn(job, backUp!, 3);
+    host.advance(job, backUp!, 3);
     t.is(shown(), 1);
 });
 
-test("where endpoints are alike every decision is what it is without their speeds", t => {
+test("with equal endpoints every decision is the same as without their speeds", t => {
     const [aware, unaware] = [new Host(35), new Host(35, { speeds: false })];
     for (const host of [aware, unaware]) host.learn(6);
     for (let at = 0; at < 40; at++) {
         for (const host of [aware, unaware]) host.now += 150;
-        t.is(aware.send(long(`r${at}`)), unaware.send(long(`r${at}`)));
+        t.is(aware.send(longStream(`r${at}`)), unaware.send(longStream(`r${at}`)));
     }
 });
