--- a/packages/policy/test/plain-halls.ts
+++ b/packages/policy/test/plain-halls.ts
@@ -78,9 +78,7 @@
 
     run(): PlainOutcome {
         for (const [hall, perS] of this.load.perS.entries()) {
-            for (let at = this.gapMs(perS); at < RUN_MS; at += this.gapMs(perS)) {
-                this.schedule(at, () => this.startCall(hall));
-            }
+            for (let at = this.gap(perS); at < RUN_MS; at += this.gap(perS)) this.schedule(at, () => this.call(hall));
         }
         for (let next = this.due.pop(); next; next = this.due.pop()) {
             this.now = next.at;
@@ -89,7 +87,8 @@
         return { durationsMs: this.durationsMs.sort((a, b) => a - b), remoteShare: this.remoteCalls / this.calls };
     }
 
-    private gapMs(perS: number): number {
+    /** Random time until the next call, in milliseconds. */
+    private gap(perS: number): number {
         return -Math.log(1 - this.random()) * 1_000 / perS;
     }
 
@@ -104,7 +103,7 @@
         this.due.splice(low, 0, { at: time, run });
     }
 
-    private startCall(hall: number): void {
+    private call(hall: number): void {
         const { hostsPerHall } = this.load;
         const host = this.hosts[hall * hostsPerHall + Math.floor(this.random() * hostsPerHall)]!;
         const id = `r${this.calls += 1}`;
