--- a/packages/policy/src/endpoint.ts
+++ b/packages/policy/src/endpoint.ts
@@ -339,10 +339,10 @@
             : ASSUMED_GROWTH;
         curve.mean[at] = held * Math.min(most, Math.max(least, growth));
         const ownSquare = own * own;
-        const relative = view.streams.size >= MIN_STREAMS_FOR_GROWTH && ownSquare > 0
+        const relativeVariance = view.streams.size >= MIN_STREAMS_FOR_GROWTH && ownSquare > 0
             ? view.curve.variance[at]! / ownSquare
             : 0.01;
-        curve.variance[at] = held * held * Math.min(1, relative);
+        curve.variance[at] = held * held * Math.min(1, relativeVariance);
     }
     return curve;
 }
@@ -367,8 +367,8 @@
  * ```
  */
 export function plannedShare(view: EndpointView, hosts: number, now: number): number {
-    const known = view.toldAt !== undefined && now - view.toldAt <= OTHERS_VALID_MS;
-    return hosts <= 1 || known ? 1 : 1 / hosts;
+    const isOthersLoadKnown = view.toldAt !== undefined && now - view.toldAt <= OTHERS_VALID_MS;
+    return hosts <= 1 || isOthersLoadKnown ? 1 : 1 / hosts;
 }
 
 /**
--- a/packages/policy/src/forecast.ts
+++ b/packages/policy/src/forecast.ts
@@ -30,7 +30,7 @@
  * Expected wait for capacity of the request at a position of the queue, in milliseconds: the recent time between starts
  * for each request before it, and longer for the first one if no start has come for longer. 0 if nothing is known.
  *
- * @param place Position in the queue, from 1.
+ * @param position Position in the queue, from 1.
  * @param waitingSince When the oldest waiting request arrived; undefined if none waits.
  *
  * @example
@@ -40,7 +40,7 @@
  */
 export function expectedWaitMs(
     rate: DrainRate | undefined,
-    place: number,
+    position: number,
     waitingSince: number | undefined,
     now: number,
 ): number {
@@ -48,7 +48,7 @@
     const since = Math.max(valid?.lastStart ?? -Infinity, waitingSince ?? now);
     const meanMs = valid?.meanMs ?? 0;
     // A pause delays all positions once, by its own length.
-    return Math.max(meanMs, now - since) + (place - 1) * meanMs;
+    return Math.max(meanMs, now - since) + (position - 1) * meanMs;
 }
 
 /** The retry times given to refused callers: each caller gets the next slot that is forecast to come free. */
--- a/packages/policy/src/speed-pool.ts
+++ b/packages/policy/src/speed-pool.ts
@@ -112,7 +112,7 @@
  *
  * @example
  * ```ts
- * Math.exp(slownessOf(pool, view.speed, now).logRatio); // 1.67 where it takes two thirds longer
+ * Math.exp(slownessOf(pool, view.speed, now).logRatio); // 1.67 if it takes two thirds longer
  * ```
  */
 export function slownessOf({ mean, variance }: SpeedPool, speed: SpeedEvidence, now: number): Slowness {
@@ -270,7 +270,7 @@
  *
  * @example
  * ```ts
- * comparePool(pool, views.map(view => speedEstimateOf(view.speed, now))).variance; // 0 where they may well be alike
+ * comparePool(pool, views.map(view => speedEstimateOf(view.speed, now))).variance; // 0 if they may well be equal
  * ```
  */
 export function comparePool(pool: SpeedPool, estimates: readonly SpeedEstimate[]): SpeedPool {
--- a/packages/policy/src/speed-tracking.ts
+++ b/packages/policy/src/speed-tracking.ts
@@ -123,7 +123,7 @@
  *
  * @example
  * ```ts
- * Math.exp(endpointSlowness(state, view, now).logRatio); // 0.6 where it takes six tenths of the time
+ * Math.exp(endpointSlowness(state, view, now).logRatio); // 0.6 if it takes six tenths of the time
  * ```
  */
 export function knownSpeed({ speeds }: Pick<SchedulerState, "speeds">, view: EndpointView, now: number): KnownSpeed {
