--- a/packages/standins/src/endpoint-mutations.ts
+++ b/packages/standins/src/endpoint-mutations.ts
@@ -6,7 +6,7 @@
 import type { Mutation } from "./mutation.js";
 
 const POLICY = "packages/policy/test/policy.test.ts";
-const CARRY = "packages/policy/test/carry.test.ts";
+const CARRY = "packages/policy/test/backups.test.ts";
 const LIVES = "platform/test/lives.test.ts";
 const ROUTES = "packages/routes/test/routes.test.ts";
 const ATTEMPT = "packages/host/src/calls/forward-attempt.ts";
@@ -18,8 +18,8 @@
 const REST = "platform/test/endpoint-rest.test.ts";
 const REST_POLICY = "packages/policy/test/rest.test.ts";
 const LEAVING = "platform/test/endpoint-leaving.test.ts";
-const LIMIT_SOURCE = "packages/policy/src/limit.ts";
-const LIMIT = "packages/policy/test/limit.test.ts";
+const LIMIT_SOURCE = "packages/policy/src/endpoint-limit.ts";
+const LIMIT = "packages/policy/test/endpoint-limit.test.ts";
 const LIMIT_FLEET = "packages/hall/test/limit.test.ts";
 const LIMITS = "platform/test/endpoint-limits.test.ts";
 const EVACUATION = "platform/test/evacuation.test.ts";
@@ -58,8 +58,8 @@
     {
         promise: "nor does a host that has just started let anything in there",
         file: COLD_SOURCE,
-        find: "const LEARNT_MS = 10_000;",
-        replace: "const LEARNT_MS = 0;",
+        find: "const FLEET_LEARN_MS = 10_000;",
+        replace: "const FLEET_LEARN_MS = 0;",
         tests: [COLD],
     },
     {
@@ -79,8 +79,8 @@
     {
         promise: "nor does it after its owner granted a request",
         file: "packages/policy/src/owner-answers.ts",
-        find: "!view || !takesNew(view) || unadvised",
-        replace: "!view || unadvised",
+        find: "!view || !takesNew(view) || isThrottledHere",
+        replace: "!view || isThrottledHere",
         tests: [POLICY],
     },
     {
@@ -114,15 +114,16 @@
     {
         promise: "limits: all hosts together keep to what an endpoint names",
         file: LIMIT_SOURCE,
-        find: "const each = Math.floor(most / hosts);",
-        replace: "const each = most;",
+        find: "const each = Math.floor(maxRequests / hosts);",
+        replace: "const each = maxRequests;",
         tests: [LIMIT, LIMIT_FLEET, LIMITS],
     },
     {
         promise: "limits: a part of the fleet does not hand out what goes to the whole",
         file: LIMIT_SOURCE,
-        find: "return hearsMost(fleet) && placeFor(endpoint, fleet) < most % hosts ? each + 1 : each;",
-        replace: "return placeFor(endpoint, fleet) < most % hosts ? each + 1 : each;",
+        find:
+            "return hearsMajority(fleet) && placeAtEndpoint(endpoint, fleet) < maxRequests % hosts ? each + 1 : each;",
+        replace: "return placeAtEndpoint(endpoint, fleet) < maxRequests % hosts ? each + 1 : each;",
         tests: [LIMIT],
     },
     {
@@ -142,7 +143,7 @@
     {
         promise: "limits: a stream goes on at its copy within them",
         file: "packages/policy/src/scheduler.ts",
-        find: "&& limitLetsIn(keeper, state.letIn.get(standby) ?? [], state.fleet, now);",
+        find: "&& limitAdmits(keeper, state.letIn.get(standby) ?? [], state.fleet, now);",
         replace: ";",
         tests: [LIMIT],
     },
@@ -156,8 +157,8 @@
     {
         promise: "limits: what they keep away is refused at once",
         file: "packages/policy/src/refusal.ts",
-        find: "const bounded = boundsOn(state, waiting, position, now)?.waitMs ?? 0;",
-        replace: "const bounded = 0;",
+        find: "const throttledMs = throttlingFor(state, waiting, position, now)?.waitMs ?? 0;",
+        replace: "const throttledMs = 0;",
         tests: [LIMITS],
     },
     {
@@ -190,16 +191,16 @@
     },
     {
         promise: "says it leaves: it holds while its registration comes and goes",
-        file: "packages/policy/src/remembered.ts",
-        find: "if (!words) return view;",
-        replace: "if (words) return view;",
+        file: "packages/policy/src/departed-endpoints.ts",
+        find: "if (!known) return view;",
+        replace: "if (known) return view;",
         tests: [LEAVING],
     },
     {
         promise: "rest: nothing goes to an endpoint that wants it",
-        file: "packages/policy/src/let-in.ts",
-        find: "return !isResting(view, now) && mayLetIn(state, view, now);",
-        replace: "return mayLetIn(state, view, now);",
+        file: "packages/policy/src/endpoint-admission.ts",
+        find: "return !isResting(view, now) && mayAdmit(state, view, now);",
+        replace: "return mayAdmit(state, view, now);",
         tests: [REST],
     },
     {
