--- a/packages/hall/src/index.ts
+++ b/packages/hall/src/index.ts
@@ -1,3 +1,4 @@
+export { type Charge, ENDINGS_TO_QUARANTINE, judge, MOMENT_MS } from "./assessment.js";
 export { capacityOf, type HostSize, type Rated, weightOf, weightsOf } from "./capacity.js";
 export {
     createDetector,
@@ -21,19 +22,7 @@
     nameOfEnded,
     type RequestNews,
 } from "./endings.js";
-export {
-    createFollowing,
-    type Following,
-    type FollowPlan,
-    hearProgress,
-    hearWatcher,
-    JOIN_MS,
-    planFollowing,
-    type StoreHeard,
-    type WatchReason,
-    WORD_EVERY_MS,
-    WORD_VALID_MS,
-} from "./following.js";
+export { type EndpointWord, type LimitWord, saidOf, wordOf, wordsToTell } from "./endpoint-notices.js";
 export { cut, type Place, placeIn, shareOf } from "./limit-share.js";
 export {
     type Account,
@@ -54,7 +43,20 @@
     TELL_OWNERS_MS,
     tellEvery,
     type Told,
-} from "./load-share.js";
+} from "./load-account.js";
+export {
+    type Addressed,
+    createShare,
+    endpointOwner,
+    hostsEvent,
+    shareAsk,
+    shareHear,
+    type ShareMessage,
+    shareRound,
+    type ShareState,
+    type ShareStep,
+    withWeights,
+} from "./load-exchange.js";
 export {
     aliveMembers,
     createMembership,
@@ -103,20 +105,16 @@
     otherHalls,
     QUIET_MS,
     type Reach,
-} from "./reach.js";
+} from "./reachability.js";
 export {
-    type Addressed,
-    createShare,
-    endpointOwner,
-    hostsEvent,
-    shareAsk,
-    shareHear,
-    type ShareMessage,
-    shareRound,
-    type ShareState,
-    type ShareStep,
-    withWeights,
-} from "./share.js";
+    askAfter,
+    give,
+    newsOf,
+    type SettingsAsk,
+    type SettingsGive,
+    takeGiven,
+    type VersionNews,
+} from "./settings-exchange.js";
 export {
     SHOWN_WORDS,
     shownOf,
@@ -125,8 +123,18 @@
     speedOf,
     type SpeedWords,
     speedWords,
-} from "./speed-words.js";
-export { askAfter, give, newsOf, type SettingsAsk, type SettingsGive, takeGiven, type VersionNews } from "./spread.js";
+} from "./speed-encoding.js";
 export { isAfter, isFurther, NO_POSITION, type StorePosition, type StoreProgress } from "./store-position.js";
-export { type Charge, ENDINGS_TO_QUARANTINE, judge, MOMENT_MS } from "./verdict.js";
-export { type EndpointWord, type LimitWord, saidOf, wordOf, wordsToTell } from "./words.js";
+export {
+    createFollowing,
+    type Following,
+    type FollowPlan,
+    hearProgress,
+    hearWatcher,
+    JOIN_MS,
+    planFollowing,
+    type StoreHeard,
+    type WatchReason,
+    WORD_EVERY_MS,
+    WORD_VALID_MS,
+} from "./store-watchers.js";
--- a/packages/hall/src/load-share.ts
+++ b/packages/hall/src/load-account.ts
@@ -19,7 +19,7 @@
     shownSince,
     zeroCurve,
 } from "@drumpaddle/policy";
-import { type ShownWords, shownWords, speedOf, type SpeedWords } from "./speed-words.js";
+import { type ShownWords, shownWords, speedOf, type SpeedWords } from "./speed-encoding.js";
 
 /** What one host holds on one endpoint. */
 export interface Held {
--- a/packages/hall/src/share.ts
+++ b/packages/hall/src/load-exchange.ts
@@ -36,9 +36,9 @@
     REPEAT_MS,
     takeHeld,
     type Told,
-} from "./load-share.js";
+} from "./load-account.js";
 import { EQUAL, ownerOf, shardOf, type Weights } from "./ownership.js";
-import { shownOf, speedOf, speedWords } from "./speed-words.js";
+import { shownOf, speedOf, speedWords } from "./speed-encoding.js";
 
 /** What a host keeps of the hall's streams. */
 export interface ShareState {
--- a/packages/hall/src/quarantine.ts
+++ b/packages/hall/src/quarantine.ts
@@ -15,8 +15,8 @@
  *
  * @module
  */
+import { type Charge, ENDINGS_TO_QUARANTINE, judge } from "./assessment.js";
 import { clearingOf, digestOfEndings, type EndingNews, type Endings, joinEnding, newsOfEnding } from "./endings.js";
-import { type Charge, ENDINGS_TO_QUARANTINE, judge } from "./verdict.js";
 
 /** A suspect that is being run. */
 interface Trial {
--- a/packages/standins/src/host-mutations.ts
+++ b/packages/standins/src/host-mutations.ts
@@ -8,11 +8,11 @@
 
 const OWNERSHIP_SOURCE = "packages/hall/src/ownership.ts";
 const CAPACITY_SOURCE = "packages/hall/src/capacity.ts";
-const REACH_SOURCE = "packages/hall/src/reach.ts";
+const REACH_SOURCE = "packages/hall/src/reachability.ts";
 const SHARING_SOURCE = "packages/host/src/peers/reach-sharing.ts";
 const OWNERSHIP = "packages/hall/test/ownership.test.ts";
 const UNEVEN = "packages/hall/test/uneven-fleet.test.ts";
-const REACH = "packages/hall/test/reach.test.ts";
+const REACH = "packages/hall/test/reachability.test.ts";
 const IN_DOUBT = "packages/policy/test/in-doubt.test.ts";
 const SHARING = "packages/host/test/reach-sharing.test.ts";
 const CUT = "packages/host/test/cut-hall.test.ts";
@@ -52,7 +52,7 @@
     },
     {
         promise: "uneven hosts: owners follow weights that change while all else stays",
-        file: "packages/hall/src/share.ts",
+        file: "packages/hall/src/load-exchange.ts",
         find: "weights.has(host) ? `${host}=${weights.get(host)}` : host",
         replace: "host",
         tests: [OWNERSHIP],
@@ -66,7 +66,7 @@
     },
     {
         promise: "uneven hosts: watchers of the store are ranked by what they can carry",
-        file: "packages/hall/src/following.ts",
+        file: "packages/hall/src/store-watchers.ts",
         find: `rank("store-watch", hosts, weights)`,
         replace: `rank("store-watch", hosts)`,
         tests: [UNEVEN],
--- a/packages/standins/src/mutations.ts
+++ b/packages/standins/src/mutations.ts
@@ -22,7 +22,7 @@
 const CONNECTIONS = "packages/host/test/endpoint-connections.test.ts";
 const CONTINUE = "packages/request/test/continue.test.ts";
 const CARRY = "packages/policy/test/carry.test.ts";
-const FOLLOWING = "packages/hall/test/following.test.ts";
+const FOLLOWING = "packages/hall/test/store-watchers.test.ts";
 const DETECTOR = "packages/hall/test/detector.test.ts";
 const SOAK = "platform/test/soak.test.ts";
 const ROUTES = "packages/routes/test/routes.test.ts";
@@ -30,7 +30,7 @@
 const SUSPENDED = "platform/test/suspended.test.ts";
 const CLOCK = "packages/protocol/src/clock.ts";
 const QUARANTINE = "packages/hall/test/quarantine.test.ts";
-const VERDICT = "packages/hall/src/verdict.ts";
+const VERDICT = "packages/hall/src/assessment.ts";
 const GUARD = "packages/host/src/endpoints/request-guard.ts";
 const JUDGE = "packages/host/src/calls/judge-answer.ts";
 const DECLARE = "packages/host/src/endpoints/declare-endpoints.ts";
@@ -159,7 +159,7 @@
     },
     {
         promise: "two askers cannot both have the last room",
-        file: "packages/hall/src/load-share.ts",
+        file: "packages/hall/src/load-account.ts",
         find: "others: plus(before, granted, 1), at: now };",
         replace: "others: before, at: now };",
         tests: [HALL],
@@ -278,28 +278,28 @@
     },
     {
         promise: "a watcher that the store does not answer is passed over",
-        file: "packages/hall/src/following.ts",
+        file: "packages/hall/src/store-watchers.ts",
         find: "? !isDeaf",
         replace: "? true",
         tests: [FOLLOWING],
     },
     {
         promise: "a host that hears of no watcher watches by itself",
-        file: "packages/hall/src/following.ts",
+        file: "packages/hall/src/store-watchers.ts",
         find: 'now < watchUntil ? "alone" : undefined',
         replace: "undefined",
         tests: [FOLLOWING],
     },
     {
         promise: "a watcher that is passed over says so",
-        file: "packages/hall/src/following.ts",
+        file: "packages/hall/src/store-watchers.ts",
         find: "state.placed && hears === false",
         replace: "false",
         tests: [FOLLOWING],
     },
     {
         promise: "a host that stays behind asks a peer",
-        file: "packages/hall/src/following.ts",
+        file: "packages/hall/src/store-watchers.ts",
         find: "const asks = lacked !== undefined && isBehind",
         replace: "const asks = false && lacked !== undefined",
         tests: [FOLLOWING],
@@ -327,7 +327,7 @@
     },
     {
         promise: "an owner that does not answer is passed over",
-        file: "packages/hall/src/share.ts",
+        file: "packages/hall/src/load-exchange.ts",
         find: "for (const [, { owner }] of late) silent.set(owner, now + SILENT_MS);",
         replace: "",
         tests: [HALL],
--- a/packages/standins/src/speed-mutations.ts
+++ b/packages/standins/src/speed-mutations.ts
@@ -7,13 +7,13 @@
 
 const SPEED = "packages/policy/test/speed.test.ts";
 const CHOICE = "packages/policy/test/uneven-choice.test.ts";
-const WORDS = "packages/hall/test/speed-words.test.ts";
+const WORDS = "packages/hall/test/speed-encoding.test.ts";
 const MESSAGES = "packages/host/test/endpoint-speeds.test.ts";
 const POOL_SOURCE = "packages/policy/src/speed-pool.ts";
 const SPEED_SOURCE = "packages/policy/src/speed.ts";
 const CHOOSE = "packages/policy/src/choose.ts";
 const LATENESS = "packages/policy/src/lateness.ts";
-const LOAD_SHARE = "packages/hall/src/load-share.ts";
+const LOAD_SHARE = "packages/hall/src/load-account.ts";
 
 /** Broken one at a time by `npm run test:mutations`. */
 export const SPEED_MUTATIONS: readonly Mutation[] = [
@@ -103,7 +103,7 @@
     },
     {
         promise: "owners tell what they know",
-        file: "packages/hall/src/share.ts",
+        file: "packages/hall/src/load-exchange.ts",
         find: "                speed: held.speed && speedOf(held.speed),\n",
         replace: "",
         tests: [WORDS],
--- a/packages/standins/src/store-mutations.ts
+++ b/packages/standins/src/store-mutations.ts
@@ -7,7 +7,7 @@
 
 const RESTORED = "platform/test/store-restored.test.ts";
 const OLDER_COPY = "packages/routes/test/older-copy.test.ts";
-const FOLLOWING = "packages/hall/test/following.test.ts";
+const FOLLOWING = "packages/hall/test/store-watchers.test.ts";
 const CLIENT = "platform/test/store.test.ts";
 const FEED = "packages/host/src/store/deployment-feed.ts";
 const SETTLE = "packages/routes/src/older-copy.ts";
