--- a/packages/hall/src/assessment.ts
+++ b/packages/hall/src/assessment.ts
@@ -1,62 +1,67 @@
 /**
- * Which requests end the endpoints that run them, judged from the endings that are known.
+ * Infers from the known endings which requests crash the endpoints that run them.
  *
- * Up to 24 requests run where one is to blame, and most of them are at one ending by chance. Two things tell them apart: the one to
- * blame is at every ending that it causes, and where several were at the same endings, the one that had run the shortest is the
- * likelier: it was just begun. What is explained by one is not held against the others. Many endpoints that end at one moment
- * have a cause of their own (a rack, a hall), and nobody is to blame; a request that ran at several of them was at one ending, unless
- * it was begun there as a suspect. Of times only those far apart are compared, as each host knows them by the age of its news.
+ * Up to 24 requests run at an endpoint when it ends, and most of them are there by chance. The culprit is identified in two ways: it is
+ * involved in every ending that it causes, and of several requests that share the same endings, the one that had run for the shortest
+ * time is the most likely, because it had just begun. An ending that one culprit explains does not count against other requests. If
+ * many endpoints end at the same moment, there is a common cause (a rack, a hall) and no request is blamed. A request that ran at
+ * several endpoints that ended at the same moment gets one ending for all of them, unless it began there as a suspect. Each host
+ * derives times from the age of the news, so only times that lie far apart are compared.
  *
- * Pure: two hosts that know the same endings judge alike. Times are milliseconds.
+ * All functions are pure: two hosts that know the same endings reach the same result. Times are in milliseconds.
  *
  * @module
  */
 import type { Ending, Endings } from "./endings.js";
 
-/** Endings after which a request is quarantined: the users' bound, as a request that crossed the way of two crashes is no rarity. */
+/** A request is quarantined at this many endings. The users set the bound: innocent requests that meet two crashes are not rare. */
 export const ENDINGS_TO_QUARANTINE = 3;
 /**
- * Endings of a request that nothing else explains, at the least: a stream that was beside a guilty request twice and met one crash of
- * another cause is not quarantined for it.
+ * A culprit has at least this many endings that no other culprit explains. Otherwise a stream that ran beside a culprit twice and met
+ * one unrelated crash would be quarantined as well.
  */
-const UNEXPLAINED_LEAST = 2;
-/** Endpoints that end within this time end together: what each host sees of one end is a few milliseconds apart, and news takes as long. */
-export const MOMENT_MS = 250;
+const MIN_UNEXPLAINED_ENDINGS = 2;
+/** Endings within this time count as simultaneous. Hosts notice one ending a few milliseconds apart, and news takes as long. */
+export const SIMULTANEOUS_MS = 250;
 
-/** What is held against a request. */
+/** What the known endings say of a request. */
 export interface Charge {
     readonly fingerprint: string;
     /** Endings that count against it, each life once. */
     readonly endings: readonly Ending[];
-    /** When the last of them was. */
+    /** When the last ending that it was involved in was, also if that one does not count. */
     readonly lastAt: number;
-    /** The longest that it had run at one of them. */
+    /** The longest time that it had run at an ending that counts. */
     readonly ranMs: number;
+    /** Whether it is to be quarantined. */
     readonly isGuilty: boolean;
 }
 
-interface Part {
+/** A request's involvement in one ending. */
+interface EndingPart {
     readonly ending: Ending;
     readonly ranMs: number;
     readonly wasSuspect: boolean;
 }
 
 /**
- * Judges all requests that were at an ending and were not cleared.
+ * Assesses all requests that were involved in an ending and not cleared since, by fingerprint.
  *
  * @example
  * ```ts
- * judge(endings).get(fingerprint)?.isGuilty;
+ * assessRequests(endings).get(fingerprint)?.isGuilty;
  * ```
  */
-export function judge(endings: Endings): ReadonlyMap<string, Charge> {
+export function assessRequests(endings: Endings): ReadonlyMap<string, Charge> {
     const ordered = [...endings.values()].sort((a, b) => a.at - b.at);
-    const charges = [...partsOf(ordered)].map(([fingerprint, parts]) => chargeOf(fingerprint, parts, ordered));
-    return new Map(blame(charges).map(charge => [charge.fingerprint, charge]));
+    const assessments = [...partsByRequest(ordered)].map(([fingerprint, parts]) =>
+        assessmentOf(fingerprint, parts, ordered)
+    );
+    return new Map(markCulprits(assessments).map(item => [item.fingerprint, item]));
 }
 
-function partsOf(ordered: readonly Ending[]): ReadonlyMap<string, readonly Part[]> {
-    const parts = new Map<string, Part[]>();
+function partsByRequest(ordered: readonly Ending[]): ReadonlyMap<string, readonly EndingPart[]> {
+    const parts = new Map<string, EndingPart[]>();
     for (const ending of ordered) {
         for (const [fingerprint, { ranMs, wasSuspect, cleared }] of ending.requests) {
             if (cleared) continue;
@@ -69,13 +74,13 @@
     return parts;
 }
 
-function chargeOf(fingerprint: string, parts: readonly Part[], ordered: readonly Ending[]): Charge {
-    const counted: Part[] = [];
+function assessmentOf(fingerprint: string, parts: readonly EndingPart[], ordered: readonly Ending[]): Charge {
+    const counted: EndingPart[] = [];
     for (const part of parts) {
-        if (endedWithMany(fingerprint, part.ending, ordered)) continue;
+        if (isMassEnding(fingerprint, part.ending, ordered)) continue;
         const before = counted.at(-1);
-        const sameOccasion = before && !part.wasSuspect && part.ending.at - before.ending.at < MOMENT_MS;
-        if (!sameOccasion) counted.push(part);
+        const isSimultaneous = before && !part.wasSuspect && part.ending.at - before.ending.at < SIMULTANEOUS_MS;
+        if (!isSimultaneous) counted.push(part);
     }
     return {
         fingerprint,
@@ -86,24 +91,24 @@
     };
 }
 
-/** Whether most of the endpoints that ended at that moment did not run the request. */
-function endedWithMany(fingerprint: string, { at }: Ending, ordered: readonly Ending[]): boolean {
-    const together = ordered.filter(other => Math.abs(other.at - at) < MOMENT_MS);
-    const without = together.filter(({ requests }) => !requests.has(fingerprint)).length;
-    return without > together.length - without;
+/** Returns whether the request did not run at most of the endpoints that ended at the same moment. */
+function isMassEnding(fingerprint: string, { at }: Ending, ordered: readonly Ending[]): boolean {
+    const simultaneous = ordered.filter(other => Math.abs(other.at - at) < SIMULTANEOUS_MS);
+    const without = simultaneous.filter(({ requests }) => !requests.has(fingerprint)).length;
+    return without > simultaneous.length - without;
 }
 
-/** Finds out who is guilty, the most involved first: what one of them explains is not held against those behind it. */
-function blame(charges: readonly Charge[]): readonly Charge[] {
+/** Marks culprits, those with the most endings first: the endings that one of them explains do not count for the next ones. */
+function markCulprits(assessments: readonly Charge[]): readonly Charge[] {
     const explained = new Set<string>();
-    return [...charges].sort(compareCharges).map(charge => {
-        const unexplained = charge.endings.filter(({ life }) => !explained.has(life)).length;
-        if (charge.endings.length < ENDINGS_TO_QUARANTINE || unexplained < UNEXPLAINED_LEAST) return charge;
-        for (const { life } of charge.endings) explained.add(life);
-        return { ...charge, isGuilty: true };
+    return [...assessments].sort(compareAssessments).map(candidate => {
+        const unexplained = candidate.endings.filter(({ life }) => !explained.has(life)).length;
+        if (candidate.endings.length < ENDINGS_TO_QUARANTINE || unexplained < MIN_UNEXPLAINED_ENDINGS) return candidate;
+        for (const { life } of candidate.endings) explained.add(life);
+        return { ...candidate, isGuilty: true };
     });
 }
 
-function compareCharges(a: Charge, b: Charge): number {
+function compareAssessments(a: Charge, b: Charge): number {
     return b.endings.length - a.endings.length || a.ranMs - b.ranMs || (a.fingerprint < b.fingerprint ? -1 : 1);
 }
--- a/packages/hall/src/capacity.ts
+++ b/packages/hall/src/capacity.ts
@@ -1,59 +1,61 @@
 /**
- * What a host can carry, as it tells others, and the part of shared work that follows from it.
+ * The capacity that a host reports to its peers, and the weight by which it gets a share of the hall's shared work.
  *
  * @module
  */
 import type { Weights } from "./ownership.js";
 
-/** What is given to a host's process. Parts that are not known are absent. */
-export interface HostSize {
-    /** Cores of the machine, in units of the fleet's usual one. */
+/** Resources of the machine that are available to a host's process. Unknown ones are absent. */
+export interface HostResources {
+    /** Cores of the machine, in units of the fleet's standard core. */
     readonly cores?: number | undefined;
-    /** Share of them that the process may use. */
+    /** Fraction of these cores that the process may use. */
     readonly share?: number | undefined;
-    /** Bandwidth of its link, in Mbit/s. */
+    /** Bandwidth of the network link, in Mbit/s. */
     readonly linkMbps?: number | undefined;
 }
 
-/** A host that knows its capacity or not, as one of a list. */
-export interface Rated {
+/** A host and its reported capacity. */
+export interface HostCapacity {
     readonly name: string;
-    /** In cores; absent where the host does not tell it. */
+    /** In cores; absent if the host does not report one. */
     readonly capacity?: number | undefined;
 }
 
-/** What an owner says and hears in the time of one core fills a link of this width: below it the link is what bounds the host. */
-const MBITS_A_CORE = 30;
-/** One process cannot use more, whatever its machine has: a wrong word may not draw all shared work to one host. */
-const LARGEST_CORES = 16;
-/** What is below this is no sooner full than the host itself. */
-const LEAST_CORES = 0.05;
-/** A host that does not tell its capacity. */
-const USUAL_CORES = 1;
-const DECIMALS = 1_000;
+/** Traffic of an endpoint owner that keeps one core busy. On a narrower link the bandwidth limits the host, not the cores. */
+const MBITS_PER_CORE = 30;
+/** One process cannot use more cores. The cap keeps a wrong report from drawing all shared work to one host. */
+const MAX_CORES = 16;
+/** Smaller capacities count as this one: shared work does not fill such a host before its own requests do. */
+const MIN_CORES = 0.05;
+/** Assumed for a host that reports no valid capacity. */
+const DEFAULT_CORES = 1;
+/** Capacities are rounded to a thousandth of a core. */
+const CAPACITY_SCALE = 1_000;
 
 /**
- * A host's capacity in cores, bounded by its link; undefined where nothing sensible is known of it.
+ * Returns a host's capacity in cores, bounded by its network link, or undefined if neither cores nor link are known, or if the
+ * result is not positive and finite.
  *
  * @example
  * ```ts
  * capacityOf({ cores: 2, share: 0.675, linkMbps: 200 }); // 1.35
  * ```
  */
-export function capacityOf({ cores, share = 1, linkMbps }: HostSize): number | undefined {
-    const own = (cores ?? USUAL_CORES) * share;
-    const linked = linkMbps === undefined ? own : Math.min(own, linkMbps / MBITS_A_CORE);
+export function capacityOf({ cores, share = 1, linkMbps }: HostResources): number | undefined {
+    const processCores = (cores ?? DEFAULT_CORES) * share;
+    const bounded = linkMbps === undefined ? processCores : Math.min(processCores, linkMbps / MBITS_PER_CORE);
     const isKnown = cores !== undefined || linkMbps !== undefined;
-    return isKnown && isSensible(linked) ? Math.round(linked * DECIMALS) / DECIMALS : undefined;
+    return isKnown && isValidCapacity(bounded) ? Math.round(bounded * CAPACITY_SCALE) / CAPACITY_SCALE : undefined;
 }
 
-function isSensible(capacity: number | undefined): capacity is number {
+function isValidCapacity(capacity: number | undefined): capacity is number {
     return capacity !== undefined && Number.isFinite(capacity) && capacity > 0;
 }
 
 /**
- * The weight of a capacity among those of other hosts. Callers come to all hosts alike, so that a host twice as large as another
- * has more than twice as much left for shared work.
+ * Returns the weight of a host of this capacity. It grows with the square of the capacity: callers connect to all hosts at the same
+ * rate, so a host twice as large has more than twice as much left for shared work.
  *
  * @example
  * ```ts
@@ -62,19 +64,19 @@
  * ```
  */
 export function weightOf(capacity: number | undefined): number {
-    const cores = isSensible(capacity) ? capacity : USUAL_CORES;
-    return Math.min(LARGEST_CORES, Math.max(LEAST_CORES, cores)) ** 2;
+    const cores = isValidCapacity(capacity) ? capacity : DEFAULT_CORES;
+    return Math.min(MAX_CORES, Math.max(MIN_CORES, cores)) ** 2;
 }
 
 /**
- * Weights of hosts; those that do not tell their capacity are left out.
+ * Returns the weights of hosts by name. Hosts that report no capacity are left out and get the default weight.
  *
  * @example
  * ```ts
  * rank("endpoints/0", live, weightsOf(members));
  * ```
  */
-export function weightsOf(hosts: readonly Rated[]): Weights {
-    const rated = hosts.filter(({ capacity }) => capacity !== undefined);
-    return new Map(rated.map(({ name, capacity }) => [name, weightOf(capacity)]));
+export function weightsOf(hosts: readonly HostCapacity[]): Weights {
+    const withCapacity = hosts.filter(({ capacity }) => capacity !== undefined);
+    return new Map(withCapacity.map(({ name, capacity }) => [name, weightOf(capacity)]));
 }
--- a/packages/hall/src/detector.ts
+++ b/packages/hall/src/detector.ts
@@ -1,33 +1,34 @@
 /**
- * How hosts find each other and notice who is gone, in a time and at a cost that do not grow with their number (SWIM).
+ * Discovery and failure detection of hosts by the SWIM protocol: the detection time and the cost per host do not grow with the
+ * number of hosts.
  *
- * Each round a host probes one of its three successors in its hall by name, and from time to time a host of another hall
- * and one that it takes for dead. Where no answer comes within a round, two others are asked to try; where none comes
- * within a second one, the host is suspected, and may deny it (see `membership.ts`). A host whose own round is late judges
- * nobody. News travels by gossip: at once to a few hosts that pass it on, and with every probe and answer.
+ * In each round a host probes one of its three successors by name in its hall, and every few rounds a random host of another hall
+ * and one that it considers dead. If no answer comes within a round, the host asks two others to probe the target as well. If none
+ * comes within a second round, it suspects the target, which may refute the suspicion (see `membership.ts`). A host whose own round
+ * is late suspects nobody. News spreads by gossip: at once to a few hosts, which pass it on, and with every probe and answer.
  *
  *     a --probe--> b          a --probe--> b (silent)
  *     a <---ack--- b          a --check--> c --probe--> b
  *                             a <--vouch-- c <---ack--- b
  *
- *     joining, and from time to time (views differ):
- *     a --sync (digest)--> b, a <--sync (whom b knows)-- b, a --members that b lacks--> b, and the same the other way
+ *     while joining, and every few seconds later, if the views of a and b differ:
+ *     a --sync (digest)--> b, a <--sync (hosts that b knows)-- b, a --members that b lacks--> b, and the same the other way
  *
- * Pure: every function returns the next state and what is to be sent. Times are milliseconds.
+ * All functions are pure: they return the next state and the messages to send. Times are in milliseconds.
  *
  * @module
  */
 import {
+    aliveInstanceHashes,
     aliveMembers,
+    applyNews,
+    applyStamp,
     createMembership,
-    digestOf,
+    digestOfAlive,
     expire,
-    hear,
-    hearStamp,
     type HostInfo,
-    leave,
-    lifeOf,
-    livesKnown,
+    instanceHash,
+    markLeaving,
     type Member,
     type MemberNews,
     type Membership,
@@ -41,151 +42,164 @@
     unheardCandidates,
 } from "./membership.js";
 
-/** Messages of the detector. */
+/** Messages between failure detectors. */
 export type DetectorMessage =
-    /** Asks for a sign of life. */
-    | { readonly kind: "probe" } & SignOfLife
-    | { readonly kind: "ack" } & SignOfLife
-    /** Asks to probe a host that does not answer the sender. */
+    /** Asks the receiver for an `ack`. */
+    | { readonly kind: "probe" } & ProbeContent
+    /** Answers a probe. */
+    | { readonly kind: "ack" } & ProbeContent
+    /** Asks the receiver to probe a host that does not answer the sender. */
     | { readonly kind: "check"; readonly name: string }
-    /** Says that a host answered. */
+    /** Tells the sender of a `check` that the host answered. */
     | { readonly kind: "vouch"; readonly name: string }
     | { readonly kind: "gossip"; readonly news: readonly MemberNews[] }
-    /** Compares views: the receiver answers where its digest is another. */
+    /** Compares views: the receiver answers if its digest differs. */
     | SyncMessage
+    /** Tells the receiver of hosts that it does not know. */
     | { readonly kind: "members"; readonly news: readonly MemberNews[] };
 
-/** What a probe and its answer carry. */
-export interface SignOfLife {
+/** Content of a probe and of its answer. */
+export interface ProbeContent {
     readonly self: SelfStamp;
-    /** Absent where there is none. */
+    /** Absent if there is none. */
     readonly news?: readonly MemberNews[];
-    /** Address of the host for which a third one asks. */
+    /** Address of the host that asked the prober to send this probe; absent if the prober acts for itself. */
     readonly for?: string;
 }
 
-/** What a host says of its view when it compares it with another's. */
+/** A summary of the sender's view of the membership, which the receiver compares with its own. */
 export interface SyncMessage {
     readonly kind: "sync";
     readonly self: MemberNews;
     readonly digest: number;
-    /** Lives that it knows of, by number; absent where it only asks whether views differ. */
+    /** Hashes of the host instances that the sender considers alive; absent if it only asks whether the views differ. */
     readonly known?: readonly number[];
-    /** How many more messages may follow from this one, so that views that stay different end the exchange. */
+    /** How many more messages may follow in this exchange. It ends the exchange also if the views stay different. */
     readonly left: number;
 }
 
-/** A message with the address that it goes to. */
-export interface DetectorSend {
+/** A message and the address of its receiver. */
+export interface AddressedDetectorMessage {
     readonly to: string;
     readonly message: DetectorMessage;
 }
 
-/** What a step of the detector is told. */
+/** Inputs that every step of the detector takes from its environment. */
 export interface DetectorEnv {
     readonly now: number;
-    /** The pause between two rounds. */
+    /** Interval between two rounds. */
     readonly everyMs: number;
-    /** Uniform in [0, 1). */
+    /** Returns random numbers, uniform in [0, 1). */
     readonly random: () => number;
 }
 
 /** The state of a host's detector. */
 export interface Detector {
     readonly membership: Membership;
-    /** Counts rounds. */
-    readonly turn: number;
-    /** When the last round was. */
-    readonly tickedAt: number | undefined;
+    /** Number of rounds so far. */
+    readonly round: number;
+    /** When the last round ran; undefined before the first. */
+    readonly lastRoundAt: number | undefined;
     /** When gossip was last sent. */
-    readonly gossipedAt: number;
-    /** Hosts that owe an answer, and for how many rounds. */
+    readonly lastGossipAt: number;
+    /** Probed hosts that have not answered yet, with the number of rounds since. */
     readonly waiting: ReadonlyMap<string, number>;
 }
 
-/** What follows from a step. */
+/** Result of a step: the next state and the messages to send. */
 export interface DetectorStep {
     readonly state: Detector;
-    readonly send: readonly DetectorSend[];
+    readonly send: readonly AddressedDetectorMessage[];
 }
 
-/** Each host is probed by this many others of its hall, in turn. */
-const SUCCESSORS = 3;
-/** Who does not answer is tried by this many others. */
-const CHECKERS = 2;
-/** Rounds between two probes of another hall, and between two of a host that is taken for dead. */
-const ELSEWHERE_EVERY = 4;
-const DEAD_EVERY = 4;
-/** Gossip goes to this many hosts, all but one of the own hall where it has as many. */
-const FANOUT = 4;
-/** A message carries news of this many hosts at most: 2.4 KB at 150 bytes each. */
-const MOST_NEWS = 16;
-/** What a host passes on at once waits for this long, so that news of one moment travels together. */
-const GOSSIP_PAUSE_MS = 50;
-/** A comparison tells of this many hosts at a time (10 KB): those of the other's hall first. */
-const MOST_MEMBERS = 64;
-/** A comparison takes this many messages each way at most, so that 400 hosts are told of in one. */
-const SYNC_MESSAGES = 12;
-/** Rounds between two comparisons of views; while a host starts they come each round. */
-const SYNC_EVERY = 20;
+/** A host probes this many successors in its hall in turn, so that each host is probed by as many others. */
+const PROBED_SUCCESSORS = 3;
+/** How many other hosts are asked to probe a host that does not answer. */
+const INDIRECT_PROBERS = 2;
+/** Rounds between two probes of other halls, and between two probes of hosts considered dead. */
+const REMOTE_PROBE_INTERVAL = 4;
+const DEAD_PROBE_INTERVAL = 4;
+/** Gossip goes to this many hosts: all but one in the sender's hall, if the hall has enough, the rest in other halls. */
+const GOSSIP_FANOUT = 4;
+/** A message carries news of at most this many hosts: 2.4 KB at 150 bytes each. */
+const MAX_NEWS_PER_MESSAGE = 16;
+/** Least time between two gossip messages outside of rounds, so that news that arrives together is passed on together. */
+const MIN_GOSSIP_INTERVAL_MS = 50;
+/** A `members` message tells of at most this many hosts (10 KB). */
+const MAX_MEMBERS_PER_SYNC = 64;
+/** An exchange that starts with a sync takes at most this many messages each way: enough to tell of 400 hosts. */
+const MAX_SYNC_MESSAGES = 12;
+/** Rounds between two comparisons of views. In its first {@link JOINING_ROUNDS} a host compares in each round. */
+const SYNC_INTERVAL = 20;
 const JOINING_ROUNDS = 12;
 
-/** A detector that knows only its own host. */
+/**
+ * Creates a detector that knows only its own host.
+ *
+ * @param candidates Addresses at which it looks for other hosts.
+ */
 export function createDetector(self: HostInfo, candidates: readonly string[]): Detector {
     return {
         membership: createMembership(self, candidates),
-        turn: 0,
-        tickedAt: undefined,
-        gossipedAt: -Infinity,
+        round: 0,
+        lastRoundAt: undefined,
+        lastGossipAt: -Infinity,
         waiting: new Map(),
     };
 }
 
 /**
- * A round: judges those that owe an answer, probes the next, passes on news.
+ * Runs a round: suspects hosts that did not answer, sends the next probes, gossips, and compares views when that is due.
  *
  * @example
  * ```ts
- * const { state: next, send } = tick(state, { now, everyMs: 250, random });
+ * const { state: next, send } = tickDetector(state, { now, intervalMs: 250, random });
  * ```
  */
-export function tick(before: Detector, env: DetectorEnv): DetectorStep {
+export function tick(previous: Detector, env: DetectorEnv): DetectorStep {
     const { now, everyMs } = env;
-    const heldUp = before.tickedAt !== undefined && now - before.tickedAt > 2 * everyMs;
-    const turn = before.turn + 1;
-    const judged = judge({ ...before, turn, tickedAt: now }, heldUp ? new Map() : before.waiting, env);
-    const state = { ...judged.state, membership: expire(judged.state.membership, now) };
+    const isLate = previous.lastRoundAt !== undefined && now - previous.lastRoundAt > 2 * everyMs;
+    const round = previous.round + 1;
+    const checked = checkUnanswered(
+        { ...previous, round, lastRoundAt: now },
+        isLate ? new Map() : previous.waiting,
+        env,
+    );
+    const state = { ...checked.state, membership: expire(checked.state.membership, now) };
     const probed = probeNext(state, env);
     const gossiped = gossip(probed.state, env);
     return {
         state: gossiped.state,
-        send: [...judged.send, ...probed.send, ...gossiped.send, ...compare(gossiped.state, env)],
+        send: [...checked.send, ...probed.send, ...gossiped.send, ...syncViews(gossiped.state, env)],
     };
 }
 
-/** Suspects who owes an answer for two rounds, and has others try who owes it for one. */
-function judge(before: Detector, waiting: ReadonlyMap<string, number>, env: DetectorEnv): DetectorStep {
-    let { membership } = before;
+/** Suspects hosts that have not answered for two rounds, and asks others to probe those that have not answered for one. */
+function checkUnanswered(previous: Detector, waiting: ReadonlyMap<string, number>, env: DetectorEnv): DetectorStep {
+    let { membership } = previous;
     const next = new Map<string, number>();
-    const send: DetectorSend[] = [];
+    const send: AddressedDetectorMessage[] = [];
     for (const [name, rounds] of waiting) {
         const member = membership.members.get(name);
         if (!member) continue;
         if (rounds >= 1) {
             membership = suspect(membership, name, env.now);
-            send.push(probeOf(membership, membership.members.get(name)!, [], env.now));
+            send.push(probeMessageFor(membership, membership.members.get(name)!, [], env.now));
             continue;
         }
         next.set(name, rounds + 1);
         const others = aliveMembers(membership, env.now)
             .filter(other => other.hall === member.hall && other.name !== name);
-        const checkers = pickSome(others, CHECKERS, env.random);
+        const probers = pickSome(others, INDIRECT_PROBERS, env.random);
         send.push(
-            probeOf(membership, member, [], env.now),
-            ...checkers.map(({ address }): DetectorSend => ({ to: address, message: { kind: "check", name } })),
+            probeMessageFor(membership, member, [], env.now),
+            ...probers.map(({ address }): AddressedDetectorMessage => ({
+                to: address,
+                message: { kind: "check", name },
+            })),
         );
     }
-    return { state: { ...before, membership, waiting: next }, send };
+    return { state: { ...previous, membership, waiting: next }, send };
 }
 
 function probeNext(state: Detector, env: DetectorEnv): DetectorStep {
@@ -193,74 +207,90 @@
     const { self, members } = state.membership;
     const alive = aliveMembers(state.membership, now);
     const inHall = alive.filter(member => member.hall === self.hall);
-    const elsewhere = alive.filter(member => member.hall !== self.hall);
+    const inOtherHalls = alive.filter(member => member.hall !== self.hall);
     const dead = [...members.values()].filter(member => member.status === Status.Dead);
     const targets = [
-        successor(inHall, self.name, state.turn),
-        state.turn % ELSEWHERE_EVERY === 0 ? pick(elsewhere, random) : undefined,
+        nextSuccessor(inHall, self.name, state.round),
+        state.round % REMOTE_PROBE_INTERVAL === 0 ? pickOne(inOtherHalls, random) : undefined,
     ].filter(member => member !== undefined);
-    const lost = state.turn % DEAD_EVERY === 0 ? pick(dead, random) : undefined;
-    const probes = lost ? [...targets, lost] : targets;
-    const { state: membership, news } = takeRumours(state.membership, probes.length > 0 ? MOST_NEWS : 0, now);
+    const deadTarget = state.round % DEAD_PROBE_INTERVAL === 0 ? pickOne(dead, random) : undefined;
+    const probes = deadTarget ? [...targets, deadTarget] : targets;
+    const { state: membership, news } = takeRumours(
+        state.membership,
+        probes.length > 0 ? MAX_NEWS_PER_MESSAGE : 0,
+        now,
+    );
     const waiting = new Map(state.waiting);
     for (const { name } of targets) if (!waiting.has(name)) waiting.set(name, 0);
-    const send = probes.map(member => probeOf(membership, member, news, now));
+    const send = probes.map(member => probeMessageFor(membership, member, news, now));
     return { state: { ...state, membership, waiting }, send };
 }
 
-/** A probe tells a host that is not taken for alive so, that it may deny it. */
-function probeOf(
+/** Builds a probe. A host that is suspected or considered dead is told so, so that it can refute it. */
+function probeMessageFor(
     membership: Membership,
     member: Member,
     rumours: readonly MemberNews[],
     now: number,
 ): { readonly to: string; readonly message: Extract<DetectorMessage, { kind: "probe" }> } {
-    const doubt = member.status === Status.Alive ? [] : [newsOfMember(member, now)];
+    const belief = member.status === Status.Alive ? [] : [newsOfMember(member, now)];
     return {
         to: member.address,
-        message: { kind: "probe", self: stampOfSelf(membership), news: [...doubt, ...rumours] },
+        message: { kind: "probe", self: stampOfSelf(membership), news: [...belief, ...rumours] },
     };
 }
 
-/** The next of a host's successors by name, in turn. */
-function successor(inHall: readonly Member[], self: string, turn: number): Member | undefined {
+/** Returns the successor to probe in this round: the next few hosts by name take turns. */
+function nextSuccessor(inHall: readonly Member[], self: string, turn: number): Member | undefined {
     const sorted = inHall.toSorted((a, b) => a.name < b.name ? -1 : 1);
     const first = sorted.findIndex(({ name }) => name > self);
     const start = first < 0 ? 0 : first;
-    const count = Math.min(SUCCESSORS, sorted.length);
+    const count = Math.min(PROBED_SUCCESSORS, sorted.length);
     return count === 0 ? undefined : sorted[(start + turn % count) % sorted.length];
 }
 
-/** Passes on what is new. */
+/** Sends pending news to a few random hosts. */
 function gossip(state: Detector, { now, random }: DetectorEnv): DetectorStep {
     if (state.membership.rumours.size === 0) return { state, send: [] };
-    const { state: membership, news } = takeRumours(state.membership, MOST_NEWS, now);
+    const { state: membership, news } = takeRumours(state.membership, MAX_NEWS_PER_MESSAGE, now);
     const { self } = membership;
     const alive = aliveMembers(membership, now);
-    const near = pickSome(alive.filter(member => member.hall === self.hall), FANOUT - 1, random);
-    const far = pickSome(alive.filter(member => member.hall !== self.hall), FANOUT - near.length, random);
-    const targets = [...near, ...far];
-    const send = targets.map(({ address }): DetectorSend => ({ to: address, message: { kind: "gossip", news } }));
-    return { state: { ...state, membership, gossipedAt: now }, send };
+    const inHall = pickSome(alive.filter(member => member.hall === self.hall), GOSSIP_FANOUT - 1, random);
+    const inOtherHalls = pickSome(
+        alive.filter(member => member.hall !== self.hall),
+        GOSSIP_FANOUT - inHall.length,
+        random,
+    );
+    const targets = [...inHall, ...inOtherHalls];
+    const send = targets.map(({ address }): AddressedDetectorMessage => ({
+        to: address,
+        message: { kind: "gossip", news },
+    }));
+    return { state: { ...state, membership, lastGossipAt: now }, send };
 }
 
-/** Compares views with another host, and looks for hosts that were not heard of yet. */
-function compare({ membership, turn }: Detector, { now, random }: DetectorEnv): readonly DetectorSend[] {
-    const unheard = unheardCandidates(membership);
+/** Compares views with a random host when that is due, and contacts a candidate address at which no host is known. */
+function syncViews(
+    { membership, round: turn }: Detector,
+    { now, random }: DetectorEnv,
+): readonly AddressedDetectorMessage[] {
+    const unknownAddresses = unheardCandidates(membership);
     const isJoining = turn <= JOINING_ROUNDS;
-    const partner = isJoining || turn % SYNC_EVERY === 0 ? pick(aliveMembers(membership, now), random) : undefined;
-    const targets = [pick(unheard, random), partner?.address].filter(address => address !== undefined);
-    return targets.map(to => ({ to, message: syncOf(membership, now, SYNC_MESSAGES, isJoining) }));
+    const partner = isJoining || turn % SYNC_INTERVAL === 0
+        ? pickOne(aliveMembers(membership, now), random)
+        : undefined;
+    const targets = [pickOne(unknownAddresses, random), partner?.address].filter(address => address !== undefined);
+    return targets.map(to => ({ to, message: syncMessage(membership, now, MAX_SYNC_MESSAGES, isJoining) }));
 }
 
-function syncOf(membership: Membership, now: number, left: number, whole: boolean): SyncMessage {
-    const known = whole ? { known: livesKnown(membership, now) } : {};
-    return { kind: "sync", self: newsOfSelf(membership), digest: digestOf(membership, now), left, ...known };
+function syncMessage(membership: Membership, now: number, left: number, listsInstances: boolean): SyncMessage {
+    const known = listsInstances ? { known: aliveInstanceHashes(membership, now) } : {};
+    return { kind: "sync", self: newsOfSelf(membership), digest: digestOfAlive(membership, now), left, ...known };
 }
 
-/** This host says that it is leaving, at once. */
+/** Announces at once that this host is leaving. */
 export function leaveHall(state: Detector, env: DetectorEnv): DetectorStep {
-    return gossip({ ...state, membership: leave(state.membership) }, env);
+    return gossip({ ...state, membership: markLeaving(state.membership) }, env);
 }
 
 type Handlers = {
@@ -273,118 +303,132 @@
 };
 
 const HANDLERS: Handlers = {
-    probe: (state, from, { self, news = [], for: asker }, env) => {
-        const heard = hearFrom(state, news, env, self);
-        const { state: membership, news: rumours } = takeRumours(heard.membership, MOST_NEWS, env.now);
-        const told = [...correction(membership, self, env.now), ...rumours];
-        const behalf = asker === undefined ? {} : { for: asker };
-        const ack: DetectorMessage = { kind: "ack", self: stampOfSelf(membership), ...someNews(told), ...behalf };
-        const send: DetectorSend[] = [{ to: from, message: ack }];
-        // One that ran on as this host started again is named by nobody: what it asks could not be answered until views are compared.
-        if (isUnknown(membership, self)) {
-            send.push({ to: from, message: syncOf(membership, env.now, SYNC_MESSAGES, true) });
+    probe: (state, from, { self, news = [], for: requester }, env) => {
+        const updated = applyMessageNews(state, news, env, self);
+        const { state: membership, news: rumours } = takeRumours(updated.membership, MAX_NEWS_PER_MESSAGE, env.now);
+        const answerNews = [...newsToRefute(membership, self, env.now), ...rumours];
+        const forRequester = requester === undefined ? {} : { for: requester };
+        const ack: DetectorMessage = {
+            kind: "ack",
+            self: stampOfSelf(membership),
+            ...optionalNews(answerNews),
+            ...forRequester,
+        };
+        const send: AddressedDetectorMessage[] = [{ to: from, message: ack }];
+        // If this host has restarted while the sender kept running, no peer may have told it of the sender yet. Comparing views at once
+        // makes the two know each other: until then this host could not answer the sender's other messages.
+        if (isUnknownInstance(membership, self)) {
+            send.push({ to: from, message: syncMessage(membership, env.now, MAX_SYNC_MESSAGES, true) });
         }
-        return { state: { ...heard, membership }, send };
+        return { state: { ...updated, membership }, send };
     },
-    ack: (state, _from, { self, news = [], for: asker }, env) => {
-        const heard = hearFrom(state, news, env, self);
+    ack: (state, _from, { self, news = [], for: requester }, env) => {
+        const updated = applyMessageNews(state, news, env, self);
         const { name } = self;
-        const send: readonly DetectorSend[] = asker === undefined
+        const send: readonly AddressedDetectorMessage[] = requester === undefined
             ? []
-            : [{ to: asker, message: { kind: "vouch", name } }];
-        return { state: answered(heard, name), send };
+            : [{ to: requester, message: { kind: "vouch", name } }];
+        return { state: markAnswered(updated, name), send };
     },
     check: (state, from, { name }, { now }) => {
         const member = state.membership.members.get(name);
         if (!member) return { state, send: [] };
-        const { to, message } = probeOf(state.membership, member, [], now);
+        const { to, message } = probeMessageFor(state.membership, member, [], now);
         return { state, send: [{ to, message: { ...message, for: from } }] };
     },
-    vouch: (state, _from, { name }) => ({ state: answered(state, name), send: [] }),
-    gossip: (state, _from, { news }, env) => ({ state: hearFrom(state, news, env), send: [] }),
+    vouch: (state, _from, { name }) => ({ state: markAnswered(state, name), send: [] }),
+    gossip: (state, _from, { news }, env) => ({ state: applyMessageNews(state, news, env), send: [] }),
     sync: (state, from, sync, env) => {
         const { self, digest, known, left } = sync;
-        const heard = hearFrom(state, [self], env);
-        const { membership } = heard;
-        if (digestOf(membership, env.now) === digest || left <= 0) return { state: heard, send: [] };
-        const reply = syncOf(membership, env.now, left - 1, true);
-        if (!known) return { state: heard, send: [{ to: from, message: reply }] };
-        const news = [...correction(membership, self, env.now), ...lackedBy(membership, self, new Set(known), env)];
+        const updated = applyMessageNews(state, [self], env);
+        const { membership } = updated;
+        if (digestOfAlive(membership, env.now) === digest || left <= 0) return { state: updated, send: [] };
+        const reply = syncMessage(membership, env.now, left - 1, true);
+        if (!known) return { state: updated, send: [{ to: from, message: reply }] };
+        const news = [
+            ...newsToRefute(membership, self, env.now),
+            ...membersUnknownTo(membership, self, new Set(known), env),
+        ];
         const own = new Set(reply.known);
-        const lacks = known.some(life => !own.has(life)) || news.length >= MOST_MEMBERS;
-        const told: DetectorMessage[] = news.length > 0 ? [{ kind: "members", news }] : [];
-        const messages = lacks ? [...told, reply] : told;
-        return { state: heard, send: messages.map(message => ({ to: from, message })) };
+        const lacksSome = known.some(life => !own.has(life)) || news.length >= MAX_MEMBERS_PER_SYNC;
+        const memberMessages: DetectorMessage[] = news.length > 0 ? [{ kind: "members", news }] : [];
+        const messages = lacksSome ? [...memberMessages, reply] : memberMessages;
+        return { state: updated, send: messages.map(message => ({ to: from, message })) };
     },
     members: (state, _from, { news }, { now }) => ({
-        state: { ...state, membership: hear(state.membership, news, now, false) },
+        state: { ...state, membership: applyNews(state.membership, news, now, false) },
         send: [],
     }),
 };
 
 /**
- * Takes in a message of another host.
+ * Handles a message of another host.
  *
- * @param from The address that reaches the sender.
+ * @param from Address at which the sender can be reached.
  *
  * @example
  * ```ts
- * const { state: next, send } = receive(state, "10.0.0.2:7080", message, { now, everyMs: 250, random });
+ * const { state: next, send } = receiveDetectorMessage(state, "10.0.0.2:7080", message, { now, intervalMs: 250, random });
  * ```
  */
 export function receive(state: Detector, from: string, message: DetectorMessage, env: DetectorEnv): DetectorStep {
     const handler = HANDLERS[message.kind] as Handlers["probe"];
     const step = handler(state, from, message as Extract<DetectorMessage, { kind: "probe" }>, env);
-    if (env.now - step.state.gossipedAt < GOSSIP_PAUSE_MS) return step;
+    if (env.now - step.state.lastGossipAt < MIN_GOSSIP_INTERVAL_MS) return step;
     const passedOn = gossip(step.state, env);
     return { state: passedOn.state, send: [...step.send, ...passedOn.send] };
 }
 
-function someNews(news: readonly MemberNews[]): { readonly news?: readonly MemberNews[] } {
+function optionalNews(news: readonly MemberNews[]): { readonly news?: readonly MemberNews[] } {
     return news.length > 0 ? { news } : {};
 }
 
-function hearFrom(state: Detector, news: readonly MemberNews[], { now }: DetectorEnv, sender?: SelfStamp): Detector {
-    const heard = hear(state.membership, news, now);
-    const membership = sender ? hearStamp(heard, sender, now) : heard;
+function applyMessageNews(
+    state: Detector,
+    news: readonly MemberNews[],
+    { now }: DetectorEnv,
+    sender?: SelfStamp,
+): Detector {
+    const updated = applyNews(state.membership, news, now);
+    const membership = sender ? applyStamp(updated, sender, now) : updated;
     return membership === state.membership ? state : { ...state, membership };
 }
 
-function answered(state: Detector, name: string): Detector {
+function markAnswered(state: Detector, name: string): Detector {
     if (!state.waiting.has(name)) return state;
     const waiting = new Map(state.waiting);
     waiting.delete(name);
     return { ...state, waiting };
 }
 
-/** Whether the life of a sender is not known here. */
-function isUnknown({ members }: Membership, { name, start }: SelfStamp): boolean {
+/** Returns whether this host does not know the sender, or knows an earlier instance of it. */
+function isUnknownInstance({ members }: Membership, { name, start }: SelfStamp): boolean {
     return members.get(name)?.start !== start;
 }
 
-/** What is believed here of the sender, where it must deny it to be relied on again. */
-function correction(membership: Membership, sender: SelfStamp, now: number): readonly MemberNews[] {
+/** Returns what this host believes of the sender, if the sender has to refute it to be considered alive again. */
+function newsToRefute(membership: Membership, sender: SelfStamp, now: number): readonly MemberNews[] {
     const known = membership.members.get(sender.name);
     if (!known || known.start === sender.start && known.status === Status.Alive) return [];
     return [newsOfMember(known, now)];
 }
 
-/** Hosts that another lacks: those of its own hall first, then others, in an order drawn anew each time. */
-function lackedBy(
+/** Returns live hosts that another host does not know: first those of its hall, then others, each group in random order. */
+function membersUnknownTo(
     membership: Membership,
     other: MemberNews,
     known: ReadonlySet<number>,
     { now, random }: DetectorEnv,
 ): readonly MemberNews[] {
-    const lacking = aliveMembers(membership, now).filter(member =>
-        member.name !== other.name && !known.has(lifeOf(member))
+    const missing = aliveMembers(membership, now).filter(member =>
+        member.name !== other.name && !known.has(instanceHash(member))
     );
-    const near = shuffle(lacking.filter(({ hall }) => hall === other.hall), random);
-    const far = shuffle(lacking.filter(({ hall }) => hall !== other.hall), random);
-    return [...near, ...far].slice(0, MOST_MEMBERS).map(member => newsOfMember(member, now));
+    const inHall = shuffle(missing.filter(({ hall }) => hall === other.hall), random);
+    const inOtherHalls = shuffle(missing.filter(({ hall }) => hall !== other.hall), random);
+    return [...inHall, ...inOtherHalls].slice(0, MAX_MEMBERS_PER_SYNC).map(member => newsOfMember(member, now));
 }
 
-function pick<T>(items: readonly T[], random: () => number): T | undefined {
+function pickOne<T>(items: readonly T[], random: () => number): T | undefined {
     return items[Math.floor(random() * items.length)];
 }
 
--- a/packages/hall/src/endings.ts
+++ b/packages/hall/src/endings.ts
@@ -1,21 +1,21 @@
 /**
- * What hosts know of requests that were running where the life of an endpoint ended: the evidence on which requests are quarantined.
+ * Records of the requests that were running when an endpoint ended unexpectedly: the evidence on which requests are quarantined.
  *
- * A life is held once, however many hosts saw its end. What hosts tell each other is joined by life: the same news twice, or in another
- * order, comes to the same, but for the time of an ending, of which the earliest that was told is kept.
+ * A life of an endpoint is one run of its process. Each life has one record, however many hosts saw its end: hosts merge their records
+ * by life. The merge is idempotent and does not depend on the order of the news. Of several reported times it keeps the earliest.
  *
- * Pure. Times are milliseconds on one clock of the caller's choice.
+ * All functions are pure. Times are in milliseconds on one clock of the caller's choice.
  *
  * @module
  */
 
-/** A request's part in the end of a life. */
-export interface Involved {
+/** How a request was involved in the end of a life. */
+export interface Involvement {
     /** How long it had run there, in milliseconds. */
     readonly ranMs: number;
-    /** Whether it was begun there although it was known to have been at an ending. */
+    /** Whether it was already a suspect, because of an earlier ending, when it began there. */
     readonly wasSuspect: boolean;
-    /** Whether it was found to be innocent: it ran to its end since, or an operator said so. */
+    /** Whether it was cleared since: it ran to completion, or an operator lifted its quarantine. */
     readonly cleared: boolean;
 }
 
@@ -24,16 +24,16 @@
     /** Name of the life, unique among all lives of all endpoints. */
     readonly life: string;
     readonly at: number;
-    /** Version of the endpoint's software; undefined where it is not known. */
+    /** Version of the endpoint's software; undefined if it is unknown. */
     readonly software: string | undefined;
     /** Requests that ran there, by fingerprint. */
-    readonly requests: ReadonlyMap<string, Involved>;
+    readonly requests: ReadonlyMap<string, Involvement>;
 }
 
-/** Endings by the names of the lives that ended. */
+/** Endings by the name of the life that ended. */
 export type Endings = ReadonlyMap<string, Ending>;
 
-/** An ending as hosts tell each other; ages in place of times, as their clocks differ. */
+/** An ending as hosts send it to each other, with its age instead of its time, because their clocks differ. */
 export interface EndingNews {
     readonly life: string;
     readonly agoMs: number;
@@ -41,60 +41,66 @@
     readonly requests: readonly RequestNews[];
 }
 
-/** A request's part in an ending, as it is told. */
-export interface RequestNews extends Involved {
+/** A request's involvement in an ending, as hosts send it. */
+export interface RequestNews extends Involvement {
     readonly fingerprint: string;
 }
 
 /**
- * Requests of one ending that are kept, those that had run the shortest first: more than an engine has places (24), so that none is
- * left out where endpoints are used as declared.
+ * How many requests of an ending are kept at most, those that had run for the shortest time. An engine runs up to 24 requests at once,
+ * so none is dropped as long as endpoints are used as declared.
  */
 export const MOST_REQUESTS = 64;
 
-/** An ending as it is told. */
+/** Returns the news by which an ending is sent to peers. */
 export function newsOfEnding({ life, at, software, requests }: Ending, now: number): EndingNews {
-    const told = [...requests].map(([fingerprint, involved]) => ({ fingerprint, ...involved }));
-    return { life, agoMs: Math.max(0, now - at), software, requests: told };
+    const requestNews = [...requests].map(([fingerprint, involved]) => ({ fingerprint, ...involved }));
+    return { life, agoMs: Math.max(0, now - at), software, requests: requestNews };
 }
 
-/** Endings joined with one that was told, and what of it was not known. */
-export interface JoinedEnding {
+/** Result of {@link mergeEnding}: all endings, and what was new. */
+export interface MergedEnding {
     readonly endings: Endings;
-    /** Undefined where all of it was known. */
+    /** Undefined if nothing was new. */
     readonly news: EndingNews | undefined;
 }
 
 /**
- * Takes in an ending that this host saw, or that a peer told.
+ * Merges an ending that this host observed, or that a peer sent.
  *
  * @example
  * ```ts
- * joinEnding(endings, { life: "e1@7", agoMs: 0, requests: [{ fingerprint, ranMs: 120, cleared: false }] }, now).news;
+ * const requests = [{ fingerprint, ranMs: 120, wasSuspect: false, cleared: false }];
+ * mergeEnding(endings, { life: "e1@7", agoMs: 0, requests }, now).news;
  * ```
  */
-export function joinEnding(endings: Endings, told: EndingNews, now: number): JoinedEnding {
-    const known = endings.get(told.life);
-    const at = now - told.agoMs;
+export function mergeEnding(endings: Endings, received: EndingNews, now: number): MergedEnding {
+    const known = endings.get(received.life);
+    const at = now - received.agoMs;
     const requests = new Map(known?.requests);
-    const news: RequestNews[] = [];
-    for (const { fingerprint, ...involved } of told.requests) {
+    const added: RequestNews[] = [];
+    for (const { fingerprint, ...involved } of received.requests) {
         const before = requests.get(fingerprint);
-        const joined = before ? joinInvolved(before, involved) : involved;
-        if (before && isSame(before, joined)) continue;
-        requests.set(fingerprint, joined);
-        news.push({ fingerprint, ...joined });
+        const merged = before ? mergeInvolvement(before, involved) : involved;
+        if (before && isSameInvolvement(before, merged)) continue;
+        requests.set(fingerprint, merged);
+        added.push({ fingerprint, ...merged });
     }
-    if (known && news.length === 0) return { endings, news: undefined };
-    const software = known?.software ?? told.software;
-    const ending = { life: told.life, at: Math.min(known?.at ?? at, at), software, requests: bounded(requests) };
+    if (known && added.length === 0) return { endings, news: undefined };
+    const software = known?.software ?? received.software;
+    const ending = {
+        life: received.life,
+        at: Math.min(known?.at ?? at, at),
+        software,
+        requests: dropLongestRunning(requests),
+    };
     return {
-        endings: new Map(endings).set(told.life, ending),
-        news: { life: told.life, agoMs: Math.max(0, now - ending.at), software, requests: news },
+        endings: new Map(endings).set(received.life, ending),
+        news: { life: received.life, agoMs: Math.max(0, now - ending.at), software, requests: added },
     };
 }
 
-function joinInvolved(a: Involved, b: Involved): Involved {
+function mergeInvolvement(a: Involvement, b: Involvement): Involvement {
     return {
         ranMs: Math.max(a.ranMs, b.ranMs),
         wasSuspect: a.wasSuspect || b.wasSuspect,
@@ -102,25 +108,25 @@
     };
 }
 
-function isSame(a: Involved, b: Involved): boolean {
+function isSameInvolvement(a: Involvement, b: Involvement): boolean {
     return a.ranMs === b.ranMs && a.wasSuspect === b.wasSuspect && a.cleared === b.cleared;
 }
 
-function bounded(requests: ReadonlyMap<string, Involved>): ReadonlyMap<string, Involved> {
+function dropLongestRunning(requests: ReadonlyMap<string, Involvement>): ReadonlyMap<string, Involvement> {
     if (requests.size <= MOST_REQUESTS) return requests;
     const sorted = [...requests].sort(([a, { ranMs: ranA }], [b, { ranMs: ranB }]) => ranA - ranB || (a < b ? -1 : 1));
     return new Map(sorted.slice(0, MOST_REQUESTS));
 }
 
 /**
- * What clears a request of the endings that are known: each of them as news, to be joined here and told.
+ * Returns the news that clears a request of all known endings, to be merged here and sent to peers.
  *
  * @example
  * ```ts
- * clearingOf(endings, fingerprint, now).length; // in how many endings it was involved and is no more
+ * clearingNews(endings, fingerprint, now).length; // number of endings that were held against it
  * ```
  */
-export function clearingOf(endings: Endings, fingerprint: string, now: number): readonly EndingNews[] {
+export function clearingNews(endings: Endings, fingerprint: string, now: number): readonly EndingNews[] {
     const news: EndingNews[] = [];
     for (const { life, at, software, requests } of endings.values()) {
         const involved = requests.get(fingerprint);
@@ -131,38 +137,38 @@
 }
 
 /**
- * The name under which the end of a life is told. Where what ran had begun after the known end of the life of that name, the endpoint
- * had started again and its next life was not known yet by its own name.
+ * Returns the name under which the end of a life is recorded. If a life of this name has ended before the requests began, the endpoint
+ * has restarted and the name of its new life was not known yet: the name gets a number.
  *
- * @param beganAt When the first of what ran there was begun.
+ * @param firstBeganAt When the first of the requests that were running began.
  *
  * @example
  * ```ts
- * nameOfEnded(endings, "e1@7", now - 120); // "e1@7", or "e1@7#2" where that had ended before
+ * nameOfEndedLife(endings, "e1@7", now - 120); // "e1@7", or "e1@7#2" if e1@7 had ended before that time
  * ```
  */
-export function nameOfEnded(endings: Endings, life: string, beganAt: number): string {
+export function nameOfEnded(endings: Endings, life: string, firstBeganAt: number): string {
     let name = life;
-    for (let number = 2; (endings.get(name)?.at ?? Infinity) < beganAt; number++) name = `${life}#${number}`;
+    for (let number = 2; (endings.get(name)?.at ?? Infinity) < firstBeganAt; number++) name = `${life}#${number}`;
     return name;
 }
 
 const FNV_BASIS = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** A number by which two hosts see whether they know of the same endings; their order and times change nothing. */
+/** Returns a digest by which two hosts compare the endings that they know. It does not depend on order or times. */
 export function digestOfEndings(endings: Endings): number {
     let digest = 0;
     for (const { life, requests } of endings.values()) {
         for (const [fingerprint, { wasSuspect, cleared }] of requests) {
-            digest ^= hashOf(`${life}/${fingerprint}/${wasSuspect}/${cleared}`);
+            digest ^= fnv1a(`${life}/${fingerprint}/${wasSuspect}/${cleared}`);
         }
     }
     return digest >>> 0;
 }
 
-function hashOf(text: string): number {
+function fnv1a(text: string): number {
     let hash = FNV_BASIS;
-    for (let at = 0; at < text.length; at++) hash = Math.imul(hash ^ text.charCodeAt(at), FNV_PRIME);
+    for (let index = 0; index < text.length; index++) hash = Math.imul(hash ^ text.charCodeAt(index), FNV_PRIME);
     return hash;
 }
--- a/packages/hall/src/endpoint-notices.ts
+++ b/packages/hall/src/endpoint-notices.ts
@@ -1,59 +1,59 @@
 /**
- * What endpoints say of themselves, as hosts tell each other of it: a host whose part of a limit is nothing gets no answers
- * that would tell it that the limit is over, and one that has just started has heard of none.
+ * Notices by which hosts pass on what endpoints announce in their answers: rate limits, and that they are leaving. A host whose share of
+ * a rate limit is zero gets no answers and would not learn that the limit is lifted; a host that has just started knows of no limit.
  *
- * Pure. Times are milliseconds on each host's own clock; ages travel.
+ * All functions are pure. Times are in milliseconds on each host's own clock; hosts send each other ages.
  *
  * @module
  */
 import { type EndpointView, type Said, saysLeaving } from "@drumpaddle/policy";
 
-/** What an endpoint said, as a peer is told. */
+/** What an endpoint announced, as hosts send it to peers. */
 export interface EndpointWord {
     readonly endpoint: string;
-    /** Whether it said that it is leaving; that holds for its life. */
+    /** Whether it announced that it is leaving. That holds until its process ends. */
     readonly leaves: boolean;
-    /** What it said last of a limit; absent where it named none lately. */
-    readonly limit?: LimitWord;
+    /** Its last announcement of a rate limit; absent if there was none lately. */
+    readonly limit?: LimitNotice;
 }
 
-/** What an endpoint said last of the requests that it takes. */
-export interface LimitWord {
-    /** Requests a second from all hosts together; absent where its limit is over. */
+/** An endpoint's announcement of its rate limit, or of the limit's end. */
+export interface LimitNotice {
+    /** Requests per second from all hosts together; absent if the limit is lifted. */
     readonly perS?: number;
-    /** How long ago it said so, in milliseconds. */
+    /** Age of the announcement in milliseconds. */
     readonly agoMs: number;
 }
 
-/** That a limit is over is told for this long: by then all hosts have heard of it. */
-const OVER_TOLD_MS = 30_000;
+/** The end of a limit is told to peers for this long. By then all hosts know it. */
+const LIMIT_END_TOLD_MS = 30_000;
 
 /**
- * All that is worth telling of what endpoints said.
+ * Returns the notices of all endpoints that have announced something.
  *
  * @example
  * ```ts
- * wordsToTell(scheduler.endpoints.values(), now); // [{ endpoint: "i-7", leaves: false, limit: { perS: 2.3, agoMs: 120 } }]
+ * noticesToTell(scheduler.endpoints.values(), now); // [{ endpoint: "i-7", leaves: false, limit: { perS: 2.3, agoMs: 120 } }]
  * ```
  */
 export function wordsToTell(views: readonly EndpointView[], now: number): readonly EndpointWord[] {
     return views.flatMap(view => wordOf(view, now) ?? []);
 }
 
-/** What an endpoint said, as a peer is told; undefined where nothing of it is worth telling. */
+/** Returns the notice of one endpoint, or undefined if there is nothing to tell. */
 export function wordOf(view: EndpointView, now: number): EndpointWord | undefined {
     const { cfg: { id: endpoint }, said } = view;
     const leaves = saysLeaving(view);
-    const isNews = said && (said.limitPerS !== undefined || now - said.at <= OVER_TOLD_MS);
+    const isNews = said && (said.limitPerS !== undefined || now - said.at <= LIMIT_END_TOLD_MS);
     if (!isNews) return leaves ? { endpoint, leaves } : undefined;
     const perS = said.limitPerS === undefined ? {} : { perS: said.limitPerS };
     return { endpoint, leaves, limit: { ...perS, agoMs: Math.max(0, now - said.at) } };
 }
 
 /**
- * What an endpoint said of its limit, as a peer has told. A message that was held up makes it look newer than it is: what the endpoint
- * says in its next answer, to any host, corrects that.
+ * Converts a peer's notice of a limit to an announcement of the endpoint. If the message was delayed, the announcement seems newer than
+ * it is. The endpoint's next answer to any host corrects that.
  */
-export function saidOf({ perS, agoMs }: LimitWord, now: number): Said {
+export function saidOf({ perS, agoMs }: LimitNotice, now: number): Said {
     return { limitPerS: perS, at: now - agoMs };
 }
--- a/packages/hall/src/index.ts
+++ b/packages/hall/src/index.ts
@@ -1,51 +1,51 @@
-export { type Charge, ENDINGS_TO_QUARANTINE, judge, MOMENT_MS } from "./assessment.js";
-export { capacityOf, type HostSize, type Rated, weightOf, weightsOf } from "./capacity.js";
+export { assessRequests, type Charge, ENDINGS_TO_QUARANTINE, SIMULTANEOUS_MS } from "./assessment.js";
+export { capacityOf, type HostCapacity, type HostResources, weightOf, weightsOf } from "./capacity.js";
 export {
+    type AddressedDetectorMessage,
     createDetector,
     type Detector,
     type DetectorEnv,
     type DetectorMessage,
-    type DetectorSend,
     type DetectorStep,
     leaveHall,
     receive,
     tick,
 } from "./detector.js";
 export {
-    clearingOf,
+    clearingNews,
     type Ending,
     type EndingNews,
     type Endings,
-    type Involved,
-    joinEnding,
+    type Involvement,
+    mergeEnding,
     MOST_REQUESTS,
     nameOfEnded,
     type RequestNews,
 } from "./endings.js";
-export { type EndpointWord, type LimitWord, saidOf, wordOf, wordsToTell } from "./endpoint-notices.js";
-export { cut, type Place, placeIn, shareOf } from "./limit-share.js";
+export { type EndpointWord, type LimitNotice, saidOf, wordOf, wordsToTell } from "./endpoint-notices.js";
+export { placeIn, type ShareIndex, shareOf, splitLimit } from "./limit-share.js";
 export {
-    type Account,
-    addGrant,
-    curveOf,
-    dropStale,
+    decodeCurve,
+    dropExpiredLoads,
     EMPTY_ACCOUNT,
     type Grant,
     type Held,
-    HELD_VALID_MS,
     heldOf,
-    type Holding,
-    NOTHING_TOLD,
-    othersFor,
-    planTelling,
-    REPEAT_MS,
-    takeHeld,
+    LOAD_REPEAT_MS,
+    LOAD_TTL_MS,
+    type LoadAccount,
+    loadOfOthers,
+    type LocalLoad,
+    NOTHING_REPORTED,
+    planReports,
+    recordGrant,
+    recordLoads,
+    type ReportedLoads,
     TELL_OWNERS_MS,
     tellEvery,
-    type Told,
 } from "./load-account.js";
 export {
-    type Addressed,
+    type AddressedLoadMessage,
     createShare,
     endpointOwner,
     hostsEvent,
@@ -59,23 +59,23 @@
 } from "./load-exchange.js";
 export {
     aliveMembers,
+    applyNews,
     createMembership,
-    hear,
     type HostInfo,
     isAlive,
-    leave,
     listHosts,
     liveHosts,
     liveInHall,
+    markLeaving,
     type Member,
     type MemberNews,
     type Membership,
     ratedHosts,
     Status,
-    SUSPECT_MS,
+    SUSPICION_TIMEOUT_MS,
     unheardCandidates,
 } from "./membership.js";
-export { EQUAL, ownerOf, rank, WATCHERS, watches, type Weights } from "./ownership.js";
+export { EQUAL_WEIGHTS, ownerOf, rank, WATCHERS_PER_HALL, watches, type Weights } from "./ownership.js";
 export {
     allNews,
     type Asked,
@@ -116,12 +116,12 @@
     type VersionNews,
 } from "./settings-exchange.js";
 export {
+    decodeSamples,
+    decodeSpeed,
+    type EncodedSamples,
+    type EncodedSpeed,
     SHOWN_WORDS,
-    shownOf,
-    type ShownWords,
     shownWords,
-    speedOf,
-    type SpeedWords,
     speedWords,
 } from "./speed-encoding.js";
 export { isAfter, isFurther, NO_POSITION, type StorePosition, type StoreProgress } from "./store-position.js";
@@ -131,7 +131,7 @@
     type FollowPlan,
     hearProgress,
     hearWatcher,
-    JOIN_MS,
+    JOIN_GRACE_MS,
     planFollowing,
     type StoreHeard,
     type WatchReason,
--- a/packages/hall/src/limit-share.ts
+++ b/packages/hall/src/limit-share.ts
@@ -1,45 +1,45 @@
 /**
- * How a workspace's limits are split: over halls, and within a hall over its live hosts. Shares of whole numbers are cut
- * so that they add up to the limit exactly: a hall that is cut off, or a host that sees no other, stays within its own.
+ * Splits a workspace's limits over halls, and a hall's part over its live hosts. The integer shares add up to the limit exactly. A
+ * partitioned hall, or a host that sees no peers, still enforces its own share only.
  *
  * @module
  */
 import type { WorkspaceLimits } from "@drumpaddle/policy";
 
-/** One of several equal places: its index among `of`, both from a list that all sort alike. */
-export interface Place {
+/** One of `of` equal shares, by its index. All hosts take both from the same sorted list. */
+export interface ShareIndex {
     readonly index: number;
     readonly of: number;
 }
 
 /**
- * The share of a whole number at one of several places; the shares of all places add up to the number.
+ * Returns one of several integer shares of a limit. Together the shares add up to the limit.
  *
  * @example
  * ```ts
- * [0, 1, 2].map(index => cut(10, { index, of: 3 })); // [3, 3, 4]
+ * [0, 1, 2].map(index => splitLimit(10, { index, of: 3 })); // [3, 3, 4]
  * ```
  */
-export function cut(limit: number, { index, of }: Place): number {
+export function splitLimit(limit: number, { index, of }: ShareIndex): number {
     return Math.floor(limit * (index + 1) / of) - Math.floor(limit * index / of);
 }
 
-/** The place of a name in a list; the only place where the list does not hold it. */
-export function placeIn(name: string, names: readonly string[]): Place {
+/** Returns the share of a name from a list. A name that is not in the list gets the only share, thus the whole. */
+export function placeIn(name: string, names: readonly string[]): ShareIndex {
     const index = names.indexOf(name);
     return index < 0 ? { index: 0, of: 1 } : { index, of: names.length };
 }
 
 /**
- * A host's share of a workspace's limits.
+ * Returns a host's share of a workspace's limits.
  *
  * @example
  * ```ts
- * shareOf(limits, placeIn("k1", halls), placeIn("k1-a", liveHosts(membership, now)));
+ * hostShareOfLimits(limits, shareIndexIn("k1", halls), shareIndexIn("k1-a", liveHosts(membership, now)));
  * ```
  */
-export function shareOf(limits: WorkspaceLimits, hall: Place, host: Place): WorkspaceLimits {
-    const share = (limit: number): number => cut(cut(limit, hall), host);
+export function shareOf(limits: WorkspaceLimits, hall: ShareIndex, host: ShareIndex): WorkspaceLimits {
+    const share = (limit: number): number => splitLimit(splitLimit(limit, hall), host);
     return {
         requestsPerMinute: share(limits.requestsPerMinute),
         tokensPerMinute: share(limits.tokensPerMinute),
--- a/packages/hall/src/load-account.ts
+++ b/packages/hall/src/load-account.ts
@@ -1,12 +1,12 @@
 /**
- * What the hosts of a hall hold on shared endpoints: each host tells an endpoint's owner what its own streams hold and
- * will hold; the owner tells each what the others do. Only changes are sent.
+ * Load that the hosts of a hall put on shared endpoints. Each host reports to an endpoint's owner the load of its own streams, now and
+ * as expected. The owner reports to each host the load of the others. Only changes are sent.
  *
- * The account is soft: what is lost is sent again when it next changes or grows old, and what a silent host held is
- * dropped after {@link HELD_VALID_MS}. A new owner has the account as soon as the holders have spoken, which they do at
- * once when they see that the owner changed.
+ * The owner's account is soft state: a lost report is replaced by the next one, which comes with the next change or after
+ * {@link LOAD_REPEAT_MS}, and the load of a silent host expires after {@link LOAD_TTL_MS}. Hosts report at once when the owner of an
+ * endpoint changes, so that a new owner soon has a complete account.
  *
- * Pure: every function returns the next state.
+ * All functions are pure: they return the next state.
  *
  * @module
  */
@@ -19,106 +19,108 @@
     shownSince,
     zeroCurve,
 } from "@drumpaddle/policy";
-import { type ShownWords, shownWords, speedOf, type SpeedWords } from "./speed-encoding.js";
+import { decodeSpeed, type EncodedSamples, type EncodedSpeed, shownWords } from "./speed-encoding.js";
 
-/** What one host holds on one endpoint. */
+/** The load of one host, or of several, on one endpoint, as hosts send it to each other. */
 export interface Held {
     readonly endpoint: string;
     readonly streams: number;
-    /** Prompt tokens of those that have not begun. */
+    /** Prompt tokens of streams that have not produced a token yet. */
     readonly unread: number;
-    /** Streams that wait too long for their first token. */
+    /** Streams that have waited too long for their first token. */
     readonly stalled: number;
-    /** Mean of the memory at each point of the horizon, in units of {@link TOKENS_PER_UNIT} tokens. */
+    /** Expected memory at each point of the forecast horizon, in units of {@link TOKENS_PER_UNIT} tokens. */
     readonly mean: readonly number[];
-    /** Its standard deviation, in the same units. */
+    /** Standard deviation of the memory, in the same units. */
     readonly deviation: readonly number[];
-    /** Told to owners: what its streams showed of the endpoint's speed since it was last told; absent where that is nothing. */
-    readonly shown?: ShownWords;
-    /** Told by owners: what all streams showed of it; absent where they showed nothing. */
-    readonly speed?: SpeedWords;
+    /** In reports to owners: speed samples since the last report; absent if there are none. */
+    readonly shown?: EncodedSamples;
+    /** In reports of owners: the speed estimated from the samples of all hosts; absent if there are none. */
+    readonly speed?: EncodedSpeed;
 }
 
-/** What one host holds on one endpoint, with all that its streams ever showed of its speed. */
-export interface Holding extends Held {
+/** This host's load on one endpoint, with the sums of all speed samples of its streams so far. */
+export interface LocalLoad extends Held {
     readonly allShown?: Shown;
 }
 
-/** What an owner has been told, by endpoint and host, with what it granted since. */
-export interface Account {
-    readonly held: ReadonlyMap<string, Tally>;
+/** An owner's account: the loads that hosts reported, and the grants since. */
+export interface LoadAccount {
+    /** By endpoint. */
+    readonly tallies: ReadonlyMap<string, Tally>;
 }
 
-/** What all hosts hold on one endpoint, with the sum over them: it is asked for with every request. */
+/** The loads of all hosts on one endpoint. Their sum is kept because every request needs it. */
 interface Tally {
-    readonly hosts: ReadonlyMap<string, Entry>;
+    readonly hosts: ReadonlyMap<string, HostEntry>;
     readonly sum: Others;
 }
 
-/** What one host holds on one endpoint by the account. */
-interface Entry {
-    /** What it told, and what was granted to it since. */
+/** One host's load on one endpoint. */
+interface HostEntry {
+    /** The host's last report, plus what was granted to it since. */
     readonly others: Others;
     readonly at: number;
 }
 
-/** What a host has told owners, so that it says only what is new. */
-export interface Told {
-    readonly last: ReadonlyMap<string, ToldHeld>;
+/** A host's last reports to owners, so that it sends only changes. */
+export interface ReportedLoads {
+    /** By endpoint. */
+    readonly last: ReadonlyMap<string, ReportedLoad>;
 }
 
-interface ToldHeld {
+interface ReportedLoad {
     readonly owner: string;
-    readonly held: Holding;
+    readonly load: LocalLoad;
     readonly at: number;
 }
 
-/** What a host held counts for this long after it was last said. */
-export const HELD_VALID_MS = 15_000;
-/** Unchanged holdings are said again this often. */
-export const REPEAT_MS = 4_000;
-/** How often owners tell hosts in a hall of up to {@link SMALL_ROUND} hosts, in milliseconds. */
-const TELL_MS = 250;
-const SMALL_ROUND = 2.5;
-/** Up to this many hosts rounds are short: what they send then still fits the budget of a host. */
-const FEW_HOSTS = 12;
-const FEW_HOSTS_TELL_MS = 100;
+/** A host's load counts for this long after its last report. */
+export const LOAD_TTL_MS = 15_000;
+/** Unchanged loads are reported again after this. */
+export const LOAD_REPEAT_MS = 4_000;
+/** In a larger hall the interval of an owner's reports to hosts is this for each {@link OWNER_REPORT_HOSTS} hosts. */
+const OWNER_REPORT_MS = 250;
+const OWNER_REPORT_HOSTS = 2.5;
+/** In a hall of up to this many hosts, owners report at a short fixed interval; the traffic stays within a host's budget. */
+const SMALL_HALL_HOSTS = 12;
+const SMALL_HALL_OWNER_REPORT_MS = 100;
 
-/** How often hosts of larger halls tell owners what they hold: what an owner advises by is this old at most. */
+/** Interval at which hosts of larger halls report to owners, thus the largest age of the loads that an owner decides by. */
 export const TELL_OWNERS_MS = 250;
 
 /**
- * How often owners tell hosts what others hold: more rarely in larger halls, where asking owners carries what rounds no
- * longer do.
+ * Returns the interval of an owner's reports to hosts, in milliseconds. It grows with the hall; in larger halls hosts ask owners where to
+ * send requests instead of relying on reports.
  *
  * @example
  * ```ts
- * tellEvery(9); // 100
- * tellEvery(58); // 5800
+ * ownerReportIntervalMs(9); // 100
+ * ownerReportIntervalMs(58); // 5800
  * ```
  */
 export function tellEvery(hosts: number): number {
-    if (hosts <= FEW_HOSTS) return FEW_HOSTS_TELL_MS;
-    return Math.round(TELL_MS * Math.max(1, hosts / SMALL_ROUND));
+    if (hosts <= SMALL_HALL_HOSTS) return SMALL_HALL_OWNER_REPORT_MS;
+    return Math.round(OWNER_REPORT_MS * Math.max(1, hosts / OWNER_REPORT_HOSTS));
 }
-/** A change of the expected memory by this share is worth saying. */
-const CHANGE_SHARE = 0.03;
 
-/** An owner that has been told nothing. */
-export const EMPTY_ACCOUNT: Account = { held: new Map() };
-/** A host that has told nothing. */
-export const NOTHING_TOLD: Told = { last: new Map() };
+/** A change of the expected memory by more than this fraction is reported. */
+const MIN_MEMORY_CHANGE = 0.03;
 
-/** Holdings are sent in units of so many tokens, which keeps nearly all numbers in three bytes. */
+/** The account of an owner without any reports. */
+export const EMPTY_ACCOUNT: LoadAccount = { tallies: new Map() };
+/** The state of a host that has reported nothing. */
+export const NOTHING_REPORTED: ReportedLoads = { last: new Map() };
+
+/** Memory is sent in units of this many tokens, so that nearly all numbers take at most three bytes. */
 const TOKENS_PER_UNIT = 16;
 
 /**
- * A host's holdings on an endpoint, as they are sent: in units, and variances as standard deviations, so that they pack
- * small.
+ * Encodes a load on an endpoint compactly: memory in units of {@link TOKENS_PER_UNIT}, and standard deviations instead of variances.
  *
  * @example
  * ```ts
- * heldOf("e1", { streams: view.streams.size, unread: unreadTokens(view), stalled: 0, curve: view.curve });
+ * encodeLoad("e1", { streams: view.streams.size, unread: unreadTokens(view), stalled: 0, curve: view.curve });
  * ```
  */
 export function heldOf(endpoint: string, { streams, unread, stalled, curve }: Others): Held {
@@ -128,73 +130,86 @@
 }
 
 /**
- * Which of a host's holdings are worth saying now, by owner.
+ * Returns the loads that a host reports now, by owner: those that have changed, have a new owner or are due for a repeat.
  *
  * @example
  * ```ts
- * const { state, toSay } = planTelling(told, holdings, endpoint => ownerOf(`endpoint/${endpoint}`, live), now);
+ * const { state, reports } = planReports(reported, loads, endpoint => ownerOf(`endpoint/${endpoint}`, live), now);
  * ```
  */
-export function planTelling(
-    told: Told,
-    holdings: readonly Holding[],
+export function planReports(
+    reported: ReportedLoads,
+    loads: readonly LocalLoad[],
     ownerOf: (endpoint: string) => string | undefined,
     now: number,
-): { readonly state: Told; readonly toSay: ReadonlyMap<string, readonly Held[]> } {
-    const last = new Map(told.last);
+): { readonly state: ReportedLoads; readonly reports: ReadonlyMap<string, readonly Held[]> } {
+    const last = new Map(reported.last);
     const toSay = new Map<string, Held[]>();
-    for (const held of holdings) {
-        const owner = ownerOf(held.endpoint);
-        const before = last.get(held.endpoint);
-        const shown = shownSince(held.allShown ?? NOTHING_SHOWN, before?.held.allShown ?? NOTHING_SHOWN);
-        if (owner === undefined || !shown && !worthSaying(before, held, owner, now)) continue;
-        last.set(held.endpoint, { owner, held, at: now });
-        const said = withShown(held, shown);
-        const list = toSay.get(owner);
-        if (list) list.push(said);
-        else toSay.set(owner, [said]);
+    for (const load of loads) {
+        const owner = ownerOf(load.endpoint);
+        const previous = last.get(load.endpoint);
+        const newSamples = shownSince(load.allShown ?? NOTHING_SHOWN, previous?.load.allShown ?? NOTHING_SHOWN);
+        if (owner === undefined || !newSamples && !shouldReport(previous, load, owner, now)) continue;
+        last.set(load.endpoint, { owner, load: load, at: now });
+        const report = withNewSamples(load, newSamples);
+        const ownerReports = toSay.get(owner);
+        if (ownerReports) ownerReports.push(report);
+        else toSay.set(owner, [report]);
     }
-    return { state: { last }, toSay };
+    return { state: { last }, reports: toSay };
 }
 
-/** Holdings as they are sent: with what is new of what was shown, in place of all of it. */
-function withShown({ endpoint, streams, unread, stalled, mean, deviation }: Holding, shown: Shown | undefined): Held {
-    return { endpoint, streams, unread, stalled, mean, deviation, ...(shown ? { shown: shownWords(shown) } : {}) };
+/** Returns a load for a report: with the new speed samples instead of all samples. */
+function withNewSamples(
+    { endpoint, streams, unread, stalled, mean, deviation }: LocalLoad,
+    newSamples: Shown | undefined,
+): Held {
+    return {
+        endpoint,
+        streams,
+        unread,
+        stalled,
+        mean,
+        deviation,
+        ...(newSamples ? { shown: shownWords(newSamples) } : {}),
+    };
 }
 
-function worthSaying(
-    last: ToldHeld | undefined,
-    held: Held,
+function shouldReport(
+    last: ReportedLoad | undefined,
+    load: Held,
     owner: string,
     now: number,
 ): boolean {
-    if (!last || last.owner !== owner) return holdsAny(held);
-    if (!holdsAny(held) && !holdsAny(last.held)) return false;
-    return now - last.at >= REPEAT_MS || isNews(last.held, held);
+    if (!last || last.owner !== owner) return isHolding(load);
+    if (!isHolding(load) && !isHolding(last.load)) return false;
+    return now - last.at >= LOAD_REPEAT_MS || hasChanged(last.load, load);
 }
 
-/** Whether a host's holdings differ from those that were said last by enough to say them again. */
-export function isNews(last: Held, held: Held): boolean {
-    if (held.streams !== last.streams || held.unread !== last.unread || held.stalled !== last.stalled) return true;
-    if (isOtherSpeed(last.speed, held.speed)) return true;
-    return held.mean.some((mean, at) => Math.abs(mean - last.mean[at]!) > CHANGE_SHARE * Math.max(1, last.mean[at]!));
+/** Returns whether a load differs enough from the last reported one to be reported again. */
+export function hasChanged(last: Held, load: Held): boolean {
+    if (load.streams !== last.streams || load.unread !== last.unread || load.stalled !== last.stalled) return true;
+    if (hasSpeedChanged(last.speed, load.speed)) return true;
+    return load.mean.some((mean, at) =>
+        Math.abs(mean - last.mean[at]!) > MIN_MEMORY_CHANGE * Math.max(1, last.mean[at]!)
+    );
 }
 
-/** Whether a speed was not known yet, or lies outside of what was said with its uncertainty. */
-function isOtherSpeed(last: SpeedWords | undefined, speed: SpeedWords | undefined): boolean {
+/** Returns whether a speed is new, or differs from the reported one by more than its standard deviation. */
+function hasSpeedChanged(last: EncodedSpeed | undefined, speed: EncodedSpeed | undefined): boolean {
     if (!last || !speed) return last !== speed;
-    const { value, weight } = speedOf(last);
-    return (speedOf(speed).value - value) ** 2 * weight > 1;
+    const { value, weight } = decodeSpeed(last);
+    return (decodeSpeed(speed).value - value) ** 2 * weight > 1;
 }
 
-/** Copies of streams hold memory without being streams. */
-function holdsAny({ streams, mean }: Held): boolean {
+/** Returns whether a host has any load on an endpoint. Standby copies of streams hold memory but do not count as streams. */
+function isHolding({ streams, mean }: Held): boolean {
     return streams > 0 || mean[0]! > 0;
 }
 
-const NO_TALLY: Tally = { hosts: new Map(), sum: { streams: 0, unread: 0, stalled: 0, curve: zeroCurve() } };
+const EMPTY_TALLY: Tally = { hosts: new Map(), sum: { streams: 0, unread: 0, stalled: 0, curve: zeroCurve() } };
 
-function plus(a: Others, b: Others, sign: 1 | -1): Others {
+function addLoad(a: Others, b: Others, sign: 1 | -1): Others {
     return {
         streams: a.streams + sign * b.streams,
         unread: a.unread + sign * b.unread,
@@ -203,78 +218,83 @@
     };
 }
 
-function withEntry({ hosts, sum }: Tally, host: string, entry: Entry): Tally {
+function withEntry({ hosts, sum }: Tally, host: string, entry: HostEntry): Tally {
     const known = hosts.get(host);
-    const rest = known ? plus(sum, known.others, -1) : sum;
-    return { hosts: new Map(hosts).set(host, entry), sum: plus(rest, entry.others, 1) };
+    const rest = known ? addLoad(sum, known.others, -1) : sum;
+    return { hosts: new Map(hosts).set(host, entry), sum: addLoad(rest, entry.others, 1) };
 }
 
-/** What was sent of one endpoint. */
-export function othersOf(held: Held): Others {
-    return { streams: held.streams, unread: held.unread, stalled: held.stalled, curve: curveOf(held) };
+/** Decodes a load. */
+export function decodeLoad(encoded: Held): Others {
+    return { streams: encoded.streams, unread: encoded.unread, stalled: encoded.stalled, curve: decodeCurve(encoded) };
 }
 
-/** The account after a host told what it holds. Anything of another shape than a {@link Held} is left out. */
-export function takeHeld(account: Account, host: string, holdings: readonly Held[], now: number): Account {
-    if (holdings.length === 0) return account;
-    const next = new Map(account.held);
-    for (const held of holdings) {
-        const tally = next.get(held.endpoint) ?? NO_TALLY;
-        next.set(held.endpoint, withEntry(tally, host, { others: othersOf(held), at: now }));
+/** Records a host's report in an owner's account. */
+export function recordLoads(account: LoadAccount, host: string, loads: readonly Held[], now: number): LoadAccount {
+    if (loads.length === 0) return account;
+    const next = new Map(account.tallies);
+    for (const load of loads) {
+        const tally = next.get(load.endpoint) ?? EMPTY_TALLY;
+        next.set(load.endpoint, withEntry(tally, host, { others: decodeLoad(load), at: now }));
     }
-    return { held: next };
+    return { tallies: next };
 }
 
-/** The account without what hosts said so long ago that it no longer counts. */
-export function dropStale(account: Account, now: number): Account {
-    const held = new Map<string, Tally>();
-    for (const [endpoint, tally] of account.held) {
-        const fresh = [...tally.hosts].filter(([, { at }]) => now - at <= HELD_VALID_MS);
+/** Drops loads whose last report is older than {@link LOAD_TTL_MS}. */
+export function dropExpiredLoads(account: LoadAccount, now: number): LoadAccount {
+    const tallies = new Map<string, Tally>();
+    for (const [endpoint, tally] of account.tallies) {
+        const fresh = [...tally.hosts].filter(([, { at }]) => now - at <= LOAD_TTL_MS);
         if (fresh.length === 0) continue;
         const sum = fresh.length === tally.hosts.size
             ? tally.sum
-            : fresh.reduce((total, [, { others }]) => plus(total, others, 1), NO_TALLY.sum);
-        held.set(endpoint, { hosts: new Map(fresh), sum });
+            : fresh.reduce((total, [, { others }]) => addLoad(total, others, 1), EMPTY_TALLY.sum);
+        tallies.set(endpoint, { hosts: new Map(fresh), sum });
     }
-    return { held };
+    return { tallies };
 }
 
 /**
- * What hosts other than `host` hold on an endpoint by the account.
+ * Returns the load of all hosts other than `host` on an endpoint.
  *
  * @example
  * ```ts
- * othersFor(account, "e1", "k1-a").streams;
+ * loadOfOthers(account, "e1", "k1-a").streams;
  * ```
  */
-export function othersFor(account: Account, endpoint: string, host: string): Others {
-    const { hosts, sum } = account.held.get(endpoint) ?? NO_TALLY;
-    const own = hosts.get(host);
-    return own ? plus(sum, own.others, -1) : sum;
+export function loadOfOthers(account: LoadAccount, endpoint: string, host: string): Others {
+    const { hosts, sum } = account.tallies.get(endpoint) ?? EMPTY_TALLY;
+    const ownEntry = hosts.get(host);
+    return ownEntry ? addLoad(sum, ownEntry.others, -1) : sum;
 }
 
-/** What an owner granted to a host: a stream, or a copy, which holds memory without any work. */
+/** Room that an owner granted to a host: for a stream, or for a standby copy, which holds memory but needs no computation. */
 export interface Grant {
     readonly endpoint: string;
     readonly kind: "stream" | "copy";
     readonly curve: Curve;
 }
 
-/** The account after a grant, which counts until the host next tells what it holds there. */
-export function addGrant(account: Account, host: string, { endpoint, kind, curve }: Grant, now: number): Account {
-    const tally = account.held.get(endpoint) ?? NO_TALLY;
-    const before = tally.hosts.get(host)?.others ?? NO_TALLY.sum;
-    // A granted stream holds its prompt, which is still to be read.
+/** Records a grant. It counts until the host's next report for the endpoint. */
+export function recordGrant(
+    account: LoadAccount,
+    host: string,
+    { endpoint, kind, curve }: Grant,
+    now: number,
+): LoadAccount {
+    const tally = account.tallies.get(endpoint) ?? EMPTY_TALLY;
+    const previous = tally.hosts.get(host)?.others ?? EMPTY_TALLY.sum;
+    // A granted stream starts with its prompt, all of which is unread.
     const isStream = kind === "stream";
     const granted: Others = { streams: isStream ? 1 : 0, unread: isStream ? curve.mean[0]! : 0, stalled: 0, curve };
-    const entry: Entry = { others: plus(before, granted, 1), at: now };
-    return { held: new Map(account.held).set(endpoint, withEntry(tally, host, entry)) };
+    const entry: HostEntry = { others: addLoad(previous, granted, 1), at: now };
+    return { tallies: new Map(account.tallies).set(endpoint, withEntry(tally, host, entry)) };
 }
 
-/** A curve from what was sent. */
-export function curveOf(held: Held): Curve {
+/** Decodes the forecast of memory of a load. */
+export function decodeCurve(encoded: Held): Curve {
     return {
-        mean: Float64Array.from(held.mean, units => units * TOKENS_PER_UNIT),
-        variance: Float64Array.from(held.deviation, units => (units * TOKENS_PER_UNIT) ** 2),
+        mean: Float64Array.from(encoded.mean, units => units * TOKENS_PER_UNIT),
+        variance: Float64Array.from(encoded.deviation, units => (units * TOKENS_PER_UNIT) ** 2),
     };
 }
--- a/packages/hall/src/load-exchange.ts
+++ b/packages/hall/src/load-exchange.ts
@@ -1,8 +1,8 @@
 /**
- * One host's part in what the hosts of a hall know of each other's streams: rounds of telling, questions and answers.
- * The daemon carries its messages over sockets, a measurement hands them over directly; both run this.
+ * Protocol by which the hosts of a hall share the load of endpoints: periodic reports, and questions to the owners of endpoints. The
+ * daemon sends the messages over sockets; simulations and benchmarks deliver them directly.
  *
- * Pure: each function returns the next state, the messages to send, and the events for the host's own decisions.
+ * All functions are pure: they return the next state, the messages to send, and the events for the host's own scheduler.
  *
  * @module
  */
@@ -20,83 +20,86 @@
     unreadTokens,
 } from "@drumpaddle/policy";
 import {
-    type Account,
-    addGrant,
-    dropStale,
+    decodeLoad,
+    dropExpiredLoads,
     EMPTY_ACCOUNT,
     type Grant,
+    hasChanged,
     type Held,
     heldOf,
-    type Holding,
-    isNews,
-    NOTHING_TOLD,
-    othersFor,
-    othersOf,
-    planTelling,
-    REPEAT_MS,
-    takeHeld,
-    type Told,
+    LOAD_REPEAT_MS,
+    type LoadAccount,
+    loadOfOthers,
+    type LocalLoad,
+    NOTHING_REPORTED,
+    planReports,
+    recordGrant,
+    recordLoads,
+    type ReportedLoads,
 } from "./load-account.js";
-import { EQUAL, ownerOf, shardOf, type Weights } from "./ownership.js";
-import { shownOf, speedOf, speedWords } from "./speed-encoding.js";
+import { EQUAL_WEIGHTS, ownerOf, shardOf, type Weights } from "./ownership.js";
+import { decodeSamples, decodeSpeed, speedWords } from "./speed-encoding.js";
 
-/** What a host keeps of the hall's streams. */
+/** A host's state of the exchange. */
 export interface ShareState {
     readonly self: string;
-    /** By which live hosts own endpoints. */
+    /** Weights by which live hosts are assigned endpoints to own. */
     readonly weights: Weights;
-    /** As an owner: what others told. */
-    readonly account: Account;
-    /** As a holder: what was told to owners. */
-    readonly told: Told;
-    /** As an owner: what was told to each host of its endpoints. */
-    readonly toldOthers: ReadonlyMap<string, ToldOthers>;
-    /** Owners by endpoint, kept while hosts and endpoints stay the same: ranking all of them costs thousands of hashes. */
-    readonly owners: Owners;
-    /** Questions that owners have not answered. */
-    readonly open: ReadonlyMap<string, { readonly owner: string; readonly at: number }>;
-    /** Owners that did not answer, until when others are asked in their place. */
-    readonly silent: ReadonlyMap<string, number>;
-    /** When this host, as an owner, last told the others what is held. */
-    readonly toldOthersAt: number;
+    /** Loads on this host's own endpoints, as hosts reported them. */
+    readonly account: LoadAccount;
+    /** This host's last reports to owners. */
+    readonly reported: ReportedLoads;
+    /** This host's last reports, as an owner, by receiving host. */
+    readonly reportedToHosts: ReadonlyMap<string, ReportToHost>;
+    /** Cached while hosts, weights and endpoints stay the same: ranking the hosts for all endpoints takes thousands of hashes. */
+    readonly owners: OwnersByEndpoint;
+    /** Questions without an answer yet, by job. */
+    readonly openQuestions: ReadonlyMap<string, { readonly owner: string; readonly at: number }>;
+    /** Owners that did not answer in time, with the time until which they are passed over. */
+    readonly silentOwners: ReadonlyMap<string, number>;
+    /** When this host, as an owner, last reported to the others. */
+    readonly reportedToHostsAt: number;
 }
 
-/** Endpoints of one owner at most, on average: it chooses among all of them at once. */
+/** Endpoints in a shard, on average at most. The owner of a shard places requests on all of its endpoints. */
 const ENDPOINTS_PER_OWNER = 64;
-/** Marks that hosts are told apart by. */
-const MARKS = 2 ** 16;
-/** A question is answered in a few milliseconds; an owner that took longer is passed over for a while. */
-const ANSWER_MS = 100;
-const SILENT_MS = 2_000;
+/** Number of distinct marks by which the scheduler tells hosts apart. */
+const HOST_MARKS = 2 ** 16;
+/** An owner that has not answered a question after this is passed over. Answers usually take a few milliseconds. */
+const ANSWER_TIMEOUT_MS = 100;
+/** For how long a silent owner is passed over. */
+const SILENT_OWNER_MS = 2_000;
 
-/** What an owner told one host last, so that it says only what is new. */
-interface ToldOthers {
+/** An owner's last report to a host, so that it sends only changes. */
+interface ReportToHost {
+    /** Last reported load by endpoint, with the time of the report. */
     readonly held: ReadonlyMap<string, { readonly held: Held; readonly at: number }>;
-    /** Which endpoints were said to be owned and leaving, and when. */
-    readonly basis: string;
+    /** Owned and leaving endpoints in the last report, as one string. */
+    readonly endpointsKey: string;
     readonly at: number;
 }
 
-interface Owners {
-    /** What the map was worked out from. */
-    readonly basis: string;
-    readonly of: ReadonlyMap<string, string | undefined>;
+/** The owners of all endpoints. */
+interface OwnersByEndpoint {
+    /** The hosts, weights and endpoints from which the owners were computed, as one string. */
+    readonly inputsKey: string;
+    readonly byEndpoint: ReadonlyMap<string, string | undefined>;
 }
 
 /** Messages between the hosts of a hall. */
 export type ShareMessage =
-    /** Told to an owner: what the sender holds on endpoints. */
+    /** Report to an owner: the sender's load on the owner's endpoints. */
     | { readonly kind: "held"; readonly held: readonly Held[] }
-    /** Told by an owner: what others than the receiver hold, and which of its endpoints say that they are leaving. */
+    /** Report of an owner: the load of hosts other than the receiver, and which of its endpoints announce that they are leaving. */
     | {
         readonly kind: "others";
         readonly others: readonly Held[];
         readonly owned: readonly string[];
         readonly leaving: readonly string[];
     }
-    /** Asked of an owner: where is a request to go? `stream` is what it will hold. */
+    /** Asks an owner where to send a request. `stream` is the load that the request will add. */
     | { readonly kind: "question"; readonly job: string; readonly stream: Held } & Omit<Question, "curve">
-    /** An owner's word; no endpoint where none has room. */
+    /** An owner's answer. It names no endpoint if none has room. */
     | {
         readonly kind: "answer";
         readonly job: string;
@@ -105,43 +108,44 @@
         readonly unread?: number;
     };
 
-/** A message with the host that it goes to. */
-export interface Addressed {
+/** A message and the name of its receiver. */
+export interface AddressedLoadMessage {
     readonly to: string;
     readonly message: ShareMessage;
 }
 
-/** What follows from one step. */
+/** Result of a step: the next state, the messages to send, and the events for the host's own scheduler. */
 export interface ShareStep {
     readonly state: ShareState;
-    readonly send: readonly Addressed[];
+    readonly send: readonly AddressedLoadMessage[];
     readonly events: readonly SchedulerEvent[];
 }
 
-/** A host that has told and heard nothing. */
+/** Creates the state of a host that has sent and received nothing. */
 export function createShare(self: string): ShareState {
     return {
         self,
-        weights: EQUAL,
+        weights: EQUAL_WEIGHTS,
         account: EMPTY_ACCOUNT,
-        told: NOTHING_TOLD,
-        toldOthers: new Map(),
-        owners: { basis: "", of: new Map() },
-        open: new Map(),
-        silent: new Map(),
-        toldOthersAt: -Infinity,
+        reported: NOTHING_REPORTED,
+        reportedToHosts: new Map(),
+        owners: { inputsKey: "", byEndpoint: new Map() },
+        openQuestions: new Map(),
+        silentOwners: new Map(),
+        reportedToHostsAt: -Infinity,
     };
 }
 
-/** The state in which hosts own endpoints by these weights; those that are not live count for nothing. */
+/** Sets the weights by which hosts own endpoints. Weights of hosts that are not live have no effect. */
 export function withWeights(state: ShareState, weights: Weights): ShareState {
     return { ...state, weights };
 }
 
 /**
- * The owner of an endpoint among live hosts. One host owns so many endpoints together that its advice is a choice.
+ * Returns the owner of an endpoint among live hosts. Endpoints are assigned in shards, so that an owner has several endpoints to choose
+ * from when it places a request.
  *
- * @param count Endpoints in all.
+ * @param count Number of all endpoints.
  *
  * @example
  * ```ts
@@ -152,165 +156,193 @@
     endpoint: string,
     count: number,
     live: readonly string[],
-    weights: Weights = EQUAL,
+    weights: Weights = EQUAL_WEIGHTS,
 ): string | undefined {
     return ownerOf(`endpoints/${shardOf(endpoint, Math.ceil(count / ENDPOINTS_PER_OWNER))}`, live, weights);
 }
 
-function ownersOf(known: Owners, endpoints: readonly string[], live: readonly string[], weights: Weights): Owners {
-    const rated = live.map(host => weights.has(host) ? `${host}=${weights.get(host)}` : host);
-    const basis = `${rated.join(",")};${endpoints.join(",")}`;
-    if (basis === known.basis) return known;
+function resolveOwners(
+    previous: OwnersByEndpoint,
+    endpoints: readonly string[],
+    live: readonly string[],
+    weights: Weights,
+): OwnersByEndpoint {
+    const weightedHosts = live.map(host => weights.has(host) ? `${host}=${weights.get(host)}` : host);
+    const inputsKey = `${weightedHosts.join(",")};${endpoints.join(",")}`;
+    if (inputsKey === previous.inputsKey) return previous;
     const count = endpoints.length;
-    return { basis, of: new Map(endpoints.map(endpoint => [endpoint, endpointOwner(endpoint, count, live, weights)])) };
+    return {
+        inputsKey,
+        byEndpoint: new Map(endpoints.map(endpoint => [endpoint, endpointOwner(endpoint, count, live, weights)])),
+    };
 }
 
-/** The state in which owners that left a question unanswered are passed over for a while. */
-function passOverSilent(state: ShareState, now: number): ShareState {
-    const late = [...state.open].filter(([, { at }]) => now - at >= ANSWER_MS);
-    const lapsed = [...state.silent].some(([, until]) => now >= until);
-    if (late.length === 0 && !lapsed) return state;
-    const open = new Map([...state.open].filter(([, { at }]) => now - at < ANSWER_MS));
-    const silent = new Map([...state.silent].filter(([, until]) => now < until));
-    for (const [, { owner }] of late) silent.set(owner, now + SILENT_MS);
-    return { ...state, open, silent };
+/** Passes over owners that have not answered a question in time, and lets those return whose time is over. */
+function expireQuestions(state: ShareState, now: number): ShareState {
+    const late = [...state.openQuestions].filter(([, { at }]) => now - at >= ANSWER_TIMEOUT_MS);
+    const hasExpired = [...state.silentOwners].some(([, until]) => now >= until);
+    if (late.length === 0 && !hasExpired) return state;
+    const openQuestions = new Map([...state.openQuestions].filter(([, { at }]) => now - at < ANSWER_TIMEOUT_MS));
+    const silentOwners = new Map([...state.silentOwners].filter(([, until]) => now < until));
+    for (const [, { owner }] of late) silentOwners.set(owner, now + SILENT_OWNER_MS);
+    return { ...state, openQuestions, silentOwners };
 }
 
-/** Live hosts that answer. */
-function answering({ silent }: ShareState, live: readonly string[]): readonly string[] {
-    return silent.size === 0 ? live : live.filter(host => !silent.has(host));
+/** Returns the live hosts that are not passed over for their silence. */
+function answeringHosts({ silentOwners }: ShareState, live: readonly string[]): readonly string[] {
+    return silentOwners.size === 0 ? live : live.filter(host => !silentOwners.has(host));
 }
 
 /**
- * One round: the host tells owners what it holds and, when that is due, as an owner tells every live host what the others
- * hold. A host that holds nothing yet hears it too, since it must not take an endpoint for empty.
+ * Runs a round: the host reports its load to the owners and, as an owner, reports the load of the others to every live host when that is
+ * due. Hosts without load get these reports too, since they must not consider an endpoint idle that is not.
  *
- * @param othersEveryMs How often an owner tells hosts; owners are told in every round.
- * @param unheard Hosts that this one was told of and has not heard of yet.
+ * @param reportIntervalMs Interval of an owner's reports to hosts. Reports to owners are sent in every round.
+ * @param unknownHosts Number of candidate hosts that this host was told of and does not know yet.
  *
  * @example
  * ```ts
- * const { state: next, send, events } = shareRound(state, scheduler.endpoints, live, now, tellEvery(live.length));
+ * const intervalMs = ownerReportIntervalMs(live.length);
+ * const { state: next, send, events } = runLoadRound(state, scheduler.endpoints, live, now, intervalMs);
  * ```
  */
 export function shareRound(
-    before: ShareState,
+    previous: ShareState,
     endpoints: EndpointTable,
     live: readonly string[],
     now: number,
-    othersEveryMs = 0,
-    unheard = 0,
+    reportIntervalMs = 0,
+    unknownHosts = 0,
 ): ShareStep {
-    const state = passOverSilent(before, now);
+    const state = expireQuestions(previous, now);
     const views = endpoints.values();
-    const holdings = views.map(view => ownHeld(view, now));
-    const owners = ownersOf(state.owners, views.map(view => view.cfg.id), answering(state, live), state.weights);
-    const { state: told, toSay } = planTelling(state.told, holdings, endpoint => owners.of.get(endpoint), now);
-    const account = dropStale(takeHeld(state.account, state.self, toSay.get(state.self) ?? [], now), now);
-    const held = [...toSay].filter(([owner]) => owner !== state.self)
-        .map(([to, list]): Addressed => ({ to, message: { kind: "held", held: list } }));
-    const owned = views.map(view => view.cfg.id).filter(endpoint => owners.of.get(endpoint) === state.self);
-    const next: ShareState = { ...state, account, told, owners };
-    const isDue = now - state.toldOthersAt >= othersEveryMs;
+    const loads = views.map(view => localLoad(view, now));
+    const owners = resolveOwners(
+        state.owners,
+        views.map(view => view.cfg.id),
+        answeringHosts(state, live),
+        state.weights,
+    );
+    const { state: reported, reports } = planReports(
+        state.reported,
+        loads,
+        endpoint => owners.byEndpoint.get(endpoint),
+        now,
+    );
+    const account = dropExpiredLoads(recordLoads(state.account, state.self, reports.get(state.self) ?? [], now), now);
+    const loadMessages = [...reports].filter(([owner]) => owner !== state.self)
+        .map(([to, list]): AddressedLoadMessage => ({ to, message: { kind: "held", held: list } }));
+    const owned = views.map(view => view.cfg.id).filter(endpoint => owners.byEndpoint.get(endpoint) === state.self);
+    const next: ShareState = { ...state, account, reported, owners };
+    const isDue = now - state.reportedToHostsAt >= reportIntervalMs;
     const { state: after, send: others } = isDue
-        ? tellOthers(next, endpoints, owned, live, now)
+        ? reportToHosts(next, endpoints, owned, live, now)
         : { state: next, send: [] };
     const events: SchedulerEvent[] = [
-        hostsEvent(state.self, live, unheard),
+        hostsEvent(state.self, live, unknownHosts),
         { kind: "owns", endpoints: owned },
         ...owned.map((endpoint): SchedulerEvent => ({
             kind: "others",
             endpoint,
-            others: othersFor(account, endpoint, state.self),
+            others: loadOfOthers(account, endpoint, state.self),
         })),
     ];
-    return { state: after, send: [...held, ...others], events };
+    return { state: after, send: [...loadMessages, ...others], events };
 }
 
 /**
- * What a host's decisions are told of the live hosts.
+ * Returns the event that informs a host's scheduler of the live hosts.
  *
- * @param live Live hosts in order, itself included unless it is leaving.
- * @param unheard Hosts that it was told of and has not heard of yet.
+ * @param live Sorted names of the live hosts, including this one unless it is leaving.
+ * @param unknownHosts Number of candidate hosts that this host was told of and does not know yet.
  */
-export function hostsEvent(self: string, live: readonly string[], unheard: number): SchedulerEvent {
-    // One that is leaving takes the last place.
+export function hostsEvent(self: string, live: readonly string[], unknownHosts: number): SchedulerEvent {
+    // A leaving host is not in the list and takes the last place.
     const place = live.includes(self) ? live.indexOf(self) : live.length;
-    return { kind: "hosts", count: Math.max(1, live.length), place, unheard, mark: shardOf(self, MARKS) };
+    return {
+        kind: "hosts",
+        count: Math.max(1, live.length),
+        place,
+        unheard: unknownHosts,
+        mark: shardOf(self, HOST_MARKS),
+    };
 }
 
-/** What this host holds on an endpoint. */
-function ownHeld(view: EndpointView, now: number): Holding {
-    const held = heldOf(view.cfg.id, {
+/** Returns this host's own load on an endpoint. */
+function localLoad(view: EndpointView, now: number): LocalLoad {
+    const encoded = heldOf(view.cfg.id, {
         streams: view.streams.size,
         unread: unreadTokens(view),
         stalled: stalledStreams(view, now),
         curve: view.curve,
     });
-    return { ...held, allShown: view.shown };
+    return { ...encoded, allShown: view.shown };
 }
 
-/** As an owner, tells every live host what is new of what the others hold. */
-function tellOthers(
+/** As an owner, reports changes in the load of the others to every live host. */
+function reportToHosts(
     state: ShareState,
     endpoints: EndpointTable,
     owned: readonly string[],
     live: readonly string[],
     now: number,
-): { readonly state: ShareState; readonly send: readonly Addressed[] } {
+): { readonly state: ShareState; readonly send: readonly AddressedLoadMessage[] } {
     const leaving = owned.filter(endpoint => endpoints.get(endpoint)?.leavingBy.includes("endpoint"));
-    const toldOthers = new Map<string, ToldOthers>();
-    const send = live.flatMap((to): readonly Addressed[] => {
+    const reportedToHosts = new Map<string, ReportToHost>();
+    const send = live.flatMap((to): readonly AddressedLoadMessage[] => {
         if (to === state.self || owned.length === 0) return [];
-        const known = owned.map(endpoint => sentOthers(state.account, endpoints.get(endpoint), endpoint, to, now));
-        const { told, message } = planOthers(state.toldOthers.get(to), known, { owned, leaving }, now);
-        toldOthers.set(to, told);
+        const loads = owned.map(endpoint => encodeOthers(state.account, endpoints.get(endpoint), endpoint, to, now));
+        const { report, message } = planReportToHost(state.reportedToHosts.get(to), loads, { owned, leaving }, now);
+        reportedToHosts.set(to, report);
         return message ? [{ to, message }] : [];
     });
-    return { state: { ...state, toldOthers, toldOthersAt: now }, send };
+    return { state: { ...state, reportedToHosts, reportedToHostsAt: now }, send };
 }
 
-/** What of an owner's knowledge is worth saying to one host now; nothing where nothing is new. */
-function planOthers(
-    last: ToldOthers | undefined,
-    known: readonly Held[],
+/** Plans an owner's report to one host. The message is undefined if nothing is new and no repeat is due. */
+function planReportToHost(
+    last: ReportToHost | undefined,
+    loads: readonly Held[],
     { owned, leaving }: { readonly owned: readonly string[]; readonly leaving: readonly string[] },
     now: number,
-): { readonly told: ToldOthers; readonly message: ShareMessage | undefined } {
+): { readonly report: ReportToHost; readonly message: ShareMessage | undefined } {
     const held = new Map(last?.held);
-    const others = known.filter(item => {
-        const before = held.get(item.endpoint);
-        return !before || now - before.at >= REPEAT_MS || isNews(before.held, item);
+    const others = loads.filter(item => {
+        const previous = held.get(item.endpoint);
+        return !previous || now - previous.at >= LOAD_REPEAT_MS || hasChanged(previous.held, item);
     });
     for (const item of others) held.set(item.endpoint, { held: item, at: now });
-    const basis = `${owned.join(",")};${leaving.join(",")}`;
-    const repeats = last === undefined || last.basis !== basis || now - last.at >= REPEAT_MS;
-    if (others.length === 0 && !repeats) return { told: last, message: undefined };
-    return { told: { held, basis, at: now }, message: { kind: "others", others, owned, leaving } };
+    const endpointsKey = `${owned.join(",")};${leaving.join(",")}`;
+    const isRepeatDue = last === undefined || last.endpointsKey !== endpointsKey || now - last.at >= LOAD_REPEAT_MS;
+    if (others.length === 0 && !isRepeatDue) return { report: last, message: undefined };
+    return { report: { held, endpointsKey, at: now }, message: { kind: "others", others, owned, leaving } };
 }
 
-function sentOthers(
-    account: Account,
+function encodeOthers(
+    account: LoadAccount,
     view: EndpointView | undefined,
     endpoint: string,
     host: string,
     now: number,
 ): Held {
     const speed = view && toldSpeedOf(view.speed, now);
-    return { ...heldOf(endpoint, othersFor(account, endpoint, host)), ...(speed ? { speed: speedWords(speed) } : {}) };
+    return {
+        ...heldOf(endpoint, loadOfOthers(account, endpoint, host)),
+        ...(speed ? { speed: speedWords(speed) } : {}),
+    };
 }
 
-/** The question to an endpoint's owner that the host's decisions ask for; none where no owner is alive. */
+/** Sends the scheduler's question to an endpoint's owner. Nothing is sent if no host is alive, or if the owner is this host. */
 export function shareAsk(
-    before: ShareState,
+    previous: ShareState,
     action: Extract<SchedulerAction, { kind: "ask" }>,
     endpoints: EndpointTable,
     live: readonly string[],
     now: number,
 ): ShareStep {
-    const state = passOverSilent(before, now);
+    const state = expireQuestions(previous, now);
     const { job, endpoint, question: { curve, ...rest } } = action;
-    const to = endpointOwner(endpoint, endpoints.values().length, answering(state, live), state.weights);
+    const to = endpointOwner(endpoint, endpoints.values().length, answeringHosts(state, live), state.weights);
     if (to === undefined || to === state.self) return { state, send: [], events: [] };
     const message: ShareMessage = {
         kind: "question",
@@ -318,8 +350,8 @@
         stream: heldOf(endpoint, { streams: 1, unread: 0, stalled: 0, curve }),
         ...rest,
     };
-    const open = new Map(state.open).set(job, { owner: to, at: now });
-    return { state: { ...state, open }, send: [{ to, message }], events: [] };
+    const openQuestions = new Map(state.openQuestions).set(job, { owner: to, at: now });
+    return { state: { ...state, openQuestions }, send: [{ to, message }], events: [] };
 }
 
 type Handler<K extends ShareMessage["kind"]> = (
@@ -332,10 +364,10 @@
 
 const HANDLERS: { readonly [K in ShareMessage["kind"]]: Handler<K> } = {
     held: (state, from, { held }, _scheduler, now) => {
-        const account = takeHeld(state.account, from, held, now);
+        const account = recordLoads(state.account, from, held, now);
         const events = held.flatMap(({ endpoint, shown }): readonly SchedulerEvent[] => [
             othersEvent(account, endpoint, state.self),
-            ...(shown ? [{ kind: "shown", host: from, endpoint, shown: shownOf(shown) } as const] : []),
+            ...(shown ? [{ kind: "shown", host: from, endpoint, shown: decodeSamples(shown) } as const] : []),
         ]);
         return { state: { ...state, account }, send: [], events };
     },
@@ -346,8 +378,8 @@
             ...others.map((held): SchedulerEvent => ({
                 kind: "others",
                 endpoint: held.endpoint,
-                others: othersOf(held),
-                speed: held.speed && speedOf(held.speed),
+                others: decodeLoad(held),
+                speed: held.speed && decodeSpeed(held.speed),
             })),
             ...owned.map((endpoint): SchedulerEvent => ({
                 kind: "leaving",
@@ -358,7 +390,7 @@
         ],
     }),
     question: (state, from, { job, stream, ...rest }, scheduler, now) => {
-        const { curve } = othersOf(stream);
+        const { curve } = decodeLoad(stream);
         const advice = advise(scheduler, { ...rest, curve }, now);
         if (!advice) return { state, send: [{ to: from, message: { kind: "answer", job } }], events: [] };
         const { endpoint, standby } = advice;
@@ -366,7 +398,7 @@
             ...(endpoint === undefined ? [] : [{ endpoint, kind: "stream", curve } as const]),
             ...(standby === undefined ? [] : [{ endpoint: standby, kind: "copy", curve } as const]),
         ];
-        const account = grants.reduce((sum, grant) => addGrant(sum, from, grant, now), state.account);
+        const account = grants.reduce((sum, grant) => recordGrant(sum, from, grant, now), state.account);
         const answer: ShareMessage = {
             kind: "answer",
             job,
@@ -384,28 +416,32 @@
         };
     },
     answer: (state, _from, { job, endpoint, standby, unread }) => {
-        const open = new Map(state.open);
-        open.delete(job);
-        return { state: { ...state, open }, send: [], events: [{ kind: "answer", job, endpoint, standby, unread }] };
+        const openQuestions = new Map(state.openQuestions);
+        openQuestions.delete(job);
+        return {
+            state: { ...state, openQuestions },
+            send: [],
+            events: [{ kind: "answer", job, endpoint, standby, unread }],
+        };
     },
 };
 
-/** What is unread at an endpoint before a request that is sent there, for an answer. */
+/** Returns the prompt tokens that an endpoint has to read before a new request, for an answer. */
 function unreadOf({ endpoints }: SchedulerState, endpoint: string | undefined): { readonly unread?: number } {
     const view = endpoint === undefined ? undefined : endpoints.get(endpoint);
     return view ? { unread: unreadAt(view) } : {};
 }
 
-function othersEvent(account: Account, endpoint: string, self: string): SchedulerEvent {
-    return { kind: "others", endpoint, others: othersFor(account, endpoint, self) };
+function othersEvent(account: LoadAccount, endpoint: string, self: string): SchedulerEvent {
+    return { kind: "others", endpoint, others: loadOfOthers(account, endpoint, self) };
 }
 
 /**
- * Takes in a message of another host.
+ * Handles a message of another host.
  *
  * @example
  * ```ts
- * const { state: next, send, events } = shareHear(state, "k1-b", message, scheduler, now);
+ * const { state: next, send, events } = receiveLoadMessage(state, "k1-b", message, scheduler, now);
  * ```
  */
 export function shareHear(
--- a/packages/hall/src/membership.ts
+++ b/packages/hall/src/membership.ts
@@ -1,93 +1,94 @@
 /**
- * What a host knows of the other hosts of its scope: who is there, who is suspected, who is gone.
+ * A host's view of the other hosts of its scope: which are alive, suspected or dead.
  *
- * News of a host carries its incarnation, which only that host raises (SWIM; Das, Gupta and Motivala 2002). A host that is
- * suspected, or that finds older news of its own name, answers with a higher one. No clock of the day is used: a host that
- * starts again knows by the news of its own name what it has to exceed.
+ * News of a host carries the host's incarnation number, which only that host raises (SWIM; Das, Gupta and Motivala 2002). A host that
+ * is suspected, or that hears news of an earlier instance of itself, refutes it with a higher incarnation. Wall clocks play no part: a
+ * restarted host learns from news of its own name which incarnation it has to exceed.
  *
- *     alive --(no answer)--> suspected --(SUSPECT_MS without denial)--> dead --(KEPT_MS)--> forgotten
- *       ^--(denial: a higher incarnation)--+-----------------------------+
+ *     alive --(no answer)--> suspected --(SUSPICION_TIMEOUT_MS without refutation)--> dead --(DEAD_RETENTION_MS)--> forgotten
+ *       ^--(refutation: a higher incarnation)--+----------------------------------------+
  *
- * Pure: every function returns the next state. Times are milliseconds on the host's own steady clock.
+ * All functions are pure: they return the next state. Times are in milliseconds on the host's own monotonic clock.
  *
  * @module
  */
 
-/** How another host is reached. */
+/** Identity, address and capacity of a host. */
 export interface HostInfo {
     readonly name: string;
     readonly hall: string;
-    /** Hosts of the same scope share their endpoints; the hall's name where halls share nothing. */
+    /** Hosts of the same scope share their endpoints. It is the hall's name if halls share nothing. */
     readonly scope: string;
-    /** Where its peers connect, as `ip:port`. */
+    /** Address for connections of peers, as `ip:port`. */
     readonly address: string;
-    /** Drawn at start: tells two lives of a host of one name apart. */
+    /** Random number drawn at start, which distinguishes instances of a host, i.e. its runs between restarts. */
     readonly start: number;
-    /** What it can carry, in cores; absent where it does not tell. As told: {@link weightOf} bounds it. */
+    /** Capacity in cores as the host reports it, not validated: {@link weightOf} bounds it. Absent if the host reports none. */
     readonly capacity?: number;
 }
 
-/** What is believed of a host. */
+/** States of a host in a peer's view. */
 export const Status = { Alive: "alive", Suspect: "suspect", Dead: "dead" } as const;
 /** One of {@link Status}. */
 export type Status = typeof Status[keyof typeof Status];
 
-/** What one host says of another, or of itself. */
+/** What a host tells a peer of another host, or of itself. */
 export interface MemberNews extends HostInfo {
     readonly incarnation: number;
     readonly status: Status;
-    /** It stops, and takes no new work. */
+    /** Whether the host is shutting down and takes no new work. */
     readonly leaving: boolean;
-    /** For how long it has been suspected, in milliseconds; 0 otherwise. */
+    /** For how long it has been suspected, in milliseconds; 0 if it is not. */
     readonly forMs: number;
 }
 
-/** What a host says of itself to one that knows it: 40 bytes in place of 150. */
+/** What a host tells of itself to a peer that knows it: 40 bytes instead of 150. */
 export interface SelfStamp extends Pick<MemberNews, "name" | "start" | "incarnation"> {
-    /** Absent where it is not. */
+    /** Absent if the host is not leaving. */
     readonly leaving?: boolean;
 }
 
-/** What is known of one host. */
+/** Another host in this host's view. */
 export interface Member extends HostInfo {
     readonly incarnation: number;
     readonly status: Status;
     readonly leaving: boolean;
-    /** Since when it has this status. */
+    /** When it entered this status. */
     readonly since: number;
 }
 
-/** A host's view of its scope. */
+/** A host's view of itself and of the other hosts of its scope. */
 export interface Membership {
     readonly self: HostInfo;
     readonly incarnation: number;
     readonly leaving: boolean;
     readonly members: ReadonlyMap<string, Member>;
-    /** Names of hosts whose news is to be passed on, and how many more times. */
+    /** Names of hosts whose news this host still has to gossip, with the number of transmissions left. */
     readonly rumours: ReadonlyMap<string, number>;
-    /** Addresses to try, from the host list and the settings, of hosts not yet heard of. */
+    /** Addresses of possible hosts, from the host list and the settings. */
     readonly candidates: readonly string[];
 }
 
 /**
- * A suspected host has this long to deny it. With the probes before it, a host that is held up for 1 s has answered in time
- * (no false death in the replays of `detector.test.ts`), and one that died is passed over by its hall within 2 s.
+ * Time within which a suspected host has to refute the suspicion. Together with the probes before it, a host that stalls for 1 s
+ * answers in time (no false positives in the simulations of `detector.test.ts`), and a dead one is detected by its hall within 2 s.
  */
-export const SUSPECT_MS = 600;
-/** A dead host is remembered for this long, so that older news cannot bring it back and it is looked for meanwhile. */
-export const KEPT_MS = 60_000;
+export const SUSPICION_TIMEOUT_MS = 600;
+/** A dead host is remembered for this long, so that older news cannot revive it. Meanwhile it is probed now and then. */
+export const DEAD_RETENTION_MS = 60_000;
 /**
- * How many times a host passes on what changes who is relied on, each time to three of its hall: one of e^12 misses it, who would rely
- * on a dead host for long.
+ * How many times a host gossips a change of status, each time to three hosts of its hall. One host in e^12 misses it; that one would
+ * consider a dead host alive for a long time.
  */
-const ROUNDS = 4;
-/** And news of a host that joins: who misses it learns it from the next comparison of views. */
-const JOIN_ROUNDS = 1;
+const UPDATE_TRANSMISSIONS = 4;
+/** How many times a host gossips that another has joined. A host that misses it learns of it when views are compared next. */
+const JOIN_TRANSMISSIONS = 1;
 
-const RANK: Readonly<Record<Status, number>> = { alive: 0, suspect: 1, dead: 2 };
+/** For the same incarnation, news of a higher value overrides news of a lower one. */
+const STATUS_PRECEDENCE: Readonly<Record<Status, number>> = { alive: 0, suspect: 1, dead: 2 };
 
 /**
- * A host that knows only itself.
+ * Creates the view of a host that knows only itself.
  *
  * @example
  * ```ts
@@ -106,30 +107,30 @@
     return listHosts(state, candidates);
 }
 
-/** Addresses from the host list or the settings replace those known before. */
+/** Replaces the candidate addresses by those of the host list or the settings. */
 export function listHosts(state: Membership, addresses: readonly string[]): Membership {
     return { ...state, candidates: addresses.filter(address => address !== state.self.address) };
 }
 
-/** Addresses to try at which no host was heard of yet. */
+/** Returns the candidate addresses at which no host is known. */
 export function unheardCandidates({ members, candidates }: Membership): readonly string[] {
     const known = [...members.values()];
     return candidates.filter(address => !known.some(member => member.address === address));
 }
 
-/** Whether a member is relied on: alive, or suspected for so short a time that it may still deny it. */
+/** Returns whether a member is considered alive: not suspected, or suspected for less than {@link SUSPICION_TIMEOUT_MS}. */
 export function isAlive(member: Member, now: number): boolean {
-    if (member.status === Status.Suspect) return now - member.since < SUSPECT_MS;
+    if (member.status === Status.Suspect) return now - member.since < SUSPICION_TIMEOUT_MS;
     return member.status === Status.Alive;
 }
 
-/** Members of the scope that are relied on, leaving ones included. */
+/** Returns the members of the scope that are considered alive, including leaving ones. */
 export function aliveMembers(state: Membership, now: number): readonly Member[] {
     return [...state.members.values()].filter(member => isAlive(member, now));
 }
 
 /**
- * Names of the scope's live hosts that take new work, this one included unless it is leaving, in order of name.
+ * Returns the sorted names of the scope's live hosts that take new work. It includes this host unless it is leaving.
  *
  * @example
  * ```ts
@@ -137,52 +138,52 @@
  * ```
  */
 export function liveHosts(state: Membership, now: number): readonly string[] {
-    return namesOf(state, member => member.scope === state.self.scope, now);
+    return liveNames(state, member => member.scope === state.self.scope, now);
 }
 
 /**
- * The same for this host's own hall alone.
+ * Returns the sorted names of the hall's live hosts that take new work. It includes this host unless it is leaving.
  *
  * @example
  * ```ts
- * liveInHall(state, now); // ["k1-a"]
+ * liveHostsInHall(state, now); // ["k1-a"]
  * ```
  */
 export function liveInHall(state: Membership, now: number): readonly string[] {
-    return namesOf(state, member => member.hall === state.self.hall, now);
+    return liveNames(state, member => member.hall === state.self.hall, now);
 }
 
-function namesOf(state: Membership, belongs: (member: Member) => boolean, now: number): readonly string[] {
+function liveNames(state: Membership, isIncluded: (member: Member) => boolean, now: number): readonly string[] {
     const names = aliveMembers(state, now)
-        .filter(member => belongs(member) && !member.leaving)
+        .filter(member => isIncluded(member) && !member.leaving)
         .map(member => member.name);
     return (state.leaving ? names : [...names, state.self.name]).sort();
 }
 
-/** This host and the members of its scope that are relied on, as what they can carry is told of them. */
+/** Returns this host and the members that are considered alive, from which {@link weightsOf} takes their capacities. */
 export function ratedHosts(state: Membership, now: number): readonly HostInfo[] {
     return [state.self, ...aliveMembers(state, now)];
 }
 
-/** What this host says of itself. */
+/** Returns the news by which this host introduces itself. */
 export function newsOfSelf({ self, incarnation, leaving }: Membership): MemberNews {
     return { ...self, incarnation, leaving, status: Status.Alive, forMs: 0 };
 }
 
-/** The same to a host that knows it. */
+/** Returns the short form of {@link newsOfSelf} for peers that know this host. */
 export function stampOfSelf({ self: { name, start }, incarnation, leaving }: Membership): SelfStamp {
     return { name, start, incarnation, ...(leaving ? { leaving } : {}) };
 }
 
-/** Takes in what a host says of itself. One that is not known is learnt of by gossip, or by comparing views. */
-export function hearStamp(state: Membership, stamp: SelfStamp, now: number): Membership {
+/** Applies a host's stamp. A stamp of an unknown instance is ignored: gossip or a comparison of views will introduce it. */
+export function applyStamp(state: Membership, stamp: SelfStamp, now: number): Membership {
     const known = state.members.get(stamp.name);
     if (known?.start !== stamp.start) return state;
     const news = { ...newsOfMember(known, now), leaving: false, ...stamp, status: Status.Alive, forMs: 0 };
-    return hear(state, [news], now);
+    return applyNews(state, [news], now);
 }
 
-/** What this host says of another. */
+/** Returns the news of a member for a peer. */
 export function newsOfMember(member: Member, now: number): MemberNews {
     const { name, hall, scope, address, start, incarnation, status, leaving, since } = member;
     const forMs = status === Status.Suspect ? Math.round(now - since) : 0;
@@ -191,63 +192,72 @@
 }
 
 /**
- * Takes in news. Older news changes nothing; what is new is passed on.
+ * Applies news to the view. Outdated news is ignored; what is new is queued for gossip.
  *
- * @param passOn Whether news of joins is passed on: not where hosts compare their whole views.
+ * @param gossipsJoins Whether to gossip joins as well. False for news from a comparison of whole views.
  *
  * @example
  * ```ts
- * const next = hear(state, message.news, now);
+ * const next = applyNews(state, message.news, now);
  * ```
  */
-export function hear(state: Membership, news: readonly MemberNews[], now: number, passOn = true): Membership {
-    const own = news.filter(item => item.name === state.self.name).reduce(deny, state);
+export function applyNews(
+    state: Membership,
+    news: readonly MemberNews[],
+    now: number,
+    gossipsJoins = true,
+): Membership {
+    const refuted = news.filter(item => item.name === state.self.name).reduce(refute, state);
     const fresh = news.filter(item => item.name !== state.self.name && isNews(item, state.members.get(item.name)));
-    if (fresh.length === 0) return own;
+    if (fresh.length === 0) return refuted;
     const members = new Map(state.members);
-    const rumours = new Map(own.rumours);
+    const rumours = new Map(refuted.rumours);
     for (const item of fresh) {
         const { forMs, ...rest } = item;
         const known = members.get(item.name);
         if (!isNews(item, known)) continue;
         members.set(item.name, { ...rest, since: now - forMs });
         const isJoin = !known && item.status === Status.Alive;
-        if (!isJoin || passOn) rumours.set(item.name, isJoin ? JOIN_ROUNDS : ROUNDS);
+        if (!isJoin || gossipsJoins) rumours.set(item.name, isJoin ? JOIN_TRANSMISSIONS : UPDATE_TRANSMISSIONS);
     }
-    return { ...own, members, rumours };
+    return { ...refuted, members, rumours };
 }
 
-/** Answers news of this host's own name that others would believe more than what it last said. */
-function deny(state: Membership, news: MemberNews): Membership {
+/** Raises this host's incarnation if news of its own name would override its last claim in the view of others. */
+function refute(state: Membership, news: MemberNews): Membership {
     if (news.incarnation < state.incarnation) return state;
-    const isOwn = news.start === state.self.start && news.status === Status.Alive;
-    if (isOwn && news.incarnation === state.incarnation) return state;
-    return { ...state, incarnation: news.incarnation + 1, rumours: withRumour(state, state.self.name, ROUNDS) };
+    const isOwnClaim = news.start === state.self.start && news.status === Status.Alive;
+    if (isOwnClaim && news.incarnation === state.incarnation) return state;
+    return {
+        ...state,
+        incarnation: news.incarnation + 1,
+        rumours: withRumour(state, state.self.name, UPDATE_TRANSMISSIONS),
+    };
 }
 
 function isNews(news: MemberNews, known: Member | undefined): boolean {
-    return known === undefined || isNewer(news, known);
+    return known === undefined || supersedes(news, known);
 }
 
-function isNewer(news: MemberNews, known: Member): boolean {
+function supersedes(news: MemberNews, known: Member): boolean {
     if (news.incarnation !== known.incarnation) return news.incarnation > known.incarnation;
-    return news.start === known.start && RANK[news.status] > RANK[known.status];
+    return news.start === known.start && STATUS_PRECEDENCE[news.status] > STATUS_PRECEDENCE[known.status];
 }
 
-function withRumour({ rumours }: Membership, name: string, rounds: number): ReadonlyMap<string, number> {
-    return new Map(rumours).set(name, rounds);
+function withRumour({ rumours }: Membership, name: string, transmissions: number): ReadonlyMap<string, number> {
+    return new Map(rumours).set(name, transmissions);
 }
 
-/** The state after this host got no answer from another: it is suspected from now on. */
+/** Suspects a host that did not answer, if it was considered alive. */
 export function suspect(state: Membership, name: string, now: number): Membership {
     const known = state.members.get(name);
     if (known?.status !== Status.Alive) return state;
-    return hear(state, [{ ...newsOfMember(known, now), status: Status.Suspect }], now);
+    return applyNews(state, [{ ...newsOfMember(known, now), status: Status.Suspect }], now);
 }
 
-/** The state in which those that were suspected for too long are dead, and those long dead are forgotten. */
+/** Marks members dead whose suspicion has timed out, and forgets members that have been dead for {@link DEAD_RETENTION_MS}. */
 export function expire(state: Membership, now: number): Membership {
-    const changed = [...state.members.values()].filter(member => lapsed(member, now));
+    const changed = [...state.members.values()].filter(member => isExpired(member, now));
     if (changed.length === 0) return state;
     const members = new Map(state.members);
     for (const member of changed) {
@@ -257,29 +267,29 @@
     return { ...state, members };
 }
 
-function lapsed({ status, since }: Member, now: number): boolean {
-    if (status === Status.Suspect) return now - since >= SUSPECT_MS;
-    return status === Status.Dead && now - since >= KEPT_MS;
+function isExpired({ status, since }: Member, now: number): boolean {
+    if (status === Status.Suspect) return now - since >= SUSPICION_TIMEOUT_MS;
+    return status === Status.Dead && now - since >= DEAD_RETENTION_MS;
 }
 
-/** This host says that it is leaving. */
-export function leave(state: Membership): Membership {
+/** Marks this host as leaving and queues the news for gossip. */
+export function markLeaving(state: Membership): Membership {
     const incarnation = state.incarnation + 1;
-    return { ...state, leaving: true, incarnation, rumours: withRumour(state, state.self.name, ROUNDS) };
+    return { ...state, leaving: true, incarnation, rumours: withRumour(state, state.self.name, UPDATE_TRANSMISSIONS) };
 }
 
 /**
- * The news to pass on next, that which is passed on most often first, and the state after it was.
+ * Takes the news to gossip next, that with the most transmissions left first.
  *
- * @param most At most this many hosts' news.
+ * @param max Number of hosts whose news is taken at most.
  */
 export function takeRumours(
     state: Membership,
-    most: number,
+    max: number,
     now: number,
 ): { readonly state: Membership; readonly news: readonly MemberNews[] } {
     if (state.rumours.size === 0) return { state, news: [] };
-    const chosen = [...state.rumours].sort(([, a], [, b]) => b - a).slice(0, most);
+    const chosen = [...state.rumours].sort(([, a], [, b]) => b - a).slice(0, max);
     const rumours = new Map(state.rumours);
     for (const [name, rounds] of chosen) {
         if (rounds > 1) rumours.set(name, rounds - 1);
@@ -293,21 +303,21 @@
     return { state: { ...state, rumours }, news };
 }
 
-/** Numbers of the lives that are relied on, this host's own included. */
-export function livesKnown(state: Membership, now: number): readonly number[] {
-    return [lifeOf(state.self), ...aliveMembers(state, now).map(lifeOf)];
+/** Returns the hashes of all host instances that are considered alive, including this host's own. */
+export function aliveInstanceHashes(state: Membership, now: number): readonly number[] {
+    return [instanceHash(state.self), ...aliveMembers(state, now).map(instanceHash)];
 }
 
-/** A number that is equal for hosts that know of the same lives, whatever the order. */
-export function digestOf(state: Membership, now: number): number {
-    return livesKnown(state, now).reduce((digest, life) => digest ^ life, 0) >>> 0;
+/** Returns a digest that is equal for hosts that consider the same instances alive. */
+export function digestOfAlive(state: Membership, now: number): number {
+    return aliveInstanceHashes(state, now).reduce((digest, life) => digest ^ life, 0) >>> 0;
 }
 
 const FNV_BASIS = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** One life of a host as a number of 32 bits (FNV-1a over name and start): it decides only who is told of whom. */
-export function lifeOf({ name, start }: HostInfo): number {
+/** Hashes a host instance to 32 bits (FNV-1a over name and start). It only decides which hosts a peer is told of. */
+export function instanceHash({ name, start }: HostInfo): number {
     let hash = FNV_BASIS;
     for (const char of `${name}/${start}`) hash = Math.imul(hash ^ char.charCodeAt(0), FNV_PRIME);
     return hash >>> 0;
--- a/packages/hall/src/ownership.ts
+++ b/packages/hall/src/ownership.ts
@@ -1,65 +1,65 @@
 /**
- * Which host of a hall does what, by weighted rendezvous hash (Thaler and Ravishankar 1998; Schindelhauer and Schomaker 2005): every
- * host works it out alone from its view of the live hosts. A host's share follows its weight, and one that comes, goes or changes its
- * weight moves only its own share.
+ * Assigns work to the hosts of a hall by weighted rendezvous hashing (Thaler and Ravishankar 1998; Schindelhauer and Schomaker 2005).
+ * Each host computes the assignment locally from its view of the live hosts. A host's share is proportional to its weight. When a host
+ * joins, leaves or changes its weight, only its own share moves.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** Weights of hosts by name, relative to each other; one that is not named has {@link USUAL_WEIGHT}. */
+/** Relative weights of hosts by name. A host that is not in the map has {@link DEFAULT_WEIGHT}. */
 export type Weights = ReadonlyMap<string, number>;
 
-/** All hosts take equal shares. */
-export const EQUAL: Weights = new Map();
-const USUAL_WEIGHT = 1;
+/** Gives all hosts equal shares. */
+export const EQUAL_WEIGHTS: Weights = new Map();
+const DEFAULT_WEIGHT = 1;
 
-interface Drawn {
+interface HashedHost {
     readonly host: string;
-    /** Drawn by key and host, as hexadecimal digits. */
-    readonly draw: string;
+    /** Hash of key and host, as hexadecimal digits. */
+    readonly hashHex: string;
     readonly weight: number;
 }
 
-function drawnFor(key: string, host: string, weights: Weights): Drawn {
-    const draw = createHash("sha256").update(`${key}\n${host}`).digest("hex");
-    return { host, draw, weight: weights.get(host) ?? USUAL_WEIGHT };
+function hashHost(key: string, host: string, weights: Weights): HashedHost {
+    const hashHex = createHash("sha256").update(`${key}\n${host}`).digest("hex");
+    return { host, hashHex, weight: weights.get(host) ?? DEFAULT_WEIGHT };
 }
 
-/** Hexadecimal digits of a draw that a number holds exactly. */
-const DIGITS = 13;
+/** As many hexadecimal digits of a hash as a double represents exactly. */
+const HASH_DIGITS = 13;
 
-/** How high a host comes by its draw and weight: the first of several with a chance that is its share of all weights. */
-function scoreOf({ draw, weight }: Drawn): number {
-    const uniform = (parseInt(draw.slice(0, DIGITS), 16) + 0.5) / 16 ** DIGITS;
+/** Returns the host's score for the key. A host has the highest score with a probability of its weight by the sum of all weights. */
+function scoreOf({ hashHex, weight }: HashedHost): number {
+    const uniform = (parseInt(hashHex.slice(0, HASH_DIGITS), 16) + 0.5) / 16 ** HASH_DIGITS;
     return -weight / Math.log(uniform);
 }
 
-function byDraw(a: Drawn, b: Drawn): number {
-    return a.draw < b.draw ? 1 : -1;
+function compareHashes(a: HashedHost, b: HashedHost): number {
+    return a.hashHex < b.hashHex ? 1 : -1;
 }
 
 /**
- * Hosts by rank for a key, the first one first.
+ * Returns hosts in the order of their rank for a key, highest first.
  *
  * @example
  * ```ts
  * rank("endpoint/e1", ["k1-a", "k1-b"])[0]; // its owner
- * rank("endpoint/e1", ["k1-a", "k1-b"], new Map([["k1-b", 4]]))[0]; // k1-b for four keys of five
+ * rank("endpoint/e1", ["k1-a", "k1-b"], new Map([["k1-b", 4]]))[0]; // k1-b for four keys in five
  * ```
  */
-export function rank(key: string, hosts: readonly string[], weights: Weights = EQUAL): readonly string[] {
-    const drawn = hosts.map(host => drawnFor(key, host, weights));
-    const isEven = drawn.every(({ weight }) => weight === drawn[0]!.weight);
-    // With equal weights scores come in the order of the draws, which costs no logarithms.
-    if (isEven) return drawn.sort(byDraw).map(({ host }) => host);
-    const scored = drawn.map(item => ({ item, score: scoreOf(item) }));
-    scored.sort((a, b) => b.score - a.score || byDraw(a.item, b.item));
+export function rank(key: string, hosts: readonly string[], weights: Weights = EQUAL_WEIGHTS): readonly string[] {
+    const hashed = hosts.map(host => hashHost(key, host, weights));
+    const hasEqualWeights = hashed.every(({ weight }) => weight === hashed[0]!.weight);
+    // With equal weights the scores have the same order as the hashes, so that no logarithms are needed.
+    if (hasEqualWeights) return hashed.sort(compareHashes).map(({ host }) => host);
+    const scored = hashed.map(item => ({ item, score: scoreOf(item) }));
+    scored.sort((a, b) => b.score - a.score || compareHashes(a.item, b.item));
     return scored.map(({ item: { host } }) => host);
 }
 
 /**
- * Which of a number of shards a key belongs to.
+ * Returns the shard that a key belongs to, from 0 to `shards - 1`.
  *
  * @example
  * ```ts
@@ -70,22 +70,22 @@
     return shards <= 1 ? 0 : createHash("sha256").update(key).digest().readUInt32BE(0) % shards;
 }
 
-/** The host that owns a key, or undefined where no host is alive. */
-export function ownerOf(key: string, hosts: readonly string[], weights: Weights = EQUAL): string | undefined {
+/** Returns the host that owns a key: the first by rank, or undefined if there are no hosts. */
+export function ownerOf(key: string, hosts: readonly string[], weights: Weights = EQUAL_WEIGHTS): string | undefined {
     return rank(key, hosts, weights)[0];
 }
 
-/** Hosts of a hall that watch the settings in the platform's service; the others hear from peers. */
-export const WATCHERS = 2;
+/** How many hosts of a hall watch the platform's store. The others learn of changes from peers. */
+export const WATCHERS_PER_HALL = 2;
 
 /**
- * Whether a host is one of its hall's watchers.
+ * Returns whether a host is one of its hall's watchers of the settings.
  *
  * @example
  * ```ts
- * watches("k1-a", ["k1-a", "k1-b", "k1-c"]);
+ * isWatcher("k1-a", ["k1-a", "k1-b", "k1-c"]);
  * ```
  */
-export function watches(host: string, hosts: readonly string[], weights: Weights = EQUAL): boolean {
-    return rank("settings-watch", hosts, weights).slice(0, WATCHERS).includes(host);
+export function watches(host: string, hosts: readonly string[], weights: Weights = EQUAL_WEIGHTS): boolean {
+    return rank("settings-watch", hosts, weights).slice(0, WATCHERS_PER_HALL).includes(host);
 }
--- a/packages/hall/src/quarantine.ts
+++ b/packages/hall/src/quarantine.ts
@@ -1,240 +1,252 @@
 /**
- * Requests that end the endpoints that run them, and who may begin them still.
+ * Quarantine of requests that crash the endpoints that run them.
  *
- * A request that was at an ending is a suspect: it is begun at one endpoint at a time, by whichever host. After three endings it is
- * quarantined: no host begins it, until a time is over that doubles with each ending more, or endpoints of other software serve; then
- * one try, alone, decides again.
+ * A request that was involved in an ending is a suspect: all hosts together run it at one endpoint at a time. After three endings it is
+ * quarantined: no host begins it until a period is over that doubles with each further ending, or until endpoints with other software
+ * are available. Then a single trial run decides again.
  *
- *     a --news (ending, try)--> some hosts, each of which passes on what it had not known
- *     a --digest (with each probe)--> b, and where b knows other endings: b --all that it knows--> a
- *     a, as it starts: a --ask--> b, b --all that it knows--> a
+ *     a --news (ending, trial)--> some hosts, each of which passes on what is new to it
+ *     a --digest (with each probe)--> b, and if b knows other endings: b --all its endings--> a
+ *     a, when it starts: a --ask--> b, b --all its endings--> a
  *
- * A host that is cut off judges by what it knows; what both sides know is joined when they hear each other again.
+ * A partitioned host decides by the endings that it knows. When the partition heals, both sides merge what they know.
  *
- * Pure: each function returns the next state. Times are milliseconds on one clock of the caller's choice.
+ * All functions are pure: they return the next state. Times are in milliseconds on one clock of the caller's choice.
  *
  * @module
  */
-import { type Charge, ENDINGS_TO_QUARANTINE, judge } from "./assessment.js";
-import { clearingOf, digestOfEndings, type EndingNews, type Endings, joinEnding, newsOfEnding } from "./endings.js";
+import { assessRequests, type Charge, ENDINGS_TO_QUARANTINE } from "./assessment.js";
+import { clearingNews, digestOfEndings, type EndingNews, type Endings, mergeEnding, newsOfEnding } from "./endings.js";
 
-/** A suspect that is being run. */
+/** A run of a suspect. */
 interface Trial {
     readonly fingerprint: string;
     readonly at: number;
     readonly isOver: boolean;
 }
 
-/** What hosts tell each other of suspects that are being run. */
+/** A trial as hosts send it to each other. */
 export interface TrialNews {
-    /** Unique among all hosts' attempts. */
+    /** Name of the attempt, unique among all hosts. */
     readonly attempt: string;
     readonly fingerprint: string;
     readonly agoMs: number;
     readonly isOver: boolean;
 }
 
-/** What hosts tell each other: a part of what they know, or all of it. */
+/** News that hosts send to each other: what is new, or all that they know. */
 export interface QuarantineNews {
     readonly endings: readonly EndingNews[];
     readonly trials: readonly TrialNews[];
 }
 
-/** What a host knows of such requests. */
+/** A host's knowledge of endings, trials and suspects. */
 export interface Quarantine {
     readonly endings: Endings;
     readonly trials: ReadonlyMap<string, Trial>;
-    /** By fingerprint; worked out of the endings. */
+    /** By fingerprint, derived from the endings. */
     readonly charges: ReadonlyMap<string, Charge>;
+    /** Digest of the endings. */
     readonly digest: number;
 }
 
-/** The next state, and what of it peers are to be told; undefined where nothing is new. */
+/** The next state and the news to send to peers; undefined if there is none. */
 export interface QuarantineStep {
     readonly state: Quarantine;
     readonly news: QuarantineNews | undefined;
 }
 
-/** A state in which nothing is known. */
+/** The state of a host that knows nothing. */
 export const EMPTY_QUARANTINE: Quarantine = { endings: new Map(), trials: new Map(), charges: new Map(), digest: 0 };
 
 /**
- * How long a quarantine lasts before one try decides again; doubled by each ending more. Engines were seen to be back 3 s after such
- * an ending, and callers to try for 15 s: half an hour outlasts both by far, and is what an operator needs to look into it.
+ * How long a quarantine lasts before a trial decides again. It doubles with each further ending. Engines were back 3 s after such an
+ * ending and callers retried for 15 s: half an hour is far longer than both, and gives an operator time to investigate.
  */
-const HOLD_MS = 30 * 60_000;
-/** Endings after which only an operator ends the quarantine: two tries that decided again. */
-const ENDINGS_FOR_GOOD = ENDINGS_TO_QUARANTINE + 2;
-/** What is held against a request that is not quarantined is forgotten after this: repeats came within seconds, and at most minutes. */
-const EVIDENCE_MS = 10 * 60_000;
-/** A quarantine is forgotten after this, whatever became of it. */
-const KEPT_MS = 24 * 60 * 60_000;
-/** Lives whose endings are kept: bounds memory to some 16,000 entries; reasoned, not measured. */
-const MOST_ENDINGS = 256;
+const QUARANTINE_MS = 30 * 60_000;
+/** At this many endings, i.e. after two failed trials, only an operator can lift the quarantine. */
+const ENDINGS_TO_QUARANTINE_FOREVER = ENDINGS_TO_QUARANTINE + 2;
+/** Endings on which no quarantine rests are forgotten after this. Repeated endings came within seconds, at most within minutes. */
+const EVIDENCE_RETENTION_MS = 10 * 60_000;
+/** Endings on which a quarantine rests are forgotten after this, and the quarantine with them. */
+const QUARANTINE_RETENTION_MS = 24 * 60 * 60_000;
+/** How many endings are kept at most. Together with {@link MAX_REQUESTS_PER_ENDING} it bounds memory to some 16,000 entries. */
+const MAX_ENDINGS = 256;
 /**
- * A suspect that is being run keeps others of its kind from being begun for this long at most: guilty ones ended their engines within
- * 0.5 s, and the host that runs it may have ended itself.
+ * A trial blocks other runs of the same request for at most this long. Culprits ended their engines within 0.5 s. The bound also holds
+ * if the host that runs the trial has crashed and will not report its end.
  */
-const TRIAL_MS = 3_000;
+const TRIAL_TIMEOUT_MS = 3_000;
 
 /**
- * What all hosts saw of an ending is together after this, where no host is cut off: two passes from host to host, each of a few
- * milliseconds. Before that, the one to blame may be missing: 7.8 of 10,000 innocent requests were refused on drawn days without this and with
- * other faults of the model, 2.6 with it.
+ * Time after which each host has all observations of an ending, unless it is partitioned: two hops of a few milliseconds each. Before
+ * that, the evidence against the culprit may still be missing. In simulations, 7.8 of 10,000 innocent requests were refused without
+ * this wait (and with other faults of the model), 2.6 with it.
  */
 export const NEWS_MS = 50;
 
 /** Whether a request may be begun. */
 export type Verdict =
-    /** Nothing is held against it. */
+    /** No ending counts against it. */
     | { readonly kind: "free" }
-    /** It was at an ending; it may be begun at an endpoint that carries little. */
+    /** It was involved in endings. It may begin at an endpoint with little load. */
     | { readonly kind: "suspect"; readonly endings: number }
-    /** It is a suspect that runs elsewhere now; `againMs`: until it may be begun at the latest. */
+    /** It is a suspect that is running elsewhere. It may begin after `againMs` at the latest. */
     | { readonly kind: "onTrial"; readonly againMs: number }
-    /** It is not begun; `sureMs`: what others saw of its last ending may come for so long, and clear it. */
+    /** It may not begin. For another `sureMs`, observations of its last ending may still arrive and clear it. */
     | { readonly kind: "quarantined"; readonly endings: number; readonly sureMs: number };
 
 const FREE: Verdict = { kind: "free" };
 
-/** For what it is asked whether a request may be begun. */
+/** The circumstances in which a request is about to begin. */
 export interface Asked {
-    /** The attempt that is about to begin, where that is known. */
+    /** Name of the attempt that is about to begin, if it is known. */
     readonly attempt?: string | undefined;
-    /** Versions of the software that it may meet. */
+    /** Software versions of the endpoints that may run it. */
     readonly software?: readonly string[] | undefined;
 }
 
 /**
- * Whether a request may be begun now.
+ * Returns whether a request may begin now.
  *
  * @example
  * ```ts
  * verdictOf(quarantine, fingerprint, now).kind; // "free"
  * ```
  */
-export function verdictOf(state: Quarantine, fingerprint: string, now: number, asked: Asked = {}): Verdict {
-    const charge = state.charges.get(fingerprint);
-    if (!charge || charge.endings.length === 0) return FREE;
-    const endings = charge.endings.length;
-    if (charge.isGuilty && now < heldUntil(charge) && !meetsOther(charge, asked.software)) {
-        return { kind: "quarantined", endings, sureMs: Math.max(0, charge.lastAt + NEWS_MS - now) };
+export function verdictOf(state: Quarantine, fingerprint: string, now: number, context: Asked = {}): Verdict {
+    const assessment = state.charges.get(fingerprint);
+    if (!assessment || assessment.endings.length === 0) return FREE;
+    const endings = assessment.endings.length;
+    if (
+        assessment.isGuilty && now < quarantinedUntil(assessment) && !mayMeetOtherSoftware(assessment, context.software)
+    ) {
+        return { kind: "quarantined", endings, sureMs: Math.max(0, assessment.lastAt + NEWS_MS - now) };
     }
-    const againMs = trialLeftMs(state, fingerprint, now, asked.attempt);
+    const againMs = remainingTrialMs(state, fingerprint, now, context.attempt);
     return againMs > 0 ? { kind: "onTrial", againMs } : { kind: "suspect", endings };
 }
 
 /**
- * Whether a request may meet software that it has not ended yet: one try there decides again, and no more than one, as endings of one
- * moment count once and three tries after the third are all that is allowed.
+ * Returns whether a quarantined request may run on software that it has not crashed yet. A trial there decides again, but only one:
+ * simultaneous endings count once, and at most three trials are allowed after the third ending.
  */
-function meetsOther({ endings }: Charge, versions: readonly string[] = []): boolean {
+function mayMeetOtherSoftware({ endings }: Charge, versions: readonly string[] = []): boolean {
     const ended = new Set(endings.flatMap(({ software }) => software ?? []));
     return endings.length <= ENDINGS_TO_QUARANTINE && ended.size > 0 && versions.some(version => !ended.has(version));
 }
 
-/** When one try may decide again. */
-function heldUntil({ endings, lastAt }: Charge): number {
-    if (endings.length >= ENDINGS_FOR_GOOD) return Infinity;
-    return lastAt + HOLD_MS * 2 ** (endings.length - ENDINGS_TO_QUARANTINE);
+/** Returns when a trial may decide again. */
+function quarantinedUntil({ endings, lastAt }: Charge): number {
+    if (endings.length >= ENDINGS_TO_QUARANTINE_FOREVER) return Infinity;
+    return lastAt + QUARANTINE_MS * 2 ** (endings.length - ENDINGS_TO_QUARANTINE);
 }
 
-function trialLeftMs({ trials }: Quarantine, fingerprint: string, now: number, own: string | undefined): number {
+function remainingTrialMs(
+    { trials }: Quarantine,
+    fingerprint: string,
+    now: number,
+    ownAttempt: string | undefined,
+): number {
     let left = 0;
     for (const [attempt, trial] of trials) {
-        if (trial.fingerprint !== fingerprint || trial.isOver || attempt === own) continue;
-        left = Math.max(left, trial.at + TRIAL_MS - now);
+        if (trial.fingerprint !== fingerprint || trial.isOver || attempt === ownAttempt) continue;
+        left = Math.max(left, trial.at + TRIAL_TIMEOUT_MS - now);
     }
     return left;
 }
 
-/** Whether anything is held against a request. */
+/** Returns whether a request was involved in an ending and not cleared since. */
 export function isSuspect({ charges }: Quarantine, fingerprint: string): boolean {
     return charges.has(fingerprint);
 }
 
 /**
- * Takes in what this host saw, or what a peer told.
+ * Merges news that this host observed, or that a peer sent.
  *
  * @example
  * ```ts
- * const { state, news } = joinNews(quarantine, { endings: [ending], trials: [] }, now);
+ * const { state, news } = mergeNews(quarantine, { endings: [ending], trials: [] }, now);
  * ```
  */
-export function joinNews(state: Quarantine, told: QuarantineNews, now: number): QuarantineStep {
-    const endings = joinEndings(state, told.endings, now);
-    const trials = joinTrials(endings.state, told.trials, now);
-    const hasNews = endings.news.length + trials.news.length > 0;
-    return { state: trials.state, news: hasNews ? { endings: endings.news, trials: trials.news } : undefined };
+export function joinNews(state: Quarantine, received: QuarantineNews, now: number): QuarantineStep {
+    const endings = mergeEndings(state, received.endings, now);
+    const trials = mergeTrials(endings.state, received.trials, now);
+    const hasNews = endings.added.length + trials.added.length > 0;
+    return { state: trials.state, news: hasNews ? { endings: endings.added, trials: trials.added } : undefined };
 }
 
-/** A request ran to its end, or an operator lifts its quarantine: nothing that is known is held against it any more. */
+/** Clears a request of all known endings, because it ran to completion or an operator lifts its quarantine. */
 export function clear(state: Quarantine, fingerprint: string, now: number): QuarantineStep {
-    return joinNews(state, { endings: clearingOf(state.endings, fingerprint, now), trials: [] }, now);
+    return joinNews(state, { endings: clearingNews(state.endings, fingerprint, now), trials: [] }, now);
 }
 
-/** All endings that are known, for a host that starts or knows others. Trials are over by the time that they would be told again. */
+/** Returns all known endings, for a host that starts or whose digest differs. Trials are left out: they are too short to send again. */
 export function allNews({ endings }: Quarantine, now: number): QuarantineNews {
     return { endings: [...endings.values()].map(ending => newsOfEnding(ending, now)), trials: [] };
 }
 
-/** The state without what is too old; called from time to time. */
+/** Drops expired endings and trials. The host calls it periodically. */
 export function forgetOld(state: Quarantine, now: number): Quarantine {
-    const guilty = livesOfGuilty(state);
-    const kept = [...state.endings].filter(([life, { at }]) => now - at < (guilty.has(life) ? KEPT_MS : EVIDENCE_MS));
-    const trials = [...state.trials].filter(([, { at }]) => now - at < TRIAL_MS);
+    const culprits = livesOfCulprits(state);
+    const kept = [...state.endings].filter(([life, { at }]) =>
+        now - at < (culprits.has(life) ? QUARANTINE_RETENTION_MS : EVIDENCE_RETENTION_MS)
+    );
+    const trials = [...state.trials].filter(([, { at }]) => now - at < TRIAL_TIMEOUT_MS);
     const known = trials.length === state.trials.size ? state : { ...state, trials: new Map(trials) };
     return kept.length === state.endings.size ? known : withEndings(known, new Map(kept));
 }
 
-function joinEndings(
+function mergeEndings(
     state: Quarantine,
-    told: readonly EndingNews[],
+    received: readonly EndingNews[],
     now: number,
-): { readonly state: Quarantine; readonly news: readonly EndingNews[] } {
-    const news: EndingNews[] = [];
+): { readonly state: Quarantine; readonly added: readonly EndingNews[] } {
+    const added: EndingNews[] = [];
     let { endings } = state;
-    for (const ending of told) {
-        const joined = joinEnding(endings, ending, now);
-        endings = joined.endings;
-        if (joined.news) news.push(joined.news);
+    for (const ending of received) {
+        const merged = mergeEnding(endings, ending, now);
+        endings = merged.endings;
+        if (merged.news) added.push(merged.news);
     }
-    return news.length === 0 ? { state, news } : { state: bounded(withEndings(state, endings)), news };
+    return added.length === 0
+        ? { state, added }
+        : { state: dropOldestEndings(withEndings(state, endings)), added };
 }
 
 function withEndings(state: Quarantine, endings: Endings): Quarantine {
-    return { ...state, endings, charges: judge(endings), digest: digestOfEndings(endings) };
+    return { ...state, endings, charges: assessRequests(endings), digest: digestOfEndings(endings) };
 }
 
-/** The oldest go first, and of those first the ones that no quarantine rests on. */
-function bounded(state: Quarantine): Quarantine {
+/** Drops endings above {@link MAX_ENDINGS}: first those on which no quarantine rests, the oldest first. */
+function dropOldestEndings(state: Quarantine): Quarantine {
     const { endings } = state;
-    if (endings.size <= MOST_ENDINGS) return state;
-    const guilty = livesOfGuilty(state);
+    if (endings.size <= MAX_ENDINGS) return state;
+    const culprits = livesOfCulprits(state);
     const sorted = [...endings].sort(([a, { at: atA }], [b, { at: atB }]) =>
-        Number(guilty.has(b)) - Number(guilty.has(a)) || atB - atA || (a < b ? -1 : 1)
+        Number(culprits.has(b)) - Number(culprits.has(a)) || atB - atA || (a < b ? -1 : 1)
     );
-    return withEndings(state, new Map(sorted.slice(0, MOST_ENDINGS)));
+    return withEndings(state, new Map(sorted.slice(0, MAX_ENDINGS)));
 }
 
-function livesOfGuilty({ charges }: Quarantine): ReadonlySet<string> {
-    const guilty = [...charges.values()].filter(({ isGuilty }) => isGuilty);
-    return new Set(guilty.flatMap(({ endings }) => endings.map(({ life }) => life)));
+function livesOfCulprits({ charges }: Quarantine): ReadonlySet<string> {
+    const culprits = [...charges.values()].filter(({ isGuilty }) => isGuilty);
+    return new Set(culprits.flatMap(({ endings }) => endings.map(({ life }) => life)));
 }
 
-function joinTrials(
+function mergeTrials(
     state: Quarantine,
-    told: readonly TrialNews[],
+    received: readonly TrialNews[],
     now: number,
-): { readonly state: Quarantine; readonly news: readonly TrialNews[] } {
+): { readonly state: Quarantine; readonly added: readonly TrialNews[] } {
     const trials = new Map(state.trials);
-    const news: TrialNews[] = [];
-    for (const trial of told) {
+    const added: TrialNews[] = [];
+    for (const trial of received) {
         const known = trials.get(trial.attempt);
-        if (trial.agoMs >= TRIAL_MS || known && (known.isOver || !trial.isOver)) continue;
+        if (trial.agoMs >= TRIAL_TIMEOUT_MS || known && (known.isOver || !trial.isOver)) continue;
         const { attempt, fingerprint, agoMs, isOver } = trial;
         trials.set(attempt, { fingerprint, at: known?.at ?? now - agoMs, isOver });
-        news.push(trial);
+        added.push(trial);
     }
-    return news.length === 0 ? { state, news } : { state: { ...state, trials }, news };
+    return added.length === 0 ? { state, added } : { state: { ...state, trials }, added };
 }
--- a/packages/hall/src/reachability.ts
+++ b/packages/hall/src/reachability.ts
@@ -1,77 +1,78 @@
 /**
- * What of other halls a host probably cannot reach, by what it and others of its hall have found out together.
+ * Estimates which endpoints and halls a host cannot reach, from what it and its peers in the hall observe.
  *
- * An endpoint is in doubt where a connection to it failed and nothing of its hall was heard since, neither a host nor an endpoint.
- * A whole hall is in doubt where nothing of it was heard for a while and connections have failed since: to one endpoint where the
- * failure detector relies on less than half of its hosts, else to two, or to all that there are. Anything that is heard ends a doubt,
- * and so does time, as long as nothing is found out anew.
+ * An endpoint of another hall is in doubt if a connection to it failed and nothing was heard from its hall since, neither from a host
+ * nor from an endpoint. A whole hall is in doubt if nothing was heard from it for {@link QUIET_MS} and connections to its endpoints
+ * failed since: to one endpoint if the failure detector considers less than half of the hall's hosts alive, otherwise to two, or to the
+ * only one. A doubt ends when anything is heard from the hall, or after a while without new failures.
  *
- *     a host of the hall: connection to e1 fails --(told to the hall)--> others: e1 is in doubt
- *     any host: e1, e2 failed, nothing heard of their hall for a second -------> their hall is in doubt
+ *     a host of the hall: connection to e1 fails --(tells its hall)--> others: e1 is in doubt
+ *     any host: e1, e2 failed, nothing heard from their hall for 1 s -> their hall is in doubt
  *
- * A doubt decides only what is tried first, so that a wrong one costs little.
+ * A doubt only changes the order in which endpoints are tried, so a wrong one costs little.
  *
- * Pure. Times are milliseconds on each host's own clock; ages travel.
+ * All functions are pure. Times are in milliseconds on each host's own clock; hosts send each other ages.
  *
  * @module
  */
 import { isAlive, type Membership } from "./membership.js";
 
-/** What a host has found out of other halls. */
+/** A host's observations of other halls. */
 export interface Reach {
-    /** When something of a hall was last heard. */
-    readonly heardAt: ReadonlyMap<string, number>;
-    /** Endpoints to which a connection failed, by name. */
-    readonly lost: ReadonlyMap<string, Lost>;
+    /** When a host or an endpoint of a hall was last heard, by hall. */
+    readonly lastHeardAt: ReadonlyMap<string, number>;
+    /** The last failed connection to an endpoint, by the endpoint's name. */
+    readonly lost: ReadonlyMap<string, FailedConnection>;
 }
 
-/** A failed connection to an endpoint, by this host or another of its hall. */
-interface Lost {
+/** A failed connection from this host, or another host of its hall, to an endpoint. */
+interface FailedConnection {
     readonly hall: string;
     /** When it last failed. */
     readonly at: number;
 }
 
-/** Hosts of another hall, as the failure detector knows them. */
+/** Number of hosts of another hall, as the failure detector sees them. */
 export interface HallHosts {
     readonly hall: string;
-    /** Its hosts, but for those that have said that they leave. */
+    /** All known hosts except those that are leaving. */
     readonly hosts: number;
-    /** Of these, hosts that are relied on. */
+    /** How many of these are considered alive. */
     readonly relied: number;
 }
 
-/** The same with the endpoints that are registered there. */
+/** Number of hosts and endpoints of another hall. */
 export interface HallMembers extends HallHosts {
+    /** Endpoints that are registered there. */
     readonly endpoints: number;
 }
 
-/** A hall in doubt, and why. */
+/** A hall in doubt, with the reasons. */
 export interface DoubtedHall {
     readonly hall: string;
-    /** Endpoints that could not be reached since it was last heard. */
+    /** Number of endpoints to which connections failed since the hall was last heard. */
     readonly lost: number;
-    /** Whether half of its hosts or more are still relied on. */
+    /** Whether at least half of its hosts are still considered alive. */
     readonly hasHosts: boolean;
-    /** For how long nothing of it was heard. */
+    /** For how long nothing was heard from it. */
     readonly silentMs: number;
 }
 
-/** Hosts of three halls hear of each other hall once a second in the mean, by the probes between halls. */
+/** A hall is in doubt only after this silence. With three halls, probes between halls reach a host from each other hall once a second. */
 export const QUIET_MS = 1_000;
-/** A failed connection counts for this long: then a call may find out anew, where nothing else does. */
+/** A failed connection counts for this long. Afterwards a request may try the endpoint again, if nothing else does. */
 export const LOST_VALID_MS = 5_000;
-/** One endpoint may have failed by itself. */
-const LEAST_LOST = 2;
-/** A failure of an endpoint that is known to have failed this lately is no news. */
-const SAME_MS = 1_000;
+/** Endpoints that have to fail before their hall is in doubt while its hosts seem alive: a single one may have failed by itself. */
+const MIN_FAILED_ENDPOINTS = 2;
+/** A failure within this time after the last known one of the same endpoint is not news. */
+const REPEATED_FAILURE_MS = 1_000;
 
 /**
- * Hosts of the other halls of a host's scope.
+ * Counts the hosts of the other halls in a host's scope.
  *
  * @example
  * ```ts
- * otherHalls(membership, now); // [{ hall: "k2", hosts: 30, relied: 29 }]
+ * otherHalls(membership, now); // [{ hall: "k2", hosts: 30, aliveHosts: 29 }]
  * ```
  */
 export function otherHalls({ self, members }: Membership, now: number): readonly HallHosts[] {
@@ -84,23 +85,23 @@
     return [...halls].map(([hall, counts]) => ({ hall, ...counts }));
 }
 
-/** A host that has found out nothing. */
-export const NOTHING_FOUND: Reach = { heardAt: new Map(), lost: new Map() };
+/** The state of a host that has observed nothing. */
+export const NOTHING_FOUND: Reach = { lastHeardAt: new Map(), lost: new Map() };
 
-/** The state after a host or an endpoint of another hall was heard. */
+/** Records that a host or an endpoint of another hall was heard, which ends all doubts about the hall. */
 export function hearHall(reach: Reach, hall: string, now: number): Reach {
-    const lost = new Map([...reach.lost].filter(([, { hall: other }]) => other !== hall));
-    return { heardAt: new Map(reach.heardAt).set(hall, now), lost };
+    const failed = new Map([...reach.lost].filter(([, { hall: other }]) => other !== hall));
+    return { lastHeardAt: new Map(reach.lastHeardAt).set(hall, now), lost: failed };
 }
 
 /**
- * The state after a connection to an endpoint of another hall failed, and whether that is news to tell others of the own hall.
+ * Records that a connection to an endpoint of another hall failed. Returns the state and whether to tell the other hosts of the hall.
  *
- * @param at When it failed; before now where another host has told.
+ * @param at When it failed. It is before `now` if another host reported it.
  *
  * @example
  * ```ts
- * const { state, isNews } = loseEndpoint(reach, "i-7@1700", "k2", now - agoMs, now);
+ * const { state, isNews } = recordFailedConnection(reach, "i-7@1700", "k2", now - agoMs, now);
  * ```
  */
 export function loseEndpoint(
@@ -111,36 +112,36 @@
     now: number,
 ): { readonly state: Reach; readonly isNews: boolean } {
     const known = reach.lost.get(endpoint);
-    const isOver = at <= heardLast(reach, hall) || now - at >= LOST_VALID_MS;
-    if (isOver || known && at - known.at < SAME_MS) return { state: reach, isNews: false };
+    const isOutdated = at <= lastHeardFrom(reach, hall) || now - at >= LOST_VALID_MS;
+    if (isOutdated || known && at - known.at < REPEATED_FAILURE_MS) return { state: reach, isNews: false };
     const kept = [...reach.lost].filter(([, other]) => now - other.at < LOST_VALID_MS);
     return { state: { ...reach, lost: new Map(kept).set(endpoint, { hall, at }) }, isNews: true };
 }
 
-function heardLast({ heardAt }: Reach, hall: string): number {
-    return heardAt.get(hall) ?? -Infinity;
+function lastHeardFrom({ lastHeardAt }: Reach, hall: string): number {
+    return lastHeardAt.get(hall) ?? -Infinity;
 }
 
-/** What a host probably cannot reach. */
+/** Halls and endpoints that a host probably cannot reach. */
 export interface Doubts {
     readonly halls: readonly DoubtedHall[];
-    /** Endpoints, whatever is thought of the rest of their halls. */
+    /** Endpoints in doubt, whether or not their hall is. */
     readonly endpoints: readonly string[];
 }
 
 /**
- * What a host probably cannot reach. Nothing of halls without a known host is in doubt: nothing there would end it.
+ * Returns what a host probably cannot reach. Halls without a known host are never in doubt, because nothing would end the doubt.
  *
  * @example
  * ```ts
- * doubtsOf(reach, [{ hall: "k2", hosts: 30, relied: 0, endpoints: 11 }], now).halls;
+ * doubtsOf(reachability, [{ hall: "k2", hosts: 30, aliveHosts: 0, endpoints: 11 }], now).halls;
  * ```
  */
 export function doubtsOf(reach: Reach, halls: readonly HallMembers[], now: number): Doubts {
-    const lost = [...reach.lost].filter(([, { at }]) => now - at < LOST_VALID_MS);
+    const failed = [...reach.lost].filter(([, { at }]) => now - at < LOST_VALID_MS);
     const found = halls.filter(({ hosts }) => hosts > 0).map(members => {
-        const endpoints = lost.flatMap(([endpoint, { hall }]) => hall === members.hall ? [endpoint] : []);
-        return { endpoints, hall: doubtedHall(members, endpoints.length, now - heardLast(reach, members.hall)) };
+        const endpoints = failed.flatMap(([endpoint, { hall }]) => hall === members.hall ? [endpoint] : []);
+        return { endpoints, hall: hallInDoubt(members, endpoints.length, now - lastHeardFrom(reach, members.hall)) };
     });
     return {
         halls: found.flatMap(({ hall }) => hall ?? []),
@@ -148,12 +149,14 @@
     };
 }
 
-function doubtedHall(
+function hallInDoubt(
     { hall, hosts, relied, endpoints }: HallMembers,
-    lost: number,
+    failedCount: number,
     silentMs: number,
 ): DoubtedHall | undefined {
-    const isGivenUp = 2 * relied < hosts;
-    const needed = isGivenUp ? 1 : Math.min(LEAST_LOST, Math.max(1, endpoints));
-    return silentMs >= QUIET_MS && lost >= needed ? { hall, lost, hasHosts: !isGivenUp, silentMs } : undefined;
+    const isMostlyDead = 2 * relied < hosts;
+    const needed = isMostlyDead ? 1 : Math.min(MIN_FAILED_ENDPOINTS, Math.max(1, endpoints));
+    return silentMs >= QUIET_MS && failedCount >= needed
+        ? { hall, lost: failedCount, hasHosts: !isMostlyDead, silentMs }
+        : undefined;
 }
--- a/packages/hall/src/settings-exchange.ts
+++ b/packages/hall/src/settings-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * How versions of the settings travel between hosts: probes name the version in force; a host that hears of a newer
- * one asks for the parts that it lacks.
+ * Distribution of settings between hosts. Probes carry the sender's version in force. A host that hears of a newer version requests the
+ * parts that it lacks.
  *
  * @module
  */
@@ -13,35 +13,36 @@
     type Snapshot,
 } from "@drumpaddle/settings";
 
-/** What a probe says of the sender's settings. */
+/** The sender's version of the settings, as a probe carries it. */
 export interface VersionNews {
     readonly version: number;
     readonly hash: string;
 }
 
-/** Asks for the newest version, naming the hashes of the parts that are already held. */
+/** Requests the newest version. */
 export interface SettingsAsk {
+    /** Hashes of the parts that the sender already has. */
     readonly have: Readonly<Record<PartName, string>>;
 }
 
-/** A version with the parts that the asker lacked. */
+/** A version with the parts that the requester lacked. */
 export interface SettingsGive {
     readonly head: Head;
     readonly parts: Readonly<Record<PartName, string>>;
 }
 
-/** What a probe says of the version in force. */
+/** Returns the version in force for a probe. */
 export function newsOf(inForce: InForce | undefined): VersionNews {
     const head = inForce?.snapshot.head;
     return { version: head?.version ?? 0, hash: head?.hash ?? "" };
 }
 
 /**
- * The question to ask after hearing of a version, or undefined where it is not newer.
+ * Returns the request to send to a peer that has a newer version, or undefined if its version is not newer.
  *
  * @example
  * ```ts
- * const ask = askAfter(feed.inForce, message.settings);
+ * const request = settingsRequestFor(feed.inForce, message.settings);
  * ```
  */
 export function askAfter(inForce: InForce | undefined, news: VersionNews): SettingsAsk | undefined {
@@ -49,7 +50,7 @@
     return news.version > (head?.version ?? 0) ? { have: head?.parts ?? {} } : undefined;
 }
 
-/** The answer to a question: the newest head and the parts that the asker lacks; undefined where nothing is known. */
+/** Answers a request with the newest head and the parts that the requester lacks, or undefined if no version is in force. */
 export function give(inForce: InForce | undefined, ask: SettingsAsk): SettingsGive | undefined {
     if (!inForce) return undefined;
     const { head, parts } = inForce.snapshot;
@@ -57,7 +58,7 @@
     return { head, parts: Object.fromEntries(lacking.map(name => [name, parts[name]!])) };
 }
 
-/** An answer put together with what is already held; it is judged like any other offer. */
+/** Assembles a snapshot from a response and the parts in force. The caller validates it like any other offered snapshot. */
 export function takeGiven(inForce: InForce | undefined, given: SettingsGive): Snapshot {
     const missing = partsToRead(inForce, given.head);
     const read = Object.fromEntries(
--- a/packages/hall/src/store-position.ts
+++ b/packages/hall/src/store-position.ts
@@ -1,29 +1,29 @@
 /**
- * Where a host stands in what the platform's store tells. Revisions grow until the store comes back from an older copy of its
- * data: it then gives out again what it has lost, and its epoch tells the two histories apart.
+ * A host's position in the history of the platform's store. Revisions grow until the store is restored from an older copy of its data.
+ * It then assigns the lost revisions again, and a new epoch distinguishes the two histories.
  *
  * @module
  */
 
 /** A point in the store's history. */
 export interface StorePosition {
-    /** How often the store has come back from an older copy, by its own count. */
+    /** How often the store was restored from an older copy, by its own count. */
     readonly epoch: number;
     /** Grows with every change within an epoch. */
     readonly revision: number;
 }
 
-/** How far a host is with what the store tells. */
+/** The state of the store's data that a host has. */
 export interface StoreProgress extends StorePosition {
-    /** Of the deployment in force, which outlasts the store's copies; below 0 where none is known. */
+    /** Version of the deployment in force, which survives a restore of the store; below 0 if none is known. */
     readonly version: number;
 }
 
-/** Where a host stands that knows nothing. */
+/** The position of a host that knows nothing of the store. */
 export const NO_POSITION: StorePosition = { epoch: -1, revision: -1 };
 
 /**
- * Whether a point in the store's history comes after another.
+ * Returns whether a position comes after another in the store's history.
  *
  * @example
  * ```ts
@@ -36,7 +36,7 @@
 }
 
 /**
- * Whether a host knows something that another lacks. A newer deployment counts by itself: the store's copy may hold an older one.
+ * Returns whether a host has something that another lacks. A newer deployment suffices, because a restored store may hold an older one.
  *
  * @example
  * ```ts
--- a/packages/hall/src/store-watchers.ts
+++ b/packages/hall/src/store-watchers.ts
@@ -1,117 +1,118 @@
 /**
- * Which hosts of a hall watch the platform's store, and which follow those that do: a call to the store is paid for, and
- * its rate grows more slowly than the fleet.
+ * Decides which hosts of a hall watch the platform's store. The others follow the watchers: calls to the store cost money, and their
+ * number has to grow more slowly than the fleet.
  *
- * The first {@link WATCHERS} of a hall by rank, which follows what hosts can carry, watch and say at least every {@link WORD_EVERY_MS} how far they are and
- * whether the store answers them. One that is silent, or that the store does not answer, is passed over for
- * {@link OUT_MS}, and the next by rank takes its place, so that while the store is away the hall asks it in turn. Others
- * follow: by the watchers' words, and by what any peer last heard. A host that hears neither turns to the store itself,
- * later the later it comes by rank; following saves calls and decides nothing else.
+ * The first {@link WATCHERS_PER_HALL} hosts of a hall by rank, which depends on their capacity, watch the store. At least every
+ * {@link WORD_EVERY_MS} they report to the hall their progress and whether the store answers them. A watcher that is silent, or that the
+ * store does not answer, is passed over for {@link PASSED_OVER_MS} and the next by rank takes its place, so that the hosts of the hall
+ * take turns while the store is unavailable. The other hosts follow the watchers' reports and the progress of any peer. A host that
+ * hears of neither watches the store itself, later the lower its rank is. Following only saves calls; nothing else depends on it.
  *
- *     store ---watch---> first, second          (by rank; one that fails: the next two)
- *                          | word: revision, changes, whether the store answers
+ *     store ---watch---> first, second          (by rank; if one fails, the next)
+ *                          | report: revision, changes, whether the store answers
  *                          v
- *                        others --revision, age--> others (with probes; who stays behind asks for the rest)
+ *                        others --revision, age--> others (with probes; a host that stays behind asks for the rest)
  *
- * Pure: each function returns the next state. Times are milliseconds on one clock of the caller's choice.
+ * All functions are pure: they return the next state. Times are in milliseconds on one clock of the caller's choice.
  *
  * @module
  */
-import { EQUAL, rank, WATCHERS, type Weights } from "./ownership.js";
+import { EQUAL_WEIGHTS, rank, WATCHERS_PER_HALL, type Weights } from "./ownership.js";
 import { isFurther, type StoreProgress } from "./store-position.js";
 
-/** How often a watcher says where it stands. */
+/** Interval of a watcher's reports. */
 export const WORD_EVERY_MS = 400;
-/** A watcher that says nothing for so long is passed over: half of the shortest bound on news (2 s). */
+/** A watcher without a report for this long is passed over. It is half of the shortest bound on the delay of changes (2 s). */
 export const WORD_VALID_MS = 1_000;
-/** A host that the store did not answer, or that said nothing when it was expected to, is not expected to for so long. */
-const OUT_MS = 3_000;
-/** Who has heard nothing for so long of the store, from anyone, watches by itself. */
-const ALONE_MS = 1_500;
-/** A host waits this much longer for each place that it has by rank, up to {@link MOST_STAGGER_MS}. */
-const STAGGER_MS = 50;
-const MOST_STAGGER_MS = 1_000;
-/** A host that began to watch by itself goes on for this long, so that it does not begin again and again. */
+/** A host that the store did not answer, or that sent no report when it was expected to, is not expected to watch for this long. */
+const PASSED_OVER_MS = 3_000;
+/** A host that has heard nothing of the store for this long, not even from peers, watches it itself. */
+const STORE_SILENCE_MS = 1_500;
+/** It waits this much longer for each host that ranks above it, up to {@link MAX_RANK_DELAY_MS}. */
+const RANK_DELAY_MS = 50;
+const MAX_RANK_DELAY_MS = 1_000;
+/** A host that watches because it heard nothing continues for this long, so that it does not start over again and again. */
 const KEEP_WATCHING_MS = 3_000;
-/** A host that starts and looks for others knows its hall after this; it has read the store by then. */
-export const JOIN_MS = 1_000;
+/** A starting host watches only after this, if it is looking for peers. By then it knows its hall, and has read the store once. */
+export const JOIN_GRACE_MS = 1_000;
 /**
- * Who hears that a peer is further than it is asks for the rest after this, if the watcher's word has not come by then: a
- * whole state is 10 to 100 times as large as a word.
+ * A host that is behind a peer asks the peer for the rest after this, if no watcher's report has arrived by then. The whole state is 10
+ * to 100 times as large as a report.
  */
-const BEHIND_MS = 300;
+const CATCH_UP_DELAY_MS = 300;
 
-/** What a host last said of itself as a watcher. */
-interface Word {
+/** A host's last report as a watcher. */
+interface WatcherReport {
     readonly at: number;
-    /** Whether the store answers it. */
+    /** Whether the store answers the host. */
     readonly hears: boolean;
 }
 
-/** What a host knows of its hall's watchers. */
+/** A host's view of the watchers of its hall. */
 export interface Following {
     readonly self: string;
     readonly startedAt: number;
-    readonly words: ReadonlyMap<string, Word>;
-    /** Since when a host is expected to watch; it has {@link WORD_VALID_MS} to say so. */
-    readonly expected: ReadonlyMap<string, number>;
-    /** Whether it was one of the watchers when it last looked. */
-    readonly placed: boolean;
-    /** Until when this host watches by itself. */
+    /** Last reports by host. */
+    readonly reports: ReadonlyMap<string, WatcherReport>;
+    /** When a host was first expected to watch, by host. It has {@link WORD_VALID_MS} for its first report. */
+    readonly expectedFrom: ReadonlyMap<string, number>;
+    /** Whether this host was one of the watchers at its last plan. */
+    readonly wasWatcher: boolean;
+    /** Until when this host watches because it heard nothing of the store. */
     readonly watchUntil: number;
     /** When the store last failed to answer this host. */
-    readonly deafAt: number;
-    /** How far a peer is that knows what this host lacks, and since when that is known. */
-    readonly lacked: { readonly progress: StoreProgress; readonly since: number } | undefined;
+    readonly storeFailedAt: number;
+    /** Progress of a peer that is ahead of this host, and since when this host knows of it. */
+    readonly missing: { readonly progress: StoreProgress; readonly since: number } | undefined;
 }
 
-/** What a host knows of the store when it looks whether to watch. */
+/** What a host knows of the store when it plans whether to watch. */
 export interface StoreHeard {
-    /** Whether the store answers this host; undefined while it does not watch, or has no answer yet. */
+    /** Whether the store answers this host; undefined while it does not watch or has no answer yet. */
     readonly hears: boolean | undefined;
-    /** As of when the store is known to have answered this host or one that it follows. */
+    /** When the store last answered this host or one that it follows, as far as it knows. */
     readonly freshAt: number;
-    /** Whether it tries to reach hosts that it has not heard of yet. */
+    /** Whether the host still tries to reach peers that it does not know yet. */
     readonly seeking: boolean;
 }
 
-/** Why a host watches. */
+/** Why a host watches: it is the first or second watcher by rank, or it heard nothing of the store. */
 export type WatchReason = "first" | "second" | "alone";
 
-/** What a host has to do. */
+/** What a host has to do now. */
 export interface FollowPlan {
     readonly state: Following;
-    /** Why it watches the store; undefined where it follows. */
+    /** Why it watches the store; undefined if it follows. */
     readonly reason: WatchReason | undefined;
-    /** Whether it tells its hall now where it stands. */
+    /** Whether it sends its hall a report now. */
     readonly says: boolean;
 }
 
-/** A host that knows of no watcher. */
+/** Creates the view of a host that knows of no watcher. */
 export function createFollowing(self: string, now: number): Following {
     return {
         self,
         startedAt: now,
-        words: new Map(),
-        expected: new Map(),
-        placed: false,
+        reports: new Map(),
+        expectedFrom: new Map(),
+        wasWatcher: false,
         watchUntil: -Infinity,
-        deafAt: -Infinity,
-        lacked: undefined,
+        storeFailedAt: -Infinity,
+        missing: undefined,
     };
 }
 
-/** The state after a host said whether the store answers it. */
+/** Records a host's report of whether the store answers it. */
 export function hearWatcher(state: Following, host: string, hears: boolean, now: number): Following {
-    return { ...state, words: new Map(state.words).set(host, { at: now, hears }) };
+    return { ...state, reports: new Map(state.reports).set(host, { at: now, hears }) };
 }
 
 /**
- * The state after a peer said how far it is, and whether it is to be asked for what is missing here. What other peers lack as
- * well says nothing.
+ * Records a peer's progress. Returns the state and whether to ask this peer for what this host lacks. Only a peer that is ahead is asked,
+ * and only if this host has been behind for {@link CATCH_UP_DELAY_MS}.
  *
- * @param theirs How far the peer is with what the store tells.
- * @param own How far this host is.
+ * @param theirs The peer's progress.
+ * @param own This host's progress.
  */
 export function hearProgress(
     state: Following,
@@ -119,22 +120,22 @@
     own: StoreProgress,
     now: number,
 ): { readonly state: Following; readonly asks: boolean } {
-    const known = state.lacked && isFurther(state.lacked.progress, own) ? state.lacked : undefined;
+    const known = state.missing && isFurther(state.missing.progress, own) ? state.missing : undefined;
     const isBehind = isFurther(theirs, own);
-    const lacked = known ?? (isBehind ? { progress: theirs, since: now } : undefined);
-    const asks = lacked !== undefined && isBehind && now - lacked.since >= BEHIND_MS;
-    return { state: { ...state, lacked: asks ? { ...lacked, since: now } : lacked }, asks };
+    const missing = known ?? (isBehind ? { progress: theirs, since: now } : undefined);
+    const asks = missing !== undefined && isBehind && now - missing.since >= CATCH_UP_DELAY_MS;
+    return { state: { ...state, missing: asks ? { ...missing, since: now } : missing }, asks };
 }
 
 /**
- * Whether a host watches now, and whether others rely on it.
+ * Decides whether a host watches the store now, and whether it reports to its hall.
  *
- * @param hosts Live hosts of its hall, itself included unless it is leaving.
- * @param weights By which they are ranked.
+ * @param hosts Live hosts of its hall, including itself unless it is leaving.
+ * @param weights Weights by which they are ranked.
  *
  * @example
  * ```ts
- * const { state: next, reason, says } = planFollowing(state, live, { hears, freshAt }, now);
+ * const { state: next, reason, shouldReport } = planWatching(state, live, { hears, freshAt, seeking }, now);
  * ```
  */
 export function planFollowing(
@@ -142,64 +143,65 @@
     hosts: readonly string[],
     { hears, freshAt, seeking }: StoreHeard,
     now: number,
-    weights: Weights = EQUAL,
+    weights: Weights = EQUAL_WEIGHTS,
 ): FollowPlan {
-    if (seeking && now - state.startedAt < JOIN_MS) return { state, reason: undefined, says: false };
-    const deafAt = hears === false ? now : state.deafAt;
-    const isDeaf = hears !== true && now - deafAt < OUT_MS;
+    if (seeking && now - state.startedAt < JOIN_GRACE_MS) return { state, reason: undefined, says: false };
+    const storeFailedAt = hears === false ? now : state.storeFailedAt;
+    const hasStoreFailed = hears !== true && now - storeFailedAt < PASSED_OVER_MS;
     const ranked = rank("store-watch", hosts, weights);
-    const { expected, watchers } = pickWatchers(state, ranked, isDeaf, now);
-    const place = watchers.indexOf(state.self);
-    const isAlone = place < 0 && now - aloneSince(state, freshAt) > ALONE_MS + stagger(ranked.indexOf(state.self));
+    const { expected: expectedFrom, watchers } = pickWatchers(state, ranked, hasStoreFailed, now);
+    const watcherIndex = watchers.indexOf(state.self);
+    const isAlone = watcherIndex < 0
+        && now - lastStoreNewsAt(state, freshAt) > STORE_SILENCE_MS + rankDelay(ranked.indexOf(state.self));
     const watchUntil = isAlone ? now + KEEP_WATCHING_MS : state.watchUntil;
-    const reason = place >= 0 ? PLACES[place] : now < watchUntil ? "alone" : undefined;
+    const reason = watcherIndex >= 0 ? REASON_BY_PLACE[watcherIndex] : now < watchUntil ? "alone" : undefined;
     return {
-        state: { ...state, expected, watchUntil, deafAt, placed: place >= 0 },
+        state: { ...state, expectedFrom, watchUntil, storeFailedAt, wasWatcher: watcherIndex >= 0 },
         reason,
-        // One that has just been passed over says so once, that the next need not wait for its silence.
-        says: hears === undefined ? false : place >= 0 || state.placed && hears === false,
+        // A watcher whose call to the store just failed reports that once, so that the next need not wait for its silence.
+        says: hears === undefined ? false : watcherIndex >= 0 || state.wasWatcher && hears === false,
     };
 }
 
-const PLACES = ["first", "second"] as const satisfies readonly WatchReason[];
+const REASON_BY_PLACE = ["first", "second"] as const satisfies readonly WatchReason[];
 
-/** Since when nothing was heard of the store, not even that it does not answer a watcher. */
-function aloneSince({ startedAt, words }: Following, freshAt: number): number {
-    return Math.max(startedAt, freshAt, ...[...words.values()].map(({ at }) => at));
+/** Returns when this host last heard of the store, including reports that it does not answer a watcher. */
+function lastStoreNewsAt({ startedAt, reports }: Following, freshAt: number): number {
+    return Math.max(startedAt, freshAt, ...[...reports.values()].map(({ at }) => at));
 }
 
-function stagger(place: number): number {
-    return Math.min(MOST_STAGGER_MS, Math.max(0, place) * STAGGER_MS);
+function rankDelay(place: number): number {
+    return Math.min(MAX_RANK_DELAY_MS, Math.max(0, place) * RANK_DELAY_MS);
 }
 
-/** The first hosts by rank that watch or have only just been expected to. */
+/** Returns the first hosts by rank that watch, or that have only just been expected to. */
 function pickWatchers(
     state: Following,
     ranked: readonly string[],
-    isDeaf: boolean,
+    hasStoreFailed: boolean,
     now: number,
 ): { readonly expected: ReadonlyMap<string, number>; readonly watchers: readonly string[] } {
     const expected = new Map<string, number>();
     const watchers: string[] = [];
     for (const host of ranked) {
-        if (watchers.length === WATCHERS) break;
-        const since = expectedSince(state.expected.get(host), state.words.get(host), now);
+        if (watchers.length === WATCHERS_PER_HALL) break;
+        const since = expectedSince(state.expectedFrom.get(host), state.reports.get(host), now);
         expected.set(host, since);
-        const counts = host === state.self ? !isDeaf : isWatching(state.words.get(host), since, now);
-        if (counts) watchers.push(host);
+        const isActive = host === state.self ? !hasStoreFailed : isWatching(state.reports.get(host), since, now);
+        if (isActive) watchers.push(host);
     }
     return { expected, watchers };
 }
 
-/** A host that has been passed over for its silence is expected to speak again after a while. */
-function expectedSince(since: number | undefined, word: Word | undefined, now: number): number {
+/** Returns since when a host is expected to watch. A host that was passed over for its silence is expected again after a while. */
+function expectedSince(since: number | undefined, report: WatcherReport | undefined, now: number): number {
     if (since === undefined) return now;
-    const lastSign = Math.max(since, word?.at ?? -Infinity);
-    return now - lastSign >= WORD_VALID_MS + OUT_MS ? now : since;
+    const lastSign = Math.max(since, report?.at ?? -Infinity);
+    return now - lastSign >= WORD_VALID_MS + PASSED_OVER_MS ? now : since;
 }
 
-function isWatching(word: Word | undefined, since: number, now: number): boolean {
-    if (word && now - word.at < WORD_VALID_MS) return word.hears;
-    if (word && !word.hears && now - word.at < OUT_MS) return false;
+function isWatching(report: WatcherReport | undefined, since: number, now: number): boolean {
+    if (report && now - report.at < WORD_VALID_MS) return report.hears;
+    if (report && !report.hears && now - report.at < PASSED_OVER_MS) return false;
     return now - since < WORD_VALID_MS;
 }
--- a/packages/hall/test/fleet.ts
+++ b/packages/hall/test/fleet.ts
@@ -4,9 +4,9 @@
  * @module
  */
 import {
+    type AddressedDetectorMessage,
     createDetector,
     type Detector,
-    type DetectorSend,
     type DetectorStep,
     isAlive,
     leaveHall,
@@ -129,7 +129,7 @@
         for (const item of step.send) this.deliver(host, item);
     }
 
-    private deliver(from: SimHost, { to, message }: DetectorSend): void {
+    private deliver(from: SimHost, { to, message }: AddressedDetectorMessage): void {
         from.sent += 1;
         if (this.counts) from.bytes += JSON.stringify(message).length;
         const target = this.byAddress.get(to);
