--- a/packages/hall/test/hall.test.ts
+++ b/packages/hall/test/hall.test.ts
@@ -16,29 +16,29 @@
 import {
     askAfter,
     createShare,
-    cut,
-    dropStale,
+    dropExpiredLoads,
     EMPTY_ACCOUNT,
     endpointOwner,
     give,
     type Held,
-    HELD_VALID_MS,
     heldOf,
-    NOTHING_TOLD,
-    othersFor,
+    LOAD_REPEAT_MS,
+    LOAD_TTL_MS,
+    loadOfOthers,
+    NOTHING_REPORTED,
     ownerOf,
     placeIn,
-    planTelling,
+    planReports,
     rank,
-    REPEAT_MS,
+    recordLoads,
     shareAsk,
     shareHear,
     type ShareMessage,
     shareOf,
     shareRound,
     type ShareState,
+    splitLimit,
     takeGiven,
-    takeHeld,
     watches,
 } from "../src/index.js";
 
@@ -62,12 +62,12 @@
 }
 
 test("an owner's account adds up what others hold, and forgets who is silent", t => {
-    let account = takeHeld(EMPTY_ACCOUNT, "a", [heldBy(3)], 0);
-    account = takeHeld(account, "b", [heldBy(2)], 1_000);
-    t.is(othersFor(account, "e1", "c").streams, 5);
-    t.is(othersFor(account, "e1", "a").streams, 2);
-    t.is(othersFor(dropStale(account, HELD_VALID_MS + 500), "e1", "c").streams, 2);
-    t.true(Math.abs(othersFor(account, "e1", "a").curve.mean[0]! - 1_000) <= 16, "in units of 16 tokens");
+    let account = recordLoads(EMPTY_ACCOUNT, "a", [heldBy(3)], 0);
+    account = recordLoads(account, "b", [heldBy(2)], 1_000);
+    t.is(loadOfOthers(account, "e1", "c").streams, 5);
+    t.is(loadOfOthers(account, "e1", "a").streams, 2);
+    t.is(loadOfOthers(dropExpiredLoads(account, LOAD_TTL_MS + 500), "e1", "c").streams, 2);
+    t.true(Math.abs(loadOfOthers(account, "e1", "a").curve.mean[0]! - 1_000) <= 16, "in units of 16 tokens");
 });
 
 /** An owner of some endpoints, with its decisions, that is asked for one stream after another. */
@@ -130,7 +130,7 @@
     }
 
     peak(endpoint: string): number {
-        return peakOf([othersFor(this.share.account, endpoint, "owner").curve], 1.3);
+        return peakOf([loadOfOthers(this.share.account, endpoint, "owner").curve], 1.3);
     }
 }
 
@@ -171,13 +171,13 @@
 
 test("only news is told: changes, a new owner, and from time to time the same again", t => {
     const owner = (): string => "b";
-    const first = planTelling(NOTHING_TOLD, [heldBy(2)], owner, 0);
-    t.is(first.toSay.get("b")?.length, 1);
-    t.is(planTelling(first.state, [heldBy(2)], owner, 100).toSay.size, 0);
-    t.is(planTelling(first.state, [heldBy(3)], owner, 100).toSay.size, 1);
-    t.is(planTelling(first.state, [heldBy(2)], () => "c", 100).toSay.size, 1);
-    t.is(planTelling(first.state, [heldBy(2)], owner, 4_500).toSay.size, 1);
-    t.is(planTelling(NOTHING_TOLD, [heldBy(0)], owner, 0).toSay.size, 0);
+    const first = planReports(NOTHING_REPORTED, [heldBy(2)], owner, 0);
+    t.is(first.reports.get("b")?.length, 1);
+    t.is(planReports(first.state, [heldBy(2)], owner, 100).reports.size, 0);
+    t.is(planReports(first.state, [heldBy(3)], owner, 100).reports.size, 1);
+    t.is(planReports(first.state, [heldBy(2)], () => "c", 100).reports.size, 1);
+    t.is(planReports(first.state, [heldBy(2)], owner, 4_500).reports.size, 1);
+    t.is(planReports(NOTHING_REPORTED, [heldBy(0)], owner, 0).reports.size, 0);
 });
 
 test("shares of a limit add up to it, over halls and over hosts", t => {
@@ -194,7 +194,7 @@
         );
         t.is(parts.reduce((sum, part) => sum + part, 0), limit);
     }
-    t.deepEqual([0, 1, 2].map(index => cut(10, { index, of: 3 })), [3, 3, 4]);
+    t.deepEqual([0, 1, 2].map(index => splitLimit(10, { index, of: 3 })), [3, 3, 4]);
 });
 
 test("a peer is asked for the parts that are lacking, and what it gives is the newer version", t => {
@@ -226,7 +226,7 @@
     t.is(first.send.length, 1);
     const second = shareRound(first.state, endpoints, hosts, 100);
     t.is(second.send.length, 0);
-    t.is(shareRound(second.state, endpoints, hosts, REPEAT_MS).send.length, 1);
-    const heard = { ...second.state, account: takeHeld(second.state.account, "c", [heldBy(2)], 150) };
+    t.is(shareRound(second.state, endpoints, hosts, LOAD_REPEAT_MS).send.length, 1);
+    const heard = { ...second.state, account: recordLoads(second.state.account, "c", [heldBy(2)], 150) };
     t.is(shareRound(heard, endpoints, hosts, 200).send.length, 1);
 });
--- a/packages/hall/test/load-fleet.ts
+++ b/packages/hall/test/load-fleet.ts
@@ -20,7 +20,7 @@
 import { makeJob } from "../../policy/test/job.js";
 import { EngineModel } from "../../standins/src/engine-model.js";
 import {
-    type Addressed,
+    type AddressedLoadMessage,
     createShare,
     shareAsk,
     shareHear,
@@ -295,7 +295,7 @@
         for (const event of events) this.tell(host, event);
     }
 
-    private deliver(from: HostSim, { to, message }: Addressed): void {
+    private deliver(from: HostSim, { to, message }: AddressedLoadMessage): void {
         const peer = this.byName.get(to);
         if (!peer || this.load.isLost?.(from.name, to, this.now)) return;
         const { arrives } = this.load;
--- a/packages/hall/test/ownership.test.ts
+++ b/packages/hall/test/ownership.test.ts
@@ -5,7 +5,7 @@
     capacityOf,
     createShare,
     endpointOwner,
-    EQUAL,
+    EQUAL_WEIGHTS,
     ownerOf,
     rank,
     shareAsk,
@@ -29,7 +29,7 @@
 }
 
 const EVEN: Readonly<Record<string, Weights>> = {
-    "untold": EQUAL,
+    "untold": EQUAL_WEIGHTS,
     "of one": new Map(HOSTS.map(host => [host, 1])),
     "small and alike": new Map(HOSTS.map(host => [host, 0.1])),
     "large and alike": new Map(HOSTS.map(host => [host, 40])),
--- a/packages/hall/test/quarantine.test.ts
+++ b/packages/hall/test/quarantine.test.ts
@@ -7,17 +7,17 @@
     type EndingNews,
     forgetOld,
     joinNews,
-    MOMENT_MS,
     nameOfEnded,
     type Quarantine,
     type QuarantineNews,
+    SIMULTANEOUS_MS,
     type Verdict,
     verdictOf,
 } from "../src/index.js";
 
 const MINUTE_MS = 60_000;
 /** Far enough apart not to be of one moment. */
-const APART_MS = 2 * MOMENT_MS;
+const APART_MS = 2 * SIMULTANEOUS_MS;
 
 /** A request at an ending, or at several: by default alone, just begun, and not suspected before. */
 interface At {
--- a/packages/hall/test/speed-encoding.test.ts
+++ b/packages/hall/test/speed-encoding.test.ts
@@ -14,6 +14,8 @@
 import { makeJob } from "../../policy/test/job.js";
 import {
     createShare,
+    decodeSamples,
+    decodeSpeed,
     endpointOwner,
     shareHear,
     type ShareMessage,
@@ -21,9 +23,7 @@
     type ShareState,
     type ShareStep,
     SHOWN_WORDS,
-    shownOf,
     shownWords,
-    speedOf,
     speedWords,
 } from "../src/index.js";
 
@@ -99,7 +99,7 @@
 
 function shownIn(messages: readonly ShareMessage[]): number {
     return messages.flatMap(message => message.kind === "held" ? message.held : [])
-        .reduce((sum, { shown }) => sum + (shown ? shownOf(shown).stretches : 0), 0);
+        .reduce((sum, { shown }) => sum + (shown ? decodeSamples(shown).stretches : 0), 0);
 }
 
 test("a stream that began and ended between two rounds is told to the owner, and only once", t => {
@@ -151,8 +151,8 @@
     };
     const words = shownWords(shown);
     t.is(words.length, SHOWN_WORDS);
-    t.deepEqual(shownOf(words), { ...shown, firstMs: 812.3, gapMs: 90.3, longestMs: 301.1 });
-    t.deepEqual(speedOf(speedWords({ value: -0.4704, weight: 61.3, ageMs: 20.5 })), {
+    t.deepEqual(decodeSamples(words), { ...shown, firstMs: 812.3, gapMs: 90.3, longestMs: 301.1 });
+    t.deepEqual(decodeSpeed(speedWords({ value: -0.4704, weight: 61.3, ageMs: 20.5 })), {
         value: -0.47,
         weight: 61,
         ageMs: 21,
--- a/packages/hall/test/store-watchers.test.ts
+++ b/packages/hall/test/store-watchers.test.ts
@@ -182,11 +182,21 @@
     state = planFollowing(state, HOSTS, { hears: true, freshAt: START, seeking: true }, START).state;
     const failed = planFollowing(state, HOSTS, { hears: false, freshAt: START, seeking: true }, START + 10);
     t.true(failed.says, "it says so once, so that the next takes its place");
-    const after = planFollowing(failed.state, HOSTS, { hears: undefined, freshAt: START, seeking: true }, START + 100);
+    const after = planFollowing(
+        failed.state,
+        HOSTS,
+        { hears: undefined, freshAt: START, seeking: true },
+        START + 100,
+    );
     t.is(after.reason, undefined);
     const later = START + 4_000;
     t.is(
-        planFollowing(hearAll(after.state, later), HOSTS, { hears: undefined, freshAt: later, seeking: true }, later)
+        planFollowing(
+            hearAll(after.state, later),
+            HOSTS,
+            { hears: undefined, freshAt: later, seeking: true },
+            later,
+        )
             .reason,
         "first",
     );
--- a/packages/hall/test/uneven-faults.test.ts
+++ b/packages/hall/test/uneven-faults.test.ts
@@ -2,7 +2,7 @@
  * Endpoints of three speeds while their owner falls silent, or a host tells what is not so.
  */
 import test from "ava";
-import { endpointOwner, type ShareMessage, shownOf, shownWords } from "../src/index.js";
+import { decodeSamples, endpointOwner, type ShareMessage, shownWords } from "../src/index.js";
 import { UNEVEN } from "./loads.js";
 import { checkUneven } from "./uneven-tests.js";
 
@@ -24,7 +24,7 @@
     const held = message.held.map((item, at) => {
         if (!item.shown) return item;
         const times = at % 2 === 0 ? 1_000 : 0.001;
-        const told = shownOf(item.shown);
+        const told = decodeSamples(item.shown);
         const shown = shownWords({
             ...told,
             firstMs: told.firstMs * times,
--- a/packages/hall/test/uneven-fleet.test.ts
+++ b/packages/hall/test/uneven-fleet.test.ts
@@ -8,7 +8,7 @@
     ownerOf,
     rank,
     ratedHosts,
-    WATCHERS,
+    WATCHERS_PER_HALL,
     weightOf,
     type Weights,
     weightsOf,
@@ -48,7 +48,7 @@
 /** Whom a host takes for its hall's watchers. */
 function watchersBy(host: SimHost, now: number): string {
     const live = liveInHall(host.state.membership, now);
-    return rank("store-watch", live, weightsAt(host, now)).slice(0, WATCHERS).join();
+    return rank("store-watch", live, weightsAt(host, now)).slice(0, WATCHERS_PER_HALL).join();
 }
 
 /** All that owners follow from, as a host sees it. */
@@ -87,7 +87,7 @@
         }
         const replaced = watchersBy(observer, fleet.now).split(",");
         const left = fleet.running.filter(({ hall }) => hall === observer.hall).length;
-        t.is(replaced.length, Math.min(WATCHERS, left));
+        t.is(replaced.length, Math.min(WATCHERS_PER_HALL, left));
         t.true(replaced.every(name => !dead.has(name)));
     });
 }
@@ -113,10 +113,10 @@
         for (const kind of ["killed", "cut"] as const) {
             const hall = new StoreHall(hosts, 1, weights);
             hall.run(4_000);
-            t.is(hall.watching.length, WATCHERS);
+            t.is(hall.watching.length, WATCHERS_PER_HALL);
             t.deepEqual(
                 hall.watching.map(({ name }) => name).toSorted(),
-                rank("store-watch", names, weights).slice(0, WATCHERS).toSorted(),
+                rank("store-watch", names, weights).slice(0, WATCHERS_PER_HALL).toSorted(),
             );
             for (const host of hall.watching) {
                 if (kind === "killed") host.alive = false;
@@ -126,7 +126,7 @@
             const took = hall.change(() => true);
             t.true(took < 2_000, `${kind}: ${took} ms`);
             hall.run(5_000);
-            t.is(hall.watching.filter(({ cut }) => !cut).length, WATCHERS, kind);
+            t.is(hall.watching.filter(({ cut }) => !cut).length, WATCHERS_PER_HALL, kind);
         }
     });
 }
--- a/packages/standins/src/host-mutations.ts
+++ b/packages/standins/src/host-mutations.ts
@@ -32,22 +32,22 @@
     {
         promise: "uneven hosts: hosts that are alike keep the order of plain rendezvous",
         file: OWNERSHIP_SOURCE,
-        find: "a.draw < b.draw ? 1 : -1",
-        replace: "a.draw < b.draw ? -1 : 1",
+        find: "a.hashHex < b.hashHex ? 1 : -1",
+        replace: "a.hashHex < b.hashHex ? -1 : 1",
         tests: [OWNERSHIP],
     },
     {
         promise: "uneven hosts: a wrong capacity draws no more than the largest host's part",
         file: CAPACITY_SOURCE,
-        find: "Math.min(LARGEST_CORES, Math.max(LEAST_CORES, cores))",
+        find: "Math.min(MAX_CORES, Math.max(MIN_CORES, cores))",
         replace: "cores",
         tests: [OWNERSHIP],
     },
     {
         promise: "uneven hosts: a capacity of nothing counts as none told",
         file: CAPACITY_SOURCE,
-        find: "isSensible(capacity) ? capacity : USUAL_CORES",
-        replace: "capacity ?? USUAL_CORES",
+        find: "isValidCapacity(capacity) ? capacity : DEFAULT_CORES",
+        replace: "capacity ?? DEFAULT_CORES",
         tests: [OWNERSHIP],
     },
     {
@@ -74,8 +74,8 @@
     {
         promise: "cut halls: a hall of which something was heard a moment ago is not in doubt",
         file: REACH_SOURCE,
-        find: "return silentMs >= QUIET_MS && lost >= needed",
-        replace: "return lost >= needed",
+        find: "return silentMs >= QUIET_MS && failedCount >= needed",
+        replace: "return failedCount >= needed",
         tests: [REACH],
     },
     {
@@ -88,7 +88,7 @@
     {
         promise: "cut halls: one endpoint that fails makes no doubt of a hall whose hosts are there",
         file: REACH_SOURCE,
-        find: "const needed = isGivenUp ? 1 :",
+        find: "const needed = isMostlyDead ? 1 :",
         replace: "const needed = hosts > 0 ? 1 :",
         tests: [REACH],
     },
