--- a/packages/hall/src/quarantine.ts
+++ b/packages/hall/src/quarantine.ts
@@ -91,9 +91,9 @@
     | { readonly kind: "free" }
     /** It was involved in endings. It may begin at an endpoint with little load. */
     | { readonly kind: "suspect"; readonly endings: number }
-    /** It is a suspect that is running elsewhere. It may begin after `againMs` at the latest. */
+    /** It is a suspect that is running elsewhere. It may begin after `trialEndsInMs` at the latest. */
     | { readonly kind: "onTrial"; readonly againMs: number }
-    /** It may not begin. For another `sureMs`, observations of its last ending may still arrive and clear it. */
+    /** It may not begin. For another `evidencePendingMs`, observations of its last ending may still arrive and clear it. */
     | { readonly kind: "quarantined"; readonly endings: number; readonly sureMs: number };
 
 const FREE: Verdict = { kind: "free" };
--- a/packages/hall/test/detector-cost.test.ts
+++ b/packages/hall/test/detector-cost.test.ts
@@ -6,7 +6,7 @@
     const rates = [50, 200, 800].map(hosts => {
         const fleet = settled({ hosts, halls: 5 });
         fleet.run(1_500);
-        fleet.counts = true;
+        fleet.countsBytes = true;
         for (const host of fleet.hosts) [host.sent, host.bytes] = [0, 0];
         fleet.run(2_000);
         const mean = (of: (host: SimHost) => number): number =>
--- a/packages/hall/test/fleet.ts
+++ b/packages/hall/test/fleet.ts
@@ -1,5 +1,6 @@
 /**
- * Hosts that run the detector with each other, without sockets: delays, losses, cuts, pauses and deaths are drawn by seed.
+ * Simulated hosts that run the failure detector against each other without sockets. Message loss and start times follow from a seed;
+ * tests cause partitions, stalls and crashes.
  *
  * @module
  */
@@ -17,40 +18,40 @@
 } from "../src/index.js";
 import { VirtualClock } from "./virtual-clock.js";
 
-const EVERY_MS = 250;
-/** One way, in milliseconds: within a hall and between halls. */
-const NEAR_MS = 1;
-const FAR_MS = 3;
+const ROUND_MS = 250;
+/** One-way delays within a hall and between halls. */
+const LOCAL_DELAY_MS = 1;
+const REMOTE_DELAY_MS = 3;
 
-/** A host of the fleet. */
+/** A simulated host. */
 export interface SimHost {
     readonly name: string;
     readonly hall: string;
     readonly address: string;
-    /** What its next life tells of its capacity. */
+    /** Capacity that it reports after its next start. */
     capacity?: number;
     state: Detector;
     alive: boolean;
-    /** It does nothing before this time; what comes meanwhile waits. */
+    /** It is stalled until this time; messages that arrive meanwhile wait. */
     pausedUntil: number;
     sent: number;
     bytes: number;
 }
 
-/** How a fleet is set up. */
+/** Configuration of a fleet. */
 export interface FleetCfg {
     readonly hosts: number;
     readonly halls: number;
     readonly seed?: number;
-    /** Share of messages that are lost. */
+    /** Fraction of messages that are lost. */
     readonly loss?: number;
-    /** What hosts tell of their capacity, by their place in the list; nothing where it is not given. */
+    /** Capacity that a host reports, by its index; none by default. */
     readonly capacity?: (at: number) => number | undefined;
-    /** Whether a link carries messages; all do where it is not given. */
+    /** Whether a link carries messages; all do by default. */
     readonly passes?: (from: SimHost, to: SimHost) => boolean;
 }
 
-/** A seeded source of numbers in [0, 1) (mulberry32). */
+/** Returns a seeded generator of random numbers in [0, 1) (mulberry32). */
 export function seeded(seed: number): () => number {
     let at = seed;
     return () => {
@@ -61,17 +62,17 @@
     };
 }
 
-function told(capacity: number | undefined): { readonly capacity?: number } {
+function capacityField(capacity: number | undefined): { readonly capacity?: number } {
     return capacity === undefined ? {} : { capacity };
 }
 
-/** Hosts and the time that they live in. */
+/** A fleet of simulated hosts and its clock. */
 export class Fleet extends VirtualClock {
     readonly hosts: SimHost[];
-    /** Whether bytes are counted, as JSON: about twice what is sent. */
-    counts = false;
+    /** Whether to count bytes. They are counted as JSON, which is about twice the size on the wire. */
+    countsBytes = false;
     passes: (from: SimHost, to: SimHost) => boolean;
-    /** Told of each message that a host takes in. */
+    /** Called before a host handles a message. */
     onMessage: (host: SimHost, from: SimHost) => void = () => undefined;
     private readonly random: () => number;
     private readonly byAddress: Map<string, SimHost>;
@@ -84,12 +85,12 @@
             name: `h${at % cfg.halls}-${String(Math.floor(at / cfg.halls)).padStart(3, "0")}`,
             hall: `h${at % cfg.halls}`,
             address: `10.0.${at % cfg.halls}.${Math.floor(at / cfg.halls)}:7200`,
-            ...told(cfg.capacity?.(at)),
+            ...capacityField(cfg.capacity?.(at)),
         }));
         const seeds = names.slice(0, 3).map(({ address }) => address);
         this.hosts = names.map(info => ({
             ...info,
-            state: this.newborn(info, seeds),
+            state: this.newDetector(info, seeds),
             alive: true,
             pausedUntil: 0,
             sent: 0,
@@ -99,47 +100,50 @@
         for (const host of this.hosts) this.at(Math.floor(this.random() * 300), () => this.round(host, host.state));
     }
 
-    private newborn(info: Pick<SimHost, "name" | "hall" | "address" | "capacity">, seeds: readonly string[]): Detector {
+    private newDetector(
+        info: Pick<SimHost, "name" | "hall" | "address" | "capacity">,
+        seeds: readonly string[],
+    ): Detector {
         const start = Math.floor(this.random() * 2 ** 31);
         const { name, hall, address, capacity } = info;
-        return createDetector({ name, hall, address, ...told(capacity), scope: "all", start }, seeds);
+        return createDetector({ name, hall, address, ...capacityField(capacity), scope: "all", start }, seeds);
     }
 
-    /** Runs now, or when the host goes on. */
-    private whenAwake(host: SimHost, run: () => void): void {
+    /** Runs a callback now, or when the host's stall ends. */
+    private whenResumed(host: SimHost, run: () => void): void {
         if (this.now >= host.pausedUntil) return run();
         this.at(host.pausedUntil, run);
     }
 
     private env() {
-        return { now: this.now, everyMs: EVERY_MS, random: this.random };
+        return { now: this.now, everyMs: ROUND_MS, random: this.random };
     }
 
     private round(host: SimHost, life: Detector): void {
         const start = life.membership.self.start;
-        this.whenAwake(host, () => {
+        this.whenResumed(host, () => {
             if (!host.alive || host.state.membership.self.start !== start) return;
-            this.follow(host, tick(host.state, this.env()));
-            this.at(this.now + EVERY_MS, () => this.round(host, host.state));
+            this.applyStep(host, tick(host.state, this.env()));
+            this.at(this.now + ROUND_MS, () => this.round(host, host.state));
         });
     }
 
-    private follow(host: SimHost, step: DetectorStep): void {
+    private applyStep(host: SimHost, step: DetectorStep): void {
         host.state = step.state;
         for (const item of step.send) this.deliver(host, item);
     }
 
     private deliver(from: SimHost, { to, message }: AddressedDetectorMessage): void {
         from.sent += 1;
-        if (this.counts) from.bytes += JSON.stringify(message).length;
+        if (this.countsBytes) from.bytes += JSON.stringify(message).length;
         const target = this.byAddress.get(to);
         if (!target || !this.passes(from, target) || this.random() < (this.cfg.loss ?? 0)) return;
-        const delay = from.hall === target.hall ? NEAR_MS : FAR_MS;
+        const delay = from.hall === target.hall ? LOCAL_DELAY_MS : REMOTE_DELAY_MS;
         this.at(this.now + delay, () =>
-            this.whenAwake(target, () => {
+            this.whenResumed(target, () => {
                 if (!target.alive) return;
                 this.onMessage(target, from);
-                this.follow(target, receive(target.state, from.address, message, this.env()));
+                this.applyStep(target, receive(target.state, from.address, message, this.env()));
             }));
     }
 
@@ -148,13 +152,13 @@
     }
 
     leave(host: SimHost): void {
-        this.follow(host, leaveHall(host.state, this.env()));
+        this.applyStep(host, leaveHall(host.state, this.env()));
     }
 
-    /** A new life of the same name at the same address. */
+    /** Starts a new instance of a host with the same name and address. */
     restart(host: SimHost, seeds: readonly string[]): void {
         host.alive = true;
-        host.state = this.newborn(host, seeds);
+        host.state = this.newDetector(host, seeds);
         this.round(host, host.state);
     }
 
@@ -162,15 +166,15 @@
         return this.hosts.filter(host => host.alive);
     }
 
-    /** Hosts that rely on one. */
-    relyingOn(host: SimHost): readonly SimHost[] {
+    /** Running hosts that consider a host alive. */
+    hostsThatSeeAlive(host: SimHost): readonly SimHost[] {
         return this.running.filter(other => {
             const member = other.state.membership.members.get(host.name);
             return other !== host && member !== undefined && isAlive(member, this.now);
         });
     }
 
-    /** Whether a host knows all running hosts of its hall, and no other. */
+    /** Whether a host considers exactly the running hosts of its hall alive. */
     knowsHall(host: SimHost): boolean {
         const wanted = this.running.filter(({ hall }) => hall === host.hall).map(({ name }) => name).sort();
         return liveInHall(host.state.membership, this.now).join() === wanted.join();
@@ -180,8 +184,8 @@
         return liveHosts(host.state.membership, this.now).join() === this.running.map(({ name }) => name).sort().join();
     }
 
-    /** Runs until something holds; gives how long it took, at most `mostMs`. */
-    until(holds: () => boolean, mostMs: number): number {
+    /** Runs until a condition holds. Returns how long that took, or `mostMs` if it did not hold by then. */
+    runUntil(holds: () => boolean, mostMs: number): number {
         const from = this.now;
         while (!holds() && this.now - from < mostMs) this.run(25);
         return this.now - from;
--- a/packages/hall/test/hall.test.ts
+++ b/packages/hall/test/hall.test.ts
@@ -43,7 +43,7 @@
 } from "../src/index.js";
 
 const NAMES = ["a", "b", "c", "d"];
-test("ownership moves only what the lost host owned", t => {
+test("when a host is lost, only its own keys get new owners", t => {
     const keys = Array.from({ length: 200 }, (_, at) => `endpoint/e${at}`);
     const moved = keys.filter(key => ownerOf(key, NAMES) !== ownerOf(key, ["a", "c", "d"]));
     t.true(moved.every(key => ownerOf(key, NAMES) === "b"));
@@ -55,22 +55,22 @@
 
 const lengths = survivalOf(createEstimates(), { workspace: "w", service: "s", model: "m" }, 4_000);
 
-function heldBy(streams: number): Held {
+function loadOf(streams: number): Held {
     let curve = zeroCurve();
     for (let at = 0; at < streams; at++) curve = addCurve(curve, streamCurve(lengths, 500, 0), 1);
     return heldOf("e1", { streams, unread: 0, stalled: 0, curve });
 }
 
-test("an owner's account adds up what others hold, and forgets who is silent", t => {
-    let account = recordLoads(EMPTY_ACCOUNT, "a", [heldBy(3)], 0);
-    account = recordLoads(account, "b", [heldBy(2)], 1_000);
+test("an owner's account sums the loads of other hosts, and drops those of silent hosts", t => {
+    let account = recordLoads(EMPTY_ACCOUNT, "a", [loadOf(3)], 0);
+    account = recordLoads(account, "b", [loadOf(2)], 1_000);
     t.is(loadOfOthers(account, "e1", "c").streams, 5);
     t.is(loadOfOthers(account, "e1", "a").streams, 2);
     t.is(loadOfOthers(dropExpiredLoads(account, LOAD_TTL_MS + 500), "e1", "c").streams, 2);
     t.true(Math.abs(loadOfOthers(account, "e1", "a").curve.mean[0]! - 1_000) <= 16, "in units of 16 tokens");
 });
 
-/** An owner of some endpoints, with its decisions, that is asked for one stream after another. */
+/** The owner of some endpoints with its scheduler, which answers questions of other hosts. */
 class Owner {
     private readonly endpoints;
     private scheduler;
@@ -110,7 +110,7 @@
             weightStall: 1,
             weightPrefix: 0,
         };
-        const stream = { ...heldBy(1), endpoint: this.endpoints[0]! };
+        const stream = { ...loadOf(1), endpoint: this.endpoints[0]! };
         const question: ShareMessage = {
             kind: "question",
             job: `of-${from}`,
@@ -134,18 +134,18 @@
     }
 }
 
-test("grants count until the asker tells again, so that two askers cannot both have the last room", t => {
+test("grants count until the asking host reports again, so that two hosts cannot both get the last room", t => {
     const owner = new Owner(["e1"], 8_000);
     let granted = 0;
     for (let at = 0; at < 21; at++) granted += owner.ask(`asker-${at}`).endpoint === undefined ? 0 : 1;
     t.true(granted >= 2 && granted < 16, `${granted} streams`);
     t.true(owner.peak("e1") <= 8_000);
     t.is(owner.ask("c").endpoint, undefined);
-    for (let at = 0; at < 21; at++) owner.tell(`asker-${at}`, [heldBy(0)]);
+    for (let at = 0; at < 21; at++) owner.tell(`asker-${at}`, [loadOf(0)]);
     t.is(owner.ask("c").endpoint, "e1");
 });
 
-test("an owner spreads what hosts ask for at one moment, and places copies elsewhere", t => {
+test("an owner spreads simultaneous requests of hosts, and places standby copies elsewhere", t => {
     const owner = new Owner(["e1", "e2", "e3"], 20_000);
     const first = ["a", "b", "c"].map(host => owner.ask(host).endpoint);
     t.deepEqual(first.toSorted(), ["e1", "e2", "e3"]);
@@ -166,18 +166,18 @@
     t.is(first.send[0]?.to, owner);
     const later = ask(first.state, "j2", 150);
     t.not(later.send[0]?.to, owner);
-    t.is(ask(later.state, "j3", 5_000).send[0]?.to, owner, "and asked again");
+    t.is(ask(later.state, "j3", 5_000).send[0]?.to, owner, "it is asked again");
 });
 
-test("only news is told: changes, a new owner, and from time to time the same again", t => {
+test("a load is reported when it changes, when its owner changes, and again after a while", t => {
     const owner = (): string => "b";
-    const first = planReports(NOTHING_REPORTED, [heldBy(2)], owner, 0);
+    const first = planReports(NOTHING_REPORTED, [loadOf(2)], owner, 0);
     t.is(first.reports.get("b")?.length, 1);
-    t.is(planReports(first.state, [heldBy(2)], owner, 100).reports.size, 0);
-    t.is(planReports(first.state, [heldBy(3)], owner, 100).reports.size, 1);
-    t.is(planReports(first.state, [heldBy(2)], () => "c", 100).reports.size, 1);
-    t.is(planReports(first.state, [heldBy(2)], owner, 4_500).reports.size, 1);
-    t.is(planReports(NOTHING_REPORTED, [heldBy(0)], owner, 0).reports.size, 0);
+    t.is(planReports(first.state, [loadOf(2)], owner, 100).reports.size, 0);
+    t.is(planReports(first.state, [loadOf(3)], owner, 100).reports.size, 1);
+    t.is(planReports(first.state, [loadOf(2)], () => "c", 100).reports.size, 1);
+    t.is(planReports(first.state, [loadOf(2)], owner, 4_500).reports.size, 1);
+    t.is(planReports(NOTHING_REPORTED, [loadOf(0)], owner, 0).reports.size, 0);
 });
 
 test("shares of a limit add up to it, over halls and over hosts", t => {
@@ -197,7 +197,7 @@
     t.deepEqual([0, 1, 2].map(index => splitLimit(10, { index, of: 3 })), [3, 3, 4]);
 });
 
-test("a peer is asked for the parts that are lacking, and what it gives is the newer version", t => {
+test("a host requests only the parts of the settings that it lacks, and assembles the newer version", t => {
     const older = {
         snapshot: snapshotOf(1, { "root": { attempts: "2" }, "hall/h": {} }),
         partTrees: {},
@@ -213,12 +213,12 @@
     t.is(askAfter(newer, { version: 1, hash: "" }), undefined);
     const ask = askAfter(older, { version: 2, hash: newer.snapshot.head.hash })!;
     const given = give(newer, ask)!;
-    t.deepEqual(Object.keys(given.parts), ["root"], "only the part that changed travels");
+    t.deepEqual(Object.keys(given.parts), ["root"], "only the part that changed is sent");
     t.deepEqual(takeGiven(older, given), newer.snapshot);
     t.is(give(undefined, ask), undefined);
 });
 
-test("an owner tells a host what is new, and all of it again after a while", t => {
+test("an owner reports changes to a host, and all loads again after a while", t => {
     const endpoints = EndpointTable.of([createEndpoint({ id: "e1", hall: "h", models: ["m"], memoryTokens: 9 }, 0)]);
     const hosts = ["a", "b"];
     const self = endpointOwner("e1", 1, hosts)!;
@@ -227,6 +227,6 @@
     const second = shareRound(first.state, endpoints, hosts, 100);
     t.is(second.send.length, 0);
     t.is(shareRound(second.state, endpoints, hosts, LOAD_REPEAT_MS).send.length, 1);
-    const heard = { ...second.state, account: recordLoads(second.state.account, "c", [heldBy(2)], 150) };
+    const heard = { ...second.state, account: recordLoads(second.state.account, "c", [loadOf(2)], 150) };
     t.is(shareRound(heard, endpoints, hosts, 200).send.length, 1);
 });
--- a/packages/hall/test/limit.test.ts
+++ b/packages/hall/test/limit.test.ts
@@ -1,32 +1,32 @@
 /**
- * A limit that an endpoint names holds for the sum over all hosts that it has told, whatever they believe of each other.
+ * All hosts that know the rate limit of an endpoint together keep to it, whichever hosts each of them considers alive.
  */
 import test from "ava";
 import fc from "fast-check";
-import { type Arrival, type Day, mostWithin, play } from "./bounded-fleet.js";
+import { type Arrival, maxWithin, type Scenario, simulate } from "./bounded-fleet.js";
 
 const SPAN_MS = 4_000;
-/** Requests within this of a host's being told may be on their way already. */
-const TOLD_MS = 500;
+/** Requests that arrive within this time after their host learnt the limit may have been sent before. */
+const INFORMED_MS = 500;
 const RUN_MS = 14_000;
 const ENDPOINT = { id: "limited", hall: "h1", models: ["m"], memoryTokens: 1e9 };
 
-/** Requests that an endpoint may get within a span, from all hosts that it has told. */
+/** Requests that an endpoint may get within a span from all hosts that know its limit. */
 function allowed(perS: number): number {
     return 1.5 * perS * SPAN_MS / 1_000 + 5;
 }
 
 function arrivals(
-    limitAt: Day["limitAt"],
-    day: Omit<Day, "endpoint" | "runMs" | "limitAt">,
+    limitAt: Scenario["limitAt"],
+    day: Omit<Scenario, "endpoint" | "runMs" | "limitAt">,
     runMs = RUN_MS,
 ): readonly Arrival[] {
-    return play({ ...day, endpoint: ENDPOINT, runMs, ...(limitAt ? { limitAt } : {}) });
+    return simulate({ ...day, endpoint: ENDPOINT, runMs, ...(limitAt ? { limitAt } : {}) });
 }
 
-/** Requests from hosts that had been told a while before. */
-function fromTold(all: readonly Arrival[]): readonly number[] {
-    return all.flatMap(({ at, toldAt }) => toldAt !== undefined && at - toldAt >= TOLD_MS ? [at] : []);
+/** Arrival times of requests from hosts that knew the limit when they sent them. */
+function timesOfInformed(all: readonly Arrival[]): readonly number[] {
+    return all.flatMap(({ at, informedAt }) => informedAt !== undefined && at - informedAt >= INFORMED_MS ? [at] : []);
 }
 
 const drawn = fc.record({
@@ -34,7 +34,7 @@
     perS: fc.constantFrom(60, 300, 1_000),
     parts: fc.integer({ min: 1, max: 4 }),
     partMs: fc.constantFrom(1_000, 1_500, 2_500, 5_000),
-    sleeps: fc.boolean(),
+    suspends: fc.boolean(),
     restarts: fc.boolean(),
 });
 const limits = fc.constantFrom(0, 0.3, 1, 2.3, 4.8, 20, 110.5);
@@ -42,9 +42,9 @@
 for (const [hosts, runs] of [[6, 16], [66, 8], [300, 2]] as const) {
     test(`${hosts} hosts together keep to the limit of an endpoint`, t => {
         fc.assert(
-            fc.property(drawn, limits, fc.integer({ min: 0, max: hosts }), (day, limit, lonely) => {
-                const times = fromTold(arrivals(() => limit, { ...day, hosts, lonely }));
-                const most = mostWithin(times, SPAN_MS);
+            fc.property(drawn, limits, fc.integer({ min: 0, max: hosts }), (day, limit, isolated) => {
+                const times = timesOfInformed(arrivals(() => limit, { ...day, hosts, isolated }));
+                const most = maxWithin(times, SPAN_MS);
                 t.true(most <= allowed(limit), `${most} in 4 s at ${limit} a second`);
             }),
             { numRuns: runs, seed: 7 },
@@ -52,9 +52,9 @@
     });
 }
 
-const CALM = { parts: 1, partMs: 1_500, sleeps: false, restarts: false, lonely: 0, seed: 5, perS: 300 };
+const CALM = { parts: 1, partMs: 1_500, suspends: false, restarts: false, isolated: 0, seed: 5, perS: 300 };
 
-test("what a limit allows is used, also where more hosts are there than it allows requests", t => {
+test("hosts use what a limit allows, also if there are more hosts than allowed requests per second", t => {
     const runMs = 30_000;
     for (const hosts of [6, 66, 300]) {
         for (const limit of [0.3, 2.3, 20]) {
@@ -65,7 +65,7 @@
     }
 });
 
-test("a limit that is over binds nobody, also hosts that may send nothing while it holds", t => {
+test("a lifted limit restricts no host, not even those whose share of it was zero", t => {
     const overAt = 7_000;
     const knownMs = 3_000;
     for (const hosts of [6, 66, 300]) {
--- a/packages/hall/test/load-fleet.ts
+++ b/packages/hall/test/load-fleet.ts
@@ -1,7 +1,6 @@
 /**
- * A fleet under load: hosts decide, ask owners and tell each other by the modules that they run, before engines that read
- * prompts, make tokens and run out of memory. A load is data: who comes when and wants what, and how the engines fare. The same load
- * gives the same result.
+ * A simulated fleet under load. Hosts run the real scheduler and load exchange; modelled engines read prompts, generate tokens and run
+ * out of memory. A load describes the requests and the behaviour of the engines. The same load gives the same result.
  *
  * @module
  */
@@ -33,21 +32,21 @@
 } from "../src/index.js";
 import { seeded } from "./fleet.js";
 
-/** One kind of request. */
-export interface Kind {
+/** A kind of request. */
+export interface RequestKind {
     readonly name: string;
-    /** Requests a second of all callers, over time. */
+    /** Requests per second of all callers, over time. */
     readonly perS: (now: number) => number;
     readonly rank: number;
     readonly objectiveMs: number;
-    /** Callers leave without a first token after this. */
+    /** Callers cancel a request without a first token after this. */
     readonly usefulMs: number;
-    /** Longest pause between two pieces that is in time. */
+    /** Longest acceptable pause between two pieces. */
     readonly gapMs: number;
-    /** Mean tokens of prompts and outputs; drawn between half and one and a half of these, outputs from nearly nothing to twice. */
+    /** Mean tokens of prompts and outputs. Prompts are uniform in 0.5 to 1.5 times the mean, outputs in 0 to 2 times. */
     readonly prompt: number;
     readonly output: number;
-    /** Part of the requests that each workspace sends. */
+    /** Relative number of requests by workspace. */
     readonly workspaces: Readonly<Record<string, number>>;
     readonly backUp?: boolean;
 }
@@ -55,38 +54,38 @@
 /** A load and the fleet that meets it. */
 export interface Load {
     readonly hosts: number;
-    /** Time that each engine takes for its work, as a multiple of the plain engine's. */
+    /** Slowness of each engine: its time per step as a multiple of the standard engine's. */
     readonly engines: readonly number[];
     readonly memoryTokens: number;
-    readonly kinds: readonly Kind[];
+    readonly kinds: readonly RequestKind[];
     readonly runMs: number;
     readonly seed: number;
-    /** Spells in which an engine takes longer: the part of the time, how many times as long, and how long they last. */
-    readonly spells?: { readonly share: number; readonly times: number; readonly everyMs: number };
-    /** This part of the engines leaves every so often; new ones take their place after a while. */
+    /** Phases in which an engine is slower: their share of the time, the factor, and their length. */
+    readonly slowPhases?: { readonly share: number; readonly times: number; readonly everyMs: number };
+    /** Periodically this share of the engines starts to drain; new ones replace them after a while. */
     readonly leaves?: { readonly share: number; readonly everyMs: number; readonly replacedMs: number };
-    /** Callers who are refused come back once, when they are told. */
-    readonly comeBack?: boolean;
-    /** Whether a message between two hosts is lost at a time. */
+    /** Whether callers retry a refused request once, after the delay that they are told. */
+    readonly retriesRefused?: boolean;
+    /** Whether a message between two hosts is lost. */
     readonly isLost?: (from: string, to: string, now: number) => boolean;
-    /** What comes of a message that is sent; nothing where it is lost. */
-    readonly arrives?: (from: string, message: ShareMessage) => ShareMessage | undefined;
-    /** Hosts know each other for so long before the load comes. */
-    readonly calmMs?: number;
+    /** Replaces a message in transit; undefined drops it. */
+    readonly transform?: (from: string, message: ShareMessage) => ShareMessage | undefined;
+    /** Time for which hosts exchange messages before the load starts. */
+    readonly warmupMs?: number;
     readonly variant?: Partial<Variant>;
 }
 
-/** What became of a request. Times are milliseconds from its first arrival. */
-export interface Fate {
+/** Outcome of a request. Times are in milliseconds since its first arrival. */
+export interface RequestRecord {
     readonly kind: string;
     readonly workspace: string;
     readonly rank: number;
     readonly host: string;
-    readonly cameAt: number;
-    /** `open`: it had not ended when the load was over. */
+    readonly arrivedAt: number;
+    /** `open` if it had not ended at the end of the replay. */
     outcome: "open" | "whole" | "refused" | "left";
     engine: number | undefined;
-    /** Times that it was refused, and when that was last. */
+    /** How often it was refused, and when that last happened. */
     refusals: number;
     refusedMs: number | undefined;
     firstMs: number | undefined;
@@ -94,15 +93,15 @@
     tokens: number;
 }
 
-/** What a load came to. */
-export interface Replayed {
-    readonly fates: readonly Fate[];
+/** Result of a replay. */
+export interface ReplayResult {
+    readonly records: readonly RequestRecord[];
     readonly preemptions: number;
     /** The hosts' states at the end, by name. */
     readonly hosts: ReadonlyMap<string, SchedulerState>;
 }
 
-/** Steps of seven milliseconds and more, fourteen prompt tokens a millisecond, pieces of four tokens. */
+/** Steps take at least 7 ms; prompts are read at 14 tokens per millisecond. */
 const ENGINE = {
     maxBatch: 24,
     chunkTokens: 112,
@@ -113,12 +112,12 @@
     prefixCacheTokens: 0,
 } as const;
 const TOKENS_PER_PIECE = 4;
-const MESSAGE_MS = 3;
+const MESSAGE_DELAY_MS = 3;
 const TICK_MS = 50;
 const HALL = "h";
-/** Hosts know each other, and their owners have been told, before the load comes. */
-const CALM_MS = 12_000;
-const MOST_AWAY_MS = 13_000;
+/** Long enough for all hosts to report to owners before the load starts. */
+const WARMUP_MS = 12_000;
+const MAX_RETRY_DELAY_MS = 13_000;
 
 interface HostSim {
     readonly name: string;
@@ -135,19 +134,19 @@
 }
 
 interface Stream {
-    readonly fate: Fate;
+    readonly record: RequestRecord;
     readonly host: HostSim;
     readonly job: Job;
     readonly output: number;
-    /** Number of the try; each has a request of its own name. */
-    readonly tries: number;
-    made: number;
+    /** Number of the attempt. Each attempt is a job with its own id. */
+    readonly attempt: number;
+    tokensMade: number;
     lastPieceAt: number;
     since: { pieces: number; sum: number; max: number };
     over: boolean;
 }
 
-interface Timed {
+interface Timer {
     readonly at: number;
     readonly order: number;
     readonly run: () => void;
@@ -158,32 +157,32 @@
  *
  * @example
  * ```ts
- * const { fates } = replay({ ...BURST, seed: 7 });
- * fates.filter(({ outcome }) => outcome === "refused").length;
+ * const { records } = replay({ ...BURST, seed: 7 });
+ * records.filter(({ outcome }) => outcome === "refused").length;
  * ```
  */
-export function replay(load: Load): Replayed {
+export function replay(load: Load): ReplayResult {
     return new Replay(load).run();
 }
 
 class Replay {
     private readonly random: () => number;
-    private readonly queue: Timed[] = [];
+    private readonly queue: Timer[] = [];
     private order = 0;
     private now: number;
-    private readonly calmMs: number;
+    private readonly warmupMs: number;
     private readonly hosts: readonly HostSim[];
     private readonly byName: ReadonlyMap<string, HostSim>;
     private readonly engines = new Map<string, EngineSim>();
     private readonly streams = new Map<string, Stream>();
-    private readonly fates: Fate[] = [];
+    private readonly records: RequestRecord[] = [];
     private preemptions = 0;
     private started = 0;
 
     constructor(private readonly load: Load) {
         this.random = seeded(load.seed);
-        this.calmMs = load.calmMs ?? CALM_MS;
-        this.now = -this.calmMs;
+        this.warmupMs = load.warmupMs ?? WARMUP_MS;
+        this.now = -this.warmupMs;
         const variant = {
             ...DEFAULT_VARIANT,
             prefix: false,
@@ -200,26 +199,26 @@
         for (const at of load.engines.keys()) this.startEngine(at);
     }
 
-    run(): Replayed {
-        this.declare();
+    run(): ReplayResult {
+        this.declareEndpoints();
         for (const [at, host] of this.hosts.entries()) {
             const firstMs = TELL_OWNERS_MS * at / this.hosts.length;
-            this.later(firstMs, () => this.round(host));
+            this.schedule(firstMs, () => this.round(host));
         }
-        for (const kind of this.load.kinds) this.later(this.calmMs + this.wait(kind), () => this.come(kind));
+        for (const kind of this.load.kinds) this.schedule(this.warmupMs + this.drawWait(kind), () => this.arrive(kind));
         const { leaves } = this.load;
-        if (leaves) this.later(this.calmMs + leaves.everyMs, () => this.leave(leaves));
-        const endsAt = this.load.runMs + MOST_AWAY_MS;
-        for (let next = this.pop(); next && next.at < endsAt; next = this.pop()) {
+        if (leaves) this.schedule(this.warmupMs + leaves.everyMs, () => this.retireEngines(leaves));
+        const endsAt = this.load.runMs + MAX_RETRY_DELAY_MS;
+        for (let next = this.nextTimer(); next && next.at < endsAt; next = this.nextTimer()) {
             this.now = next.at;
             next.run();
         }
         const hosts = new Map(this.hosts.map(({ name, state }) => [name, state]));
-        return { fates: this.fates, preemptions: this.preemptions, hosts };
+        return { records: this.records, preemptions: this.preemptions, hosts };
     }
 
-    /** A binary heap by time, then by order. */
-    private later(ms: number, run: () => void): void {
+    /** Adds a timer to the queue, a binary heap by time, then by order. */
+    private schedule(ms: number, run: () => void): void {
         const { queue } = this;
         queue.push({ at: this.now + ms, order: this.order++, run });
         for (let at = queue.length - 1; at > 0;) {
@@ -230,7 +229,7 @@
         }
     }
 
-    private pop(): Timed | undefined {
+    private nextTimer(): Timer | undefined {
         const { queue } = this;
         const first = queue[0];
         const last = queue.pop();
@@ -253,7 +252,7 @@
         this.engines.set(id, { id, at, model, stepping: false, leaving: false });
     }
 
-    private declare(): void {
+    private declareEndpoints(): void {
         const staying = [...this.engines.values()].filter(({ leaving }) => !leaving);
         const endpoints = staying.map(({ id }): EndpointCfg => ({
             id,
@@ -261,87 +260,90 @@
             models: ["m"],
             memoryTokens: this.load.memoryTokens,
         }));
-        for (const host of this.hosts) this.tell(host, { kind: "endpoints", endpoints });
+        for (const host of this.hosts) this.handleEvent(host, { kind: "endpoints", endpoints });
     }
 
-    /** Some engines take nothing new and end when what runs there has ended; others take their place later. */
-    private leave(leaves: NonNullable<Load["leaves"]>): void {
-        this.later(leaves.everyMs, () => this.leave(leaves));
+    /** Drains some engines: they accept no new requests. Others replace them later. */
+    private retireEngines(leaves: NonNullable<Load["leaves"]>): void {
+        this.schedule(leaves.everyMs, () => this.retireEngines(leaves));
         const count = Math.round(leaves.share * this.load.engines.length);
         const known = [...this.engines.values()].filter(({ leaving }) => !leaving);
         for (let drawn = 0; drawn < count; drawn++) {
             const [engine] = known.splice(Math.floor(this.random() * known.length), 1);
             if (!engine) break;
             engine.leaving = true;
-            this.later(leaves.replacedMs, () => {
+            this.schedule(leaves.replacedMs, () => {
                 this.startEngine(engine.at);
-                this.declare();
+                this.declareEndpoints();
             });
         }
-        this.declare();
+        this.declareEndpoints();
     }
 
     private round(host: HostSim): void {
-        this.later(TELL_OWNERS_MS, () => this.round(host));
+        this.schedule(TELL_OWNERS_MS, () => this.round(host));
         const names = this.hosts.map(({ name }) => name);
         const every = tellEvery(names.length);
         const othersEveryMs = every <= TELL_OWNERS_MS ? 0 : every;
-        this.follow(host, shareRound(host.share, host.state.endpoints, names, this.now, othersEveryMs));
+        this.applyStep(host, shareRound(host.share, host.state.endpoints, names, this.now, othersEveryMs));
     }
 
-    private follow(host: HostSim, { state, send, events }: ShareStep): void {
+    private applyStep(host: HostSim, { state, send, events }: ShareStep): void {
         host.share = state;
         for (const addressed of send) this.deliver(host, addressed);
-        for (const event of events) this.tell(host, event);
+        for (const event of events) this.handleEvent(host, event);
     }
 
     private deliver(from: HostSim, { to, message }: AddressedLoadMessage): void {
         const peer = this.byName.get(to);
         if (!peer || this.load.isLost?.(from.name, to, this.now)) return;
-        const { arrives } = this.load;
-        const said = arrives ? arrives(from.name, message) : message;
-        if (!said) return;
-        this.later(MESSAGE_MS, () => this.follow(peer, shareHear(peer.share, from.name, said, peer.state, this.now)));
+        const { transform } = this.load;
+        const received = transform ? transform(from.name, message) : message;
+        if (!received) return;
+        this.schedule(
+            MESSAGE_DELAY_MS,
+            () => this.applyStep(peer, shareHear(peer.share, from.name, received, peer.state, this.now)),
+        );
     }
 
-    private tell(host: HostSim, event: SchedulerEvent): void {
-        const waited = waits(host.state);
+    private handleEvent(host: HostSim, event: SchedulerEvent): void {
+        const waited = hasWaiting(host.state);
         const { state, actions } = decide(host.state, event, this.now);
         host.state = state;
-        for (const action of actions) this.carryOut(host, action);
-        if (!waited && waits(host.state)) this.later(TICK_MS, () => this.tick(host));
+        for (const action of actions) this.perform(host, action);
+        if (!waited && hasWaiting(host.state)) this.schedule(TICK_MS, () => this.tick(host));
     }
 
     private tick(host: HostSim): void {
-        this.tell(host, { kind: "tick" });
-        if (waits(host.state)) this.later(TICK_MS, () => this.tick(host));
+        this.handleEvent(host, { kind: "tick" });
+        if (hasWaiting(host.state)) this.schedule(TICK_MS, () => this.tick(host));
     }
 
-    private carryOut(host: HostSim, action: SchedulerAction): void {
+    private perform(host: HostSim, action: SchedulerAction): void {
         if (action.kind === "ask") {
             const names = this.hosts.map(({ name }) => name);
-            return this.follow(host, shareAsk(host.share, action, host.state.endpoints, names, this.now));
+            return this.applyStep(host, shareAsk(host.share, action, host.state.endpoints, names, this.now));
         }
         const stream = this.streams.get(action.job);
         if (!stream) return;
-        if (action.kind === "refuse") return this.refused(stream, action.retryAfterMs);
-        if (action.kind === "dispatch") this.begin(stream, action.endpoint);
+        if (action.kind === "refuse") return this.onRefused(stream, action.retryAfterMs);
+        if (action.kind === "dispatch") this.startStream(stream, action.endpoint);
     }
 
-    private wait({ perS }: Kind): number {
+    private drawWait({ perS }: RequestKind): number {
         return -Math.log(1 - this.random()) * 1_000 / Math.max(perS(Math.max(0, this.now)), 1e-3);
     }
 
-    private come(kind: Kind): void {
+    private arrive(kind: RequestKind): void {
         if (this.now >= this.load.runMs) return;
-        this.later(this.wait(kind), () => this.come(kind));
+        this.schedule(this.drawWait(kind), () => this.arrive(kind));
         const host = this.hosts[Math.floor(this.random() * this.hosts.length)]!;
-        const fate: Fate = {
+        const record: RequestRecord = {
             kind: kind.name,
             workspace: this.drawWorkspace(kind),
             rank: kind.rank,
             host: host.name,
-            cameAt: this.now,
+            arrivedAt: this.now,
             outcome: "open",
             engine: undefined,
             refusals: 0,
@@ -352,11 +354,11 @@
         };
         const prompt = Math.round(kind.prompt * (0.5 + this.random()));
         const output = Math.max(1, Math.round(kind.output * 2 * this.random()));
-        this.fates.push(fate);
-        this.ask(kind, fate, { host, prompt, output, tries: 1 });
+        this.records.push(record);
+        this.submit(kind, record, { host, prompt, output, attempt: 1 });
     }
 
-    private drawWorkspace({ workspaces }: Kind): string {
+    private drawWorkspace({ workspaces }: RequestKind): string {
         let left = this.random() * Object.values(workspaces).reduce((sum, part) => sum + part, 0);
         for (const [name, part] of Object.entries(workspaces)) {
             left -= part;
@@ -365,20 +367,20 @@
         return "";
     }
 
-    private ask(
-        kind: Kind,
-        fate: Fate,
-        { host, prompt, output, tries }: {
+    private submit(
+        kind: RequestKind,
+        record: RequestRecord,
+        { host, prompt, output, attempt }: {
             readonly host: HostSim;
             readonly prompt: number;
             readonly output: number;
-            readonly tries: number;
+            readonly attempt: number;
         },
     ): void {
         const { rank, objectiveMs, usefulMs, gapMs, backUp } = kind;
-        const id = `${this.fates.indexOf(fate)}/${tries}`;
+        const id = `${this.records.indexOf(record)}/${attempt}`;
         const job = makeJob(id, {
-            group: { workspace: fate.workspace, service: kind.name, model: "m" },
+            group: { workspace: record.workspace, service: kind.name, model: "m" },
             promptTokens: prompt,
             maxTokens: 2 * kind.output + 1,
             tokensPerPiece: TOKENS_PER_PIECE,
@@ -393,42 +395,42 @@
             queueLimit: 500,
         });
         const since = { pieces: 0, sum: 0, max: 0 };
-        const begun = { made: 0, lastPieceAt: 0, since, over: false };
-        const stream: Stream = { fate, host, job, output, tries, ...begun };
+        const begun = { tokensMade: 0, lastPieceAt: 0, since, over: false };
+        const stream: Stream = { record, host, job, output, attempt, ...begun };
         this.streams.set(id, stream);
-        this.later(usefulMs, () => this.leaveUnserved(id, stream));
-        this.tell(host, { kind: "arrive", job, avoid: [], retry: false });
+        this.schedule(usefulMs, () => this.abandon(id, stream));
+        this.handleEvent(host, { kind: "arrive", job, avoid: [], retry: false });
     }
 
-    private leaveUnserved(id: string, stream: Stream): void {
-        if (stream.over || stream.fate.firstMs !== undefined) return;
+    private abandon(id: string, stream: Stream): void {
+        if (stream.over || stream.record.firstMs !== undefined) return;
         for (const { model } of this.engines.values()) model.cancel(id);
-        this.tell(stream.host, { kind: "withdraw", job: id });
-        this.end(id, stream, "left", "cancelled");
+        this.handleEvent(stream.host, { kind: "withdraw", job: id });
+        this.endStream(id, stream, "left", "cancelled");
     }
 
-    private refused(stream: Stream, retryAfterMs: number): void {
-        const { fate, job, host, output, tries } = stream;
-        fate.refusals += 1;
-        fate.refusedMs = this.now - fate.cameAt;
-        fate.outcome = "refused";
+    private onRefused(stream: Stream, retryAfterMs: number): void {
+        const { record, job, host, output, attempt } = stream;
+        record.refusals += 1;
+        record.refusedMs = this.now - record.arrivedAt;
+        record.outcome = "refused";
         stream.over = true;
         this.streams.delete(job.id);
-        const kind = this.load.kinds.find(({ name }) => name === fate.kind)!;
-        if (this.load.comeBack !== true || tries > 1) return;
-        this.later(Math.min(retryAfterMs, MOST_AWAY_MS), () => {
-            fate.outcome = "open";
-            this.ask(kind, fate, { host, prompt: job.promptTokens, output, tries: tries + 1 });
+        const kind = this.load.kinds.find(({ name }) => name === record.kind)!;
+        if (this.load.retriesRefused !== true || attempt > 1) return;
+        this.schedule(Math.min(retryAfterMs, MAX_RETRY_DELAY_MS), () => {
+            record.outcome = "open";
+            this.submit(kind, record, { host, prompt: job.promptTokens, output, attempt: attempt + 1 });
         });
     }
 
-    private begin(stream: Stream, endpoint: string): void {
+    private startStream(stream: Stream, endpoint: string): void {
         const engine = this.engines.get(endpoint);
-        const { job, output, fate } = stream;
+        const { job, output, record } = stream;
         if (!engine) throw new Error(`${endpoint} was never started`);
-        fate.engine = engine.at;
-        // The platform's engines take ranks, the model priorities.
-        const priority = 10 - fate.rank;
+        record.engine = engine.at;
+        // For the scheduler a lower rank goes first, for the engine model a higher priority.
+        const priority = 10 - record.rank;
         engine.model.submit({
             id: job.id,
             promptTokens: job.promptTokens,
@@ -445,77 +447,77 @@
         if (!engine.stepping) return;
         const { durationMs, emitted, preempted } = engine.model.step();
         this.preemptions += preempted.length;
-        this.later(durationMs * this.slowness(engine), () => {
-            for (const { id, last } of emitted) this.token(id, last);
+        this.schedule(durationMs * this.slowness(engine), () => {
+            for (const { id, last } of emitted) this.onToken(id, last);
             this.step(engine);
         });
     }
 
     private slowness({ at }: EngineSim): number {
-        const { spells, engines, seed } = this.load;
+        const { slowPhases, engines, seed } = this.load;
         const own = engines[at]!;
-        if (!spells) return own;
-        const spell = Math.floor(this.now / spells.everyMs);
-        const drawn = seeded(seed * 7_919 + spell * 131 + at)();
-        return drawn < spells.share ? own * spells.times : own;
+        if (!slowPhases) return own;
+        const phase = Math.floor(this.now / slowPhases.everyMs);
+        const drawn = seeded(seed * 7_919 + phase * 131 + at)();
+        return drawn < slowPhases.share ? own * slowPhases.times : own;
     }
 
-    private token(id: string, last: boolean): void {
+    private onToken(id: string, last: boolean): void {
         const stream = this.streams.get(id);
         if (!stream) return;
-        stream.made += 1;
-        stream.fate.tokens = stream.made;
-        const isPiece = stream.made === 1 || stream.made % TOKENS_PER_PIECE === 0 || last;
-        if (isPiece) this.piece(stream);
-        if (last) this.end(id, stream, "whole", "whole");
+        stream.tokensMade += 1;
+        stream.record.tokens = stream.tokensMade;
+        const isPiece = stream.tokensMade === 1 || stream.tokensMade % TOKENS_PER_PIECE === 0 || last;
+        if (isPiece) this.onPiece(stream);
+        if (last) this.endStream(id, stream, "whole", "whole");
     }
 
-    private piece(stream: Stream): void {
-        const { fate, since, job } = stream;
-        if (fate.firstMs === undefined) fate.firstMs = this.now - fate.cameAt;
+    private onPiece(stream: Stream): void {
+        const { record, since, job } = stream;
+        if (record.firstMs === undefined) record.firstMs = this.now - record.arrivedAt;
         else {
             const gap = this.now - stream.lastPieceAt;
-            fate.longestGapMs = Math.max(fate.longestGapMs, gap);
+            record.longestGapMs = Math.max(record.longestGapMs, gap);
             since.pieces += 1;
             since.sum += gap;
             since.max = Math.max(since.max, gap);
         }
         stream.lastPieceAt = this.now;
-        const pieces = Math.ceil(stream.made / TOKENS_PER_PIECE);
+        const pieces = Math.ceil(stream.tokensMade / TOKENS_PER_PIECE);
         if (!isProgressDue(pieces)) return;
         stream.since = { pieces: 0, sum: 0, max: 0 };
         const meanGapMs = since.pieces === 0 ? 0 : since.sum / since.pieces;
         const produced = pieces * TOKENS_PER_PIECE;
-        this.tell(stream.host, { kind: "progress", job: job.id, produced, meanGapMs, maxGapMs: since.max });
+        this.handleEvent(stream.host, { kind: "progress", job: job.id, produced, meanGapMs, maxGapMs: since.max });
     }
 
-    private end(
+    private endStream(
         id: string,
         stream: Stream,
-        outcome: Fate["outcome"],
+        outcome: RequestRecord["outcome"],
         told: "whole" | "cancelled",
     ): void {
         stream.over = true;
-        stream.fate.outcome = outcome;
+        stream.record.outcome = outcome;
         this.streams.delete(id);
-        this.tell(stream.host, { kind: "ended", job: id, outcome: told, produced: stream.made });
+        this.handleEvent(stream.host, { kind: "ended", job: id, outcome: told, produced: stream.tokensMade });
     }
 }
 
-function isBefore(a: Timed, b: Timed): boolean {
+function isBefore(a: Timer, b: Timer): boolean {
     return a.at < b.at || a.at === b.at && a.order < b.order;
 }
 
-function waits({ waiting, asked, askedStandby }: SchedulerState): boolean {
+function hasWaiting({ waiting, asked, askedStandby }: SchedulerState): boolean {
     return waiting.length + asked.size + askedStandby.size > 0;
 }
 
-/** Whether a request was served as its caller wants it: its first piece and all pauses in time. */
-export function inTime(fate: Fate, { objectiveMs, gapMs }: Kind): boolean {
-    return fate.outcome === "whole" && (fate.firstMs ?? Infinity) <= objectiveMs && fate.longestGapMs <= gapMs;
+/** Returns whether a request met its objectives: first token and all pauses in time. */
+export function isInTime(record: RequestRecord, { objectiveMs, gapMs }: RequestKind): boolean {
+    return record.outcome === "whole" && (record.firstMs ?? Infinity) <= objectiveMs && record.longestGapMs <= gapMs;
 }
 
-/** The part of some fates for which something holds. */
-export function part(fates: readonly Fate[], holds: (fate: Fate) => boolean): number {
-    return fates.length === 0 ? 0 : fates.filter(holds).length / fates.length;
+/** Returns the fraction of records for which a condition holds. */
+export function fractionOf(records: readonly RequestRecord[], holds: (record: RequestRecord) => boolean): number {
+    return records.length === 0 ? 0 : records.filter(holds).length / records.length;
 }
--- a/packages/hall/test/loads.ts
+++ b/packages/hall/test/loads.ts
@@ -1,22 +1,22 @@
 /**
- * Loads at their worst, as data.
+ * Heavy loads for replays.
  *
  * @module
  */
-import type { Kind, Load } from "./load-fleet.js";
+import type { Load, RequestKind } from "./load-fleet.js";
 
-/** Workspaces of which a few are large: the n-th sends 1/n^1.2 of what the first does. */
+/** Workspaces with skewed shares: the n-th sends 1/n^1.2 of the requests of the first. */
 export function skewed(count: number): Readonly<Record<string, number>> {
     return Object.fromEntries(Array.from({ length: count }, (_, at) => [`w${at + 1}`, (at + 1) ** -1.2]));
 }
 
-/** Requests a second that swing around a mean, with a burst. */
+/** A constant rate of requests per second with one burst. */
 function burst(mean: number, from: number, to: number, times: number): (now: number) => number {
     return now => mean * (now >= from && now < to ? times : 1);
 }
 
-/** Long texts that can wait for some seconds, in a burst of two and a half times as many. */
-const TEXTS: Kind = {
+/** Long texts with a first-token objective of 4 s, and a burst of 2.5 times the rate. */
+const TEXTS: RequestKind = {
     name: "texts",
     perS: burst(12.7, 5_000, 12_000, 2.5),
     rank: 2,
@@ -29,8 +29,8 @@
     backUp: true,
 };
 
-/** Checks of two pieces that go first and are due soon, in a burst that comes upon that of the texts. */
-const CHECKS: Kind = {
+/** Short checks of the highest rank with a tight objective. Their burst follows that of the texts. */
+const CHECKS: RequestKind = {
     name: "checks",
     perS: burst(24.8, 13_000, 17_000, 1.7),
     rank: 0,
@@ -42,7 +42,7 @@
     workspaces: skewed(24),
 };
 
-/** Callers who compete for too little room while engines leave. */
+/** More requests than the engines have memory for, while engines drain. */
 export const CROWDED: Load = {
     hosts: 60,
     engines: Array.from({ length: 31 }, () => 1),
@@ -51,11 +51,11 @@
     runMs: 24_000,
     seed: 1,
     leaves: { share: 0.17, everyMs: 3_300, replacedMs: 4_000 },
-    comeBack: true,
+    retriesRefused: true,
 };
 
-/** Long reviews that go first, and short hints. */
-const REVIEWS: Kind = {
+/** Long reviews of the highest rank, and short hints of a lower one. */
+const REVIEWS: RequestKind = {
     ...TEXTS,
     name: "reviews",
     perS: burst(14.9, 8_000, 14_000, 1.5),
@@ -63,9 +63,9 @@
     objectiveMs: 1_800,
     usefulMs: 7_200,
 };
-const HINTS: Kind = { ...CHECKS, name: "hints", perS: burst(16.8, 10_000, 16_000, 2), rank: 1 };
+const HINTS: RequestKind = { ...CHECKS, name: "hints", perS: burst(16.8, 10_000, 16_000, 2), rank: 1 };
 
-/** Engines of three speeds that fall into slow spells, under demand that swings. */
+/** Engines of three speeds with slow phases, under varying load. */
 export const UNEVEN: Load = {
     hosts: 60,
     engines: Array.from({ length: 31 }, (_, at) => [1 / 0.6, 1, 1 / 1.6][at % 3]!),
@@ -74,6 +74,6 @@
     runMs: 24_000,
     seed: 1,
     leaves: { share: 0.17, everyMs: 3_300, replacedMs: 4_000 },
-    spells: { share: 0.15, times: 2.5, everyMs: 600 },
-    comeBack: true,
+    slowPhases: { share: 0.15, times: 2.5, everyMs: 600 },
+    retriesRefused: true,
 };
--- a/packages/hall/test/ownership.test.ts
+++ b/packages/hall/test/ownership.test.ts
@@ -19,32 +19,32 @@
 
 const HOSTS = Array.from({ length: 12 }, (_, at) => `k${at % 3}-${at}`);
 const KEYS = Array.from({ length: 20_000 }, (_, at) => `endpoints/${at}`);
-/** Of the runs of a fair draw, one in 16,000 passes so many standard deviations. */
+/** One sample in 16,000 of a fair assignment lies outside of this many standard deviations. */
 const DEVIATIONS = 4;
 
-/** The order of plain rendezvous: the highest draw first. */
+/** The order of unweighted rendezvous hashing: the highest hash first. */
 function plainRank(key: string, hosts: readonly string[]): readonly string[] {
     const draw = (host: string): string => createHash("sha256").update(`${key}\n${host}`).digest("hex");
     return [...hosts].sort((a, b) => draw(a) < draw(b) ? 1 : -1);
 }
 
 const EVEN: Readonly<Record<string, Weights>> = {
-    "untold": EQUAL_WEIGHTS,
+    "unknown": EQUAL_WEIGHTS,
     "of one": new Map(HOSTS.map(host => [host, 1])),
     "small and alike": new Map(HOSTS.map(host => [host, 0.1])),
     "large and alike": new Map(HOSTS.map(host => [host, 40])),
 };
 
 for (const [name, weights] of Object.entries(EVEN)) {
-    test(`hosts of weights that are ${name} come in the order of plain rendezvous`, t => {
+    test(`weights that are ${name} give the order of unweighted rendezvous hashing`, t => {
         for (const key of KEYS.slice(0, 500)) t.deepEqual(rank(key, HOSTS, weights), plainRank(key, HOSTS));
     });
 }
 
 const UNEVEN: Readonly<Record<string, Weights>> = {
     "two sizes": new Map(HOSTS.map((host, at) => [host, at % 4 === 0 ? 1.8 : 0.1])),
-    "some untold": new Map(HOSTS.slice(0, 6).map((host, at) => [host, 0.5 + at])),
-    "one by far": new Map([[HOSTS[3]!, 200]]),
+    "some unknown": new Map(HOSTS.slice(0, 6).map((host, at) => [host, 0.5 + at])),
+    "one much larger": new Map([[HOSTS[3]!, 200]]),
 };
 
 for (const [name, weights] of Object.entries(UNEVEN)) {
@@ -64,7 +64,7 @@
         }
     });
 
-    test(`a host that goes moves only what it had, at every rank: ${name}`, t => {
+    test(`when a host leaves, the order of the others stays the same: ${name}`, t => {
         for (const key of KEYS.slice(0, 300)) {
             const gone = HOSTS[key.length % HOSTS.length]!;
             const left = HOSTS.filter(host => host !== gone);
@@ -72,7 +72,7 @@
         }
     });
 
-    test(`a host that is weighed anew moves only what it gains or loses: ${name}`, t => {
+    test(`when a host's weight changes, only its own share moves: ${name}`, t => {
         const host = HOSTS[5]!;
         for (const factor of [0.2, 3]) {
             const changed = new Map(weights).set(host, factor * (weights.get(host) ?? 1));
@@ -102,12 +102,12 @@
 }
 
 for (const wrong of [0, -3, NaN, Infinity, -Infinity, undefined]) {
-    test(`a capacity of ${wrong} counts as none told`, t => {
+    test(`a capacity of ${wrong} counts as unknown`, t => {
         t.is(weightOf(wrong), weightOf(1));
     });
 }
 
-test("a capacity beyond reason draws no more than the largest host's part, and a tiny one has a part", t => {
+test("an absurdly large capacity counts as the largest one, and a tiny one still gets a share", t => {
     const hosts = HOSTS.map((name, at) => ({ name, capacity: at === 0 ? 1e12 : at === 1 ? 1e-12 : 16 }));
     const weights = weightsOf(hosts);
     t.is(weights.get(HOSTS[0]!), weights.get(HOSTS[2]!));
@@ -115,7 +115,7 @@
     t.is(rank("k", HOSTS, weights).length, HOSTS.length);
 });
 
-test("a host twice as large takes more than twice the part", t => {
+test("a host twice as large gets more than twice the share", t => {
     const random = seeded(7);
     for (let at = 0; at < 100; at++) {
         const cores = 0.1 + 7 * random();
@@ -123,14 +123,14 @@
     }
 });
 
-/** Weights by which another host owns the endpoint than among equals. */
+/** Weights by which another host owns the endpoint than with equal weights. */
 function otherOwner(endpoint: string): { readonly weights: Weights; readonly owner: string } {
     const usual = endpointOwner(endpoint, 1, HOSTS);
     const owner = HOSTS.find(host => host !== usual)!;
     return { weights: new Map([[owner, 1e6]]), owner };
 }
 
-test("who is told and asked of an endpoint follows the weights, also when they change while all else stays", t => {
+test("reports and questions go to the owner by weight, also if only the weights change", t => {
     const endpoints = EndpointTable.of([createEndpoint({ id: "e1", hall: "k0", models: ["m"], memoryTokens: 9 }, 0)]);
     const { weights, owner } = otherOwner("e1");
     const even = shareRound(createShare(owner), endpoints, HOSTS, 0);
--- a/packages/hall/test/quarantine.test.ts
+++ b/packages/hall/test/quarantine.test.ts
@@ -16,17 +16,17 @@
 } from "../src/index.js";
 
 const MINUTE_MS = 60_000;
-/** Far enough apart not to be of one moment. */
+/** Endings this far apart are not simultaneous. */
 const APART_MS = 2 * SIMULTANEOUS_MS;
 
-/** A request at an ending, or at several: by default alone, just begun, and not suspected before. */
-interface At {
+/** A request involved in an ending; by default it had just begun and was no suspect. */
+interface InvolvedRequest {
     readonly fingerprint: string;
     readonly ranMs?: number;
     readonly wasSuspect?: boolean;
 }
 
-function ending(life: string, ...requests: readonly (At | string)[]): EndingNews {
+function ending(life: string, ...requests: readonly (InvolvedRequest | string)[]): EndingNews {
     return {
         life,
         agoMs: 0,
@@ -39,17 +39,17 @@
     };
 }
 
-function told(...endings: readonly EndingNews[]): QuarantineNews {
+function newsOf(...endings: readonly EndingNews[]): QuarantineNews {
     return { endings, trials: [] };
 }
 
-/** What is known after endings that were seen one after another, and when that is. */
+/** The state after endings that were observed one after another, and the time of the last one. */
 function after(...endings: readonly EndingNews[]): { readonly state: Quarantine; readonly now: number } {
     let state = EMPTY_QUARANTINE;
     let now = 0;
     for (const one of endings) {
         now += APART_MS;
-        state = joinNews(state, told(one), now).state;
+        state = joinNews(state, newsOf(one), now).state;
     }
     return { state, now };
 }
@@ -69,30 +69,30 @@
     t.is(kindOf(after(ending("e1", "a"), ending("e1", "a"), ending("e1", "a"), ending("e1", "a")), "a"), "suspect");
 });
 
-test("an endpoint that started again and ends again under its old name has had two lives", t => {
+test("an endpoint that restarts and ends again under its old name has had two lives", t => {
     const { state, now } = after(ending("e1@1", "a"));
     const beganAt = now + 50;
     const name = nameOfEnded(state.endings, "e1@1", beganAt);
-    const again = joinNews(state, told(ending(name, { fingerprint: "a", wasSuspect: true })), beganAt + 20).state;
+    const again = joinNews(state, newsOf(ending(name, { fingerprint: "a", wasSuspect: true })), beganAt + 20).state;
     t.like(verdictOf(again, "a", beganAt + 20), { kind: "suspect", endings: 2 });
     t.is(nameOfEnded(state.endings, "e1@1", now - 100), "e1@1");
     t.is(nameOfEnded(again.endings, "e1@1", beganAt + 30), "e1@1#3");
 });
 
-test("of those that ran beside each other the one that was just begun is to blame", t => {
+test("of requests that ran at the same time, the one that had just begun is the culprit", t => {
     const beside = { fingerprint: "old", ranMs: 8_000 };
     const known = after(ending("e1", "a", beside), ending("e2", "a", beside), ending("e3", "a", beside));
     t.is(kindOf(known, "a"), "quarantined");
     t.is(kindOf(known, "old"), "suspect");
 });
 
-test("one who was beside a guilty request twice and met a crash of another cause is not quarantined", t => {
+test("a request that ran beside a culprit twice and met one unrelated crash is not quarantined", t => {
     const known = after(ending("e1", "a", "b"), ending("e2", "a", "b"), ending("e3", "a"), ending("e4", "b"));
     t.is(kindOf(known, "a"), "quarantined");
     t.is(kindOf(known, "b"), "suspect");
 });
 
-test("two guilty requests are both found, also where they ended some endpoints together", t => {
+test("two culprits are both identified, also if they ended some endpoints together", t => {
     const known = after(
         ending("e1", "a", "b"),
         ending("e2", "a"),
@@ -104,36 +104,36 @@
     t.is(kindOf(known, "b"), "quarantined");
 });
 
-test("nobody is to blame where many endpoints end at one moment", t => {
+test("no request is blamed if many endpoints end at the same moment", t => {
     let state = EMPTY_QUARANTINE;
     for (let rack = 0; rack < 4; rack++) {
         const lives = ["1", "2", "3", "4", "5"].map(at =>
             ending(`r${rack}e${at}`, ...(at === "1" ? ["hot"] : [`x${rack}${at}`]))
         );
-        state = joinNews(state, told(...lives), rack * APART_MS).state;
+        state = joinNews(state, newsOf(...lives), rack * APART_MS).state;
     }
     t.is(verdictOf(state, "hot", 4 * APART_MS).kind, "free");
 });
 
-test("a request that ran at all endpoints of a rack was at one ending; one that was begun there as a suspect at each", t => {
+test("simultaneous endings count once for a request, unless it began there as a suspect", t => {
     const at = (wasSuspect: boolean): Verdict => {
         const lives = ["e1", "e2", "e3"].map(life => ending(life, { fingerprint: "a", wasSuspect }));
-        return verdictOf(joinNews(EMPTY_QUARANTINE, told(...lives), 0).state, "a", 0);
+        return verdictOf(joinNews(EMPTY_QUARANTINE, newsOf(...lives), 0).state, "a", 0);
     };
     t.like(at(false), { kind: "suspect", endings: 1 });
     t.like(at(true), { kind: "quarantined", endings: 3 });
 });
 
-test("a request that runs to its end is cleared, and is judged anew by what comes after", t => {
+test("a request that runs to completion is cleared, and only later endings count against it", t => {
     const { state, now } = after(ending("e1", "a"), ending("e2", "a"));
     const cleared = clear(state, "a", now);
     t.is(verdictOf(cleared.state, "a", now).kind, "free");
     t.is(cleared.news?.endings.length, 2);
-    const again = joinNews(cleared.state, told(ending("e3", "a")), now + APART_MS);
+    const again = joinNews(cleared.state, newsOf(ending("e3", "a")), now + APART_MS);
     t.like(verdictOf(again.state, "a", now + APART_MS), { kind: "suspect", endings: 1 });
 });
 
-test("what was cleared at one host stays so where the ending is told again", t => {
+test("a request that was cleared at one host stays cleared when another host sends the ending again", t => {
     const { state, now } = after(ending("e1", "a"), ending("e2", "a"), ending("e3", "a"));
     const cleared = clear(state, "a", now).state;
     t.is(verdictOf(joinNews(cleared, allNews(state, now), now).state, "a", now).kind, "free");
@@ -148,24 +148,24 @@
     t.is(verdictOf(running.state, "a", now, { attempt: "r1.1" }).kind, "suspect");
     const over = joinNews(running.state, { endings: [], trials: [{ ...trial, isOver: true }] }, now);
     t.is(verdictOf(over.state, "a", now).kind, "suspect");
-    // Told late, its beginning changes nothing.
+    // News of its begin that arrives after that of its end changes nothing.
     t.is(joinNews(over.state, { endings: [], trials: [trial] }, now).news, undefined);
     t.is(verdictOf(running.state, "a", now + MINUTE_MS).kind, "suspect");
 });
 
-test("one try decides again after half an hour, another after an hour, and then none", t => {
+test("a trial is allowed after half an hour, another after an hour, and then none", t => {
     let { state, now } = after(ending("e1", "a"), ending("e2", "a"), ending("e3", "a"));
     const waits = [30, 60] as const;
     for (const [at, minutes] of waits.entries()) {
         t.is(verdictOf(state, "a", now + minutes * MINUTE_MS - 1).kind, "quarantined");
         now += minutes * MINUTE_MS;
         t.is(verdictOf(state, "a", now).kind, "suspect");
-        state = joinNews(state, told(ending(`later-${at}`, { fingerprint: "a", wasSuspect: true })), now).state;
+        state = joinNews(state, newsOf(ending(`later-${at}`, { fingerprint: "a", wasSuspect: true })), now).state;
     }
     t.is(verdictOf(state, "a", now + 20 * 60 * MINUTE_MS).kind, "quarantined");
 });
 
-test("endpoints of other software open a quarantine for one try", t => {
+test("endpoints with other software allow one trial of a quarantined request", t => {
     const of = (life: string, software: string): EndingNews => ({
         ...ending(life, { fingerprint: "a", wasSuspect: true }),
         software,
@@ -175,12 +175,12 @@
         verdictOf(known, "a", now, { software }).kind;
     t.is(kind(state, "v1"), "quarantined");
     t.is(kind(state, "v1", "v2"), "suspect");
-    const again = joinNews(state, told(of("e4", "v2")), now).state;
+    const again = joinNews(state, newsOf(of("e4", "v2")), now).state;
     t.is(kind(again, "v1", "v2"), "quarantined");
     t.is(kind(again, "v3"), "quarantined");
 });
 
-test("what is held against a request is forgotten in time, and what a quarantine rests on a day later", t => {
+test("evidence without a quarantine expires after minutes, evidence for a quarantine after a day", t => {
     const { state, now } = after(ending("e1", "a"), ending("e2", "b"), ending("e3", "b"), ending("e4", "b"));
     const later = forgetOld(state, now + 11 * MINUTE_MS);
     t.is(verdictOf(later, "a", now + 11 * MINUTE_MS).kind, "free");
@@ -188,17 +188,17 @@
     t.is(forgetOld(later, now + 25 * 60 * MINUTE_MS).endings.size, 0);
 });
 
-test("drawn bodies push no guilty request out, and what is kept is bounded", t => {
+test("endings of random requests displace no culprit, and the number of endings is bounded", t => {
     let { state, now } = after(ending("e1", "a"), ending("e2", "a"), ending("e3", "a"));
     for (let at = 0; at < 1_000; at++) {
         now += APART_MS;
-        state = joinNews(state, told(ending(`x${at}`, `drawn-${at}`)), now).state;
+        state = joinNews(state, newsOf(ending(`x${at}`, `drawn-${at}`)), now).state;
     }
     t.is(verdictOf(state, "a", now).kind, "quarantined");
     t.true(state.endings.size <= 256);
 });
 
-// Drawn endings: the same news in any order, twice, or joined from two halls, is judged alike.
+// Random endings: the same news gives the same verdicts in any order, if repeated, or if merged from two halls.
 
 const requestArb = fc.record({
     fingerprint: fc.constantFrom("a", "b", "c", "d"),
@@ -212,30 +212,30 @@
 }).map(({ life, requests }): EndingNews => ({ life, requests, agoMs: 1_000 * Number(life.slice(1)) }));
 const NOW = 100_000;
 
-function joinAll(endings: readonly EndingNews[]): Quarantine {
-    return endings.reduce((state, one) => joinNews(state, told(one), NOW).state, EMPTY_QUARANTINE);
+function mergeAll(endings: readonly EndingNews[]): Quarantine {
+    return endings.reduce((state, one) => joinNews(state, newsOf(one), NOW).state, EMPTY_QUARANTINE);
 }
 
 function verdicts(state: Quarantine): readonly Verdict[] {
     return ["a", "b", "c", "d"].map(fingerprint => verdictOf(state, fingerprint, NOW));
 }
 
-test("the order of news changes nothing, and neither does news that comes twice", t => {
+test("verdicts do not depend on the order of news or on duplicates", t => {
     fc.assert(fc.property(fc.array(endingArb, { maxLength: 20 }), fc.func(fc.integer()), (endings, rankOf) => {
         const shuffled = [...endings, ...endings].sort((a, b) => rankOf(a) - rankOf(b));
-        const one = joinAll(endings);
-        const other = joinAll(shuffled);
+        const one = mergeAll(endings);
+        const other = mergeAll(shuffled);
         t.deepEqual(verdicts(other), verdicts(one));
         t.is(other.digest, one.digest);
     }));
 });
 
-test("halls that were cut judge alike once they are joined, whoever tells first", t => {
+test("halls that were partitioned agree after merging, whichever sends first", t => {
     fc.assert(fc.property(
         fc.array(endingArb, { maxLength: 12 }),
         fc.array(endingArb, { maxLength: 12 }),
         (here, there) => {
-            const [a, b] = [joinAll(here), joinAll(there)];
+            const [a, b] = [mergeAll(here), mergeAll(there)];
             const atA = joinNews(a, allNews(b, NOW), NOW).state;
             const atB = joinNews(b, allNews(a, NOW), NOW).state;
             t.deepEqual(verdicts(atA), verdicts(atB));
@@ -245,9 +245,9 @@
     ));
 });
 
-test("no request is quarantined that was at fewer than three endings", t => {
+test("no request with fewer than three endings is quarantined", t => {
     fc.assert(fc.property(fc.array(endingArb, { maxLength: 20 }), endings => {
-        const state = joinAll(endings);
+        const state = mergeAll(endings);
         for (const fingerprint of ["a", "b", "c", "d"]) {
             const lives = [...state.endings.values()].filter(({ requests }) =>
                 requests.get(fingerprint)?.cleared === false
@@ -257,9 +257,9 @@
     }));
 });
 
-test("a request that is alone at three endings apart is quarantined, whatever else ended", t => {
+test("a request that ran alone at three separate endings is quarantined, whatever else ended", t => {
     fc.assert(fc.property(fc.array(endingArb, { maxLength: 20 }), endings => {
         const alone = [0, 1, 2].map(at => ({ ...ending(`g${at}`, "guilty"), agoMs: 500 + 1_000 * at }));
-        t.is(verdictOf(joinAll([...endings, ...alone]), "guilty", NOW).kind, "quarantined");
+        t.is(verdictOf(mergeAll([...endings, ...alone]), "guilty", NOW).kind, "quarantined");
     }));
 });
--- a/packages/hall/test/reachability.test.ts
+++ b/packages/hall/test/reachability.test.ts
@@ -15,8 +15,8 @@
 const NOW = 100_000;
 const HALL: HallMembers = { hall: "k2", hosts: 30, relied: 30, endpoints: 11 };
 
-/** What a host has found out: endpoints that failed so long ago, and when the hall was last heard. */
-function found(lostAgo: Readonly<Record<string, number>>, heardAgo: number, hall = "k2"): Reach {
+/** Observations of a host: endpoints with the age of their failure, and the time since the hall was last heard. */
+function observed(lostAgo: Readonly<Record<string, number>>, heardAgo: number, hall = "k2"): Reach {
     const heard = hearHall(NOTHING_FOUND, hall, NOW - heardAgo);
     return Object.entries(lostAgo).reduce(
         (reach, [endpoint, ago]) => loseEndpoint(reach, endpoint, hall, NOW - ago, NOW).state,
@@ -51,19 +51,19 @@
     },
     "one of several failed": { lostAgo: { a: 10 }, heardAgo: LONG_SILENT, isInDoubt: false },
     "the only one failed": { lostAgo: { a: 10 }, heardAgo: LONG_SILENT, members: { endpoints: 1 }, isInDoubt: true },
-    "one failed and less than half of the hosts are relied on": {
+    "one failed and less than half of the hosts are alive": {
         lostAgo: { a: 10 },
         heardAgo: LONG_SILENT,
         members: { relied: 14 },
         isInDoubt: true,
     },
-    "one failed and half of the hosts are relied on": {
+    "one failed and half of the hosts are alive": {
         lostAgo: { a: 10 },
         heardAgo: LONG_SILENT,
         members: { relied: 15 },
         isInDoubt: false,
     },
-    "no host is relied on, and none failed": {
+    "no host is alive, and none failed": {
         lostAgo: {},
         heardAgo: LONG_SILENT,
         members: { relied: 0 },
@@ -79,32 +79,32 @@
 
 for (const [name, { lostAgo, heardAgo, members = {}, isInDoubt }] of Object.entries(CASES)) {
     test(`${name}: the hall is ${isInDoubt ? "" : "not "}in doubt`, t => {
-        t.deepEqual(halls(found(lostAgo, heardAgo), [{ ...HALL, ...members }]), isInDoubt ? ["k2"] : []);
+        t.deepEqual(halls(observed(lostAgo, heardAgo), [{ ...HALL, ...members }]), isInDoubt ? ["k2"] : []);
     });
 }
 
-test("a doubt ends with the first thing that is heard, and else with time", t => {
-    const reach = found({ a: 10, b: 20 }, LONG_SILENT);
+test("a doubt ends as soon as anything is heard from the hall, or after a while", t => {
+    const reach = observed({ a: 10, b: 20 }, LONG_SILENT);
     t.is(halls(reach, [HALL]).length, 1);
     t.is(halls(hearHall(reach, "k2", NOW), [HALL], NOW + LONG_SILENT).length, 0);
     t.is(halls(reach, [HALL], NOW + LOST_VALID_MS).length, 0);
 });
 
-test("an endpoint that failed is in doubt until anything of its hall is heard, or for a while", t => {
-    const reach = found({ a: 10 }, 20);
+test("a failed endpoint is in doubt until anything is heard from its hall, or for a while", t => {
+    const reach = observed({ a: 10 }, 20);
     t.deepEqual(doubtsOf(reach, [HALL], NOW), { halls: [], endpoints: ["a"] });
     t.deepEqual(doubtsOf(hearHall(reach, "k2", NOW), [HALL], NOW).endpoints, []);
     t.deepEqual(doubtsOf(reach, [HALL], NOW + LOST_VALID_MS).endpoints, []);
     t.deepEqual(doubtsOf(reach, [{ ...HALL, hosts: 0 }], NOW).endpoints, [], "nobody there would end the doubt");
 });
 
-test("another hall's silence and failures say nothing of this one", t => {
-    const reach = hearHall(found({ a: 10, b: 20 }, LONG_SILENT, "k3"), "k2", NOW - 10);
+test("silence and failures of one hall do not put another in doubt", t => {
+    const reach = hearHall(observed({ a: 10, b: 20 }, LONG_SILENT, "k3"), "k2", NOW - 10);
     t.deepEqual(halls(reach, [HALL, { ...HALL, hall: "k3" }]), ["k3"]);
 });
 
-test("a failure is news once while it is fresh, and not where it is older than what was heard or too old", t => {
-    const reach = found({ a: 10 }, LONG_SILENT);
+test("a failure is news once, and not if it has expired or the hall was heard since", t => {
+    const reach = observed({ a: 10 }, LONG_SILENT);
     const isNews = (endpoint: string, ago: number): boolean =>
         loseEndpoint(reach, endpoint, "k2", NOW - ago, NOW).isNews;
     t.false(isNews("a", 0));
@@ -115,14 +115,14 @@
     t.false(loseEndpoint(NOTHING_FOUND, "b", "k2", NOW - LOST_VALID_MS, NOW).isNews);
 });
 
-test("what fails again and again is kept once, and what has not failed lately is forgotten", t => {
+test("repeated failures of an endpoint are kept once, and old ones are dropped", t => {
     let reach = NOTHING_FOUND;
     for (let at = 0; at < 100; at++) reach = loseEndpoint(reach, `e${at % 7}`, "k2", at * 300, at * 300).state;
     t.is(reach.lost.size, 7);
     t.deepEqual([...loseEndpoint(reach, "e1", "k2", 1e6, 1e6).state.lost.keys()], ["e1"]);
 });
 
-test("hosts of other halls are counted as the detector knows them: dead ones, and not those that have left", t => {
+test("the hosts of other halls are counted by the detector's view: dead ones are included, leaving ones are not", t => {
     const fleet = new Fleet({ hosts: 12, halls: 3 });
     fleet.run(2_500);
     const [observer] = fleet.hosts;
--- a/packages/hall/test/store-hall.ts
+++ b/packages/hall/test/store-hall.ts
@@ -1,6 +1,6 @@
 /**
- * A hall whose hosts share what a few of them hear of the store, without sockets: the decisions are those of `following`,
- * the store and the words between hosts are played.
+ * A simulated hall whose hosts follow a few watchers of the store, without sockets. Hosts decide by `store-watchers.ts`; the store and
+ * the messages are simulated.
  *
  * @module
  */
@@ -20,9 +20,9 @@
 import { VirtualClock } from "./virtual-clock.js";
 
 const ROUND_MS = 250;
-/** A call to a store that does not answer ends after this. */
-const CALL_MS = 1_000;
-const GATHER_MS: Readonly<Record<WatchReason, number>> = { first: 100, second: 600, alone: 300 };
+/** Timeout of a call to a store that does not answer. */
+const CALL_TIMEOUT_MS = 1_000;
+const PAUSE_AFTER_NEWS_MS: Readonly<Record<WatchReason, number>> = { first: 100, second: 600, alone: 300 };
 
 /** A host of the hall. */
 export interface HallHost {
@@ -32,19 +32,19 @@
     freshAt: number;
     reason: WatchReason | undefined;
     hears: boolean | undefined;
-    /** The store does not answer it. */
-    cut: boolean;
+    /** Whether the store does not answer it. */
+    isCutOff: boolean;
     alive: boolean;
     pausedUntil: number;
-    /** No watcher's word reaches it. */
-    wordless: boolean;
+    /** Whether watchers' reports do not reach it. */
+    missesReports: boolean;
     /** When its call to the store ends. */
     callEndsAt: number;
-    /** Calls made to the store. */
+    /** Number of calls made to the store. */
     calls: number;
 }
 
-/** A hall, its store and its time. */
+/** A simulated hall with its store and clock. */
 export class StoreHall extends VirtualClock {
     readonly hosts: HallHost[];
     position: StorePosition = { epoch: 1, revision: 1 };
@@ -60,9 +60,9 @@
             freshAt: 0,
             reason: undefined,
             hears: undefined,
-            cut: false,
+            isCutOff: false,
             alive: true,
-            wordless: false,
+            missesReports: false,
             pausedUntil: 0,
             callEndsAt: Infinity,
             calls: 1,
@@ -75,7 +75,7 @@
 
     private every(ms: number, host: HallHost, run: (turn: number) => void): void {
         const next = (turn: number): void => {
-            this.whenAwake(host, () => {
+            this.whenResumed(host, () => {
                 run(turn);
                 this.after(ms, () => next(turn + 1));
             });
@@ -87,9 +87,9 @@
         this.at(this.now + Math.max(1, ms), run);
     }
 
-    private whenAwake(host: HallHost, run: () => void): void {
+    private whenResumed(host: HallHost, run: () => void): void {
         if (!host.alive) return;
-        if (this.now < host.pausedUntil) this.after(host.pausedUntil - this.now, () => this.whenAwake(host, run));
+        if (this.now < host.pausedUntil) this.after(host.pausedUntil - this.now, () => this.whenResumed(host, run));
         else run();
     }
 
@@ -119,22 +119,22 @@
             host.callEndsAt = Infinity;
         }
         if (began) this.call(host, 0);
-        if (says) this.tell(host);
+        if (says) this.sendReport(host);
     }
 
-    /** One call of a watch: its answer, or its end without one. */
+    /** Makes one call of a watch, which ends with an answer or a timeout. */
     private call(host: HallHost, waitMs: number): void {
         host.calls += 1;
-        const endsAt = this.now + (host.cut ? CALL_MS : 4 + waitMs);
+        const endsAt = this.now + (host.isCutOff ? CALL_TIMEOUT_MS : 4 + waitMs);
         host.callEndsAt = endsAt;
         const after = host.position;
         const look = (): void => {
             if (host.callEndsAt !== endsAt || host.reason === undefined) return;
-            const hasNews = !host.cut && isAfter(this.position, after);
+            const hasNews = !host.isCutOff && isAfter(this.position, after);
             if (!hasNews && this.now < endsAt) this.after(20, look);
-            else this.answer(host, !host.cut, hasNews);
+            else this.answer(host, !host.isCutOff, hasNews);
         };
-        this.after(4, () => this.whenAwake(host, look));
+        this.after(4, () => this.whenResumed(host, look));
     }
 
     private answer(host: HallHost, hears: boolean, hasNews: boolean): void {
@@ -143,71 +143,71 @@
         if (hears) {
             host.freshAt = this.now;
             host.position = this.position;
-            if (hasNews && host.reason === "first") this.tell(host);
+            if (hasNews && host.reason === "first") this.sendReport(host);
         }
         if (changed) this.plan(host);
         if (host.reason !== undefined) {
-            const pause = hasNews ? GATHER_MS[host.reason] : hears ? 0 : 100;
-            this.after(pause, () => this.whenAwake(host, () => host.reason !== undefined && this.call(host, 1_000)));
+            const pause = hasNews ? PAUSE_AFTER_NEWS_MS[host.reason] : hears ? 0 : 100;
+            this.after(pause, () => this.whenResumed(host, () => host.reason !== undefined && this.call(host, 1_000)));
         }
     }
 
-    private tell(host: HallHost): void {
+    private sendReport(host: HallHost): void {
         const { name, position } = host;
         const hears = host.hears === true;
         for (const other of this.running) {
-            if (other !== host && !other.wordless) {
-                this.deliver(other, () => this.hear(other, host, name, hears, position));
+            if (other !== host && !other.missesReports) {
+                this.deliver(other, () => this.receiveReport(other, host, name, hears, position));
             }
         }
     }
 
     private deliver(to: HallHost, run: () => void): void {
-        this.after(1, () => this.whenAwake(to, run));
+        this.after(1, () => this.whenResumed(to, run));
     }
 
-    private hear(host: HallHost, from: HallHost, name: string, hears: boolean, position: StorePosition): void {
+    private receiveReport(host: HallHost, from: HallHost, name: string, hears: boolean, position: StorePosition): void {
         host.following = hearWatcher(host.following, name, hears, this.now);
         if (hears) host.freshAt = Math.max(host.freshAt, this.now);
-        if (isAfter(position, host.position)) this.ask(host, from);
+        if (isAfter(position, host.position)) this.requestState(host, from);
     }
 
-    private ask(host: HallHost, from: HallHost): void {
+    private requestState(host: HallHost, from: HallHost): void {
         this.deliver(
             from,
-            () => this.deliver(host, () => this.take(host, from.position)),
+            () => this.deliver(host, () => this.applyState(host, from.position)),
         );
     }
 
-    private take(host: HallHost, position: StorePosition): void {
+    private applyState(host: HallHost, position: StorePosition): void {
         if (isAfter(position, host.position)) host.position = position;
     }
 
-    /** Probes tell how far their sender is, and answers how far who was probed is. */
+    /** Sends a probe with the sender's progress; the answer carries the receiver's. */
     private exchange(host: HallHost, at: number, turn: number): void {
         const other = this.hosts[(at + 1 + turn % 3) % this.hosts.length]!;
         if (!other.alive || other === host) return;
-        this.deliver(other, () => this.stamp(other, host));
-        this.deliver(other, () => this.deliver(host, () => this.stamp(host, other)));
+        this.deliver(other, () => this.receiveProgress(other, host));
+        this.deliver(other, () => this.deliver(host, () => this.receiveProgress(host, other)));
     }
 
-    private stamp(host: HallHost, from: HallHost): void {
+    private receiveProgress(host: HallHost, from: HallHost): void {
         host.freshAt = Math.max(host.freshAt, from.freshAt);
         const theirs = { ...from.position, version: 0 };
         const own = { ...host.position, version: 0 };
         const { state, asks } = hearProgress(host.following, theirs, own, this.now);
         host.following = state;
-        if (asks) this.ask(host, from);
+        if (asks) this.requestState(host, from);
     }
 
-    /** The store comes back from a copy that lacks so many of its last changes. */
+    /** Restores the store from a copy that lacks its last changes. */
     restore(lost: number): void {
         const { epoch, revision } = this.position;
         this.position = { epoch: epoch + 1, revision: revision - lost };
     }
 
-    /** A change of the store; gives how long it takes until the given hosts know it, at most `mostMs`. */
-    change(wanted: (host: HallHost) => boolean, mostMs = 10_000): number {
+    /** Changes the store. Returns how long it takes until the given hosts know the change, at most `mostMs`. */
+    changeStore(wanted: (host: HallHost) => boolean, mostMs = 10_000): number {
         this.position = { ...this.position, revision: this.position.revision + 1 };
         const from = this.now;
         const done = (): boolean => this.running.every(host => !wanted(host) || host.position === this.position);
--- a/packages/hall/test/store-watchers.test.ts
+++ b/packages/hall/test/store-watchers.test.ts
@@ -12,16 +12,16 @@
 import { type HallHost, StoreHall } from "./store-hall.js";
 
 const HOSTS = ["a", "b", "c", "d", "e", "f"];
-/** A time at which every host of these tests knows its hall. */
+/** By this time every host knows its hall. */
 const START = 2_000;
-/** The shortest bound within which news is to be in force everywhere. */
-const BOUND_MS = 2_000;
+/** Shortest bound on the delay until a change is in force at all hosts. */
+const MAX_CHANGE_DELAY_MS = 2_000;
 
-function everyone(): boolean {
+function anyHost(): boolean {
     return true;
 }
 
-/** A hall that has found its watchers. */
+/** Creates a hall that has settled on its watchers. */
 function settled(count: number, seed = 1): StoreHall {
     const hall = new StoreHall(count, seed);
     hall.run(4_000);
@@ -29,21 +29,21 @@
 }
 
 for (const count of [1, 2, 3, 6, 30, 60]) {
-    test(`in a hall of ${count} two watch for all, and they stay two`, t => {
+    test(`in a hall of ${count}, two hosts watch, and it stays at two`, t => {
         const hall = settled(count);
         for (let at = 0; at < 100; at++) {
             hall.run(100);
             t.is(hall.watching.length, Math.min(2, count));
         }
-        t.true(hall.change(everyone) < 50);
+        t.true(hall.changeStore(anyHost) < 50);
     });
 }
 
 for (const count of [6, 30, 60]) {
-    test(`in a hall of ${count}, news is in force within its bound while the watchers die, are cut off or freeze`, t => {
+    test(`in a hall of ${count}, a change is in force within its bound while the watchers crash, are cut off or stall`, t => {
         const blows: Readonly<Record<string, (hall: StoreHall, host: HallHost) => void>> = {
             killed: (_hall, host) => void (host.alive = false),
-            cut: (_hall, host) => void (host.cut = true),
+            cut: (_hall, host) => void (host.isCutOff = true),
             frozen: (hall, host) => void (host.pausedUntil = hall.now + 3_000),
         };
         for (const [kind, strike] of Object.entries(blows)) {
@@ -51,15 +51,15 @@
                 const hall = settled(count, seed);
                 for (const host of [...hall.watching]) strike(hall, host);
                 hall.run(seed * 100);
-                const took = hall.change(({ pausedUntil }) => pausedUntil <= hall.now);
-                t.true(took < BOUND_MS, `${kind}, seed ${seed}: ${took} ms`);
+                const took = hall.changeStore(({ pausedUntil }) => pausedUntil <= hall.now);
+                t.true(took < MAX_CHANGE_DELAY_MS, `${kind}, seed ${seed}: ${took} ms`);
                 hall.run(5_000);
-                t.is(hall.watching.filter(({ cut }) => !cut).length, 2, kind);
+                t.is(hall.watching.filter(({ isCutOff }) => !isCutOff).length, 2, kind);
             }
         }
     });
 
-    test(`in a hall of ${count}, a watcher that is cut off as it takes over holds nobody up`, t => {
+    test(`in a hall of ${count}, a watcher that is cut off as it takes over delays no other host`, t => {
         for (let seed = 1; seed <= 8; seed++) {
             const hall = settled(count, seed);
             const ranked = rank("store-watch", hall.hosts.map(({ name }) => name));
@@ -68,43 +68,43 @@
             byRank(1).alive = false;
             hall.run(seed * 120);
             // The next two are cut off from the store before they first ask it.
-            byRank(2).cut = true;
-            byRank(3).cut = true;
-            const took = hall.change(({ cut }) => !cut, 20_000);
-            const all = took + hall.change(everyone, 20_000);
+            byRank(2).isCutOff = true;
+            byRank(3).isCutOff = true;
+            const took = hall.changeStore(({ isCutOff }) => !isCutOff, 20_000);
+            const all = took + hall.changeStore(anyHost, 20_000);
             t.true(took < 3_200, `seed ${seed}: ${took} ms`);
             t.true(all < 5_000, `seed ${seed}: ${all} ms`);
         }
     });
 }
 
-test("where a third of a hall is cut off from the store, all hear of news within the bound", t => {
+test("if a third of a hall is cut off from the store, all hosts learn of a change within the bound", t => {
     for (let seed = 1; seed <= 8; seed++) {
         const hall = settled(30, seed);
-        for (const [at, host] of hall.hosts.entries()) host.cut = at % 3 === 0;
+        for (const [at, host] of hall.hosts.entries()) host.isCutOff = at % 3 === 0;
         hall.run(4_000);
-        const took = hall.change(everyone);
-        t.true(took < BOUND_MS, `seed ${seed}: ${took} ms`);
-        t.is(hall.watching.filter(({ cut }) => !cut).length, 2);
+        const took = hall.changeStore(anyHost);
+        t.true(took < MAX_CHANGE_DELAY_MS, `seed ${seed}: ${took} ms`);
+        t.is(hall.watching.filter(({ isCutOff }) => !isCutOff).length, 2);
     }
 });
 
-test("hosts that no watcher's word reaches follow what their neighbours' probes tell, and leave the store alone", t => {
+test("hosts that get no watcher's report follow the progress in probes, and do not call the store", t => {
     for (let seed = 1; seed <= 8; seed++) {
         const hall = settled(30, seed);
         const followers = hall.hosts.filter(({ reason }) => reason === undefined).slice(0, 5);
-        for (const host of followers) host.wordless = true;
+        for (const host of followers) host.missesReports = true;
         hall.run(3_000);
-        const took = hall.change(everyone);
-        t.true(took < BOUND_MS, `seed ${seed}: ${took} ms`);
+        const took = hall.changeStore(anyHost);
+        t.true(took < MAX_CHANGE_DELAY_MS, `seed ${seed}: ${took} ms`);
         t.is(hall.watching.length, 2, `seed ${seed}`);
     }
 });
 
-test("while the store is away few of a hall ask it, and all have its news soon after its return", t => {
+test("while the store is unavailable few hosts of a hall call it, and all get its changes soon after its return", t => {
     for (const count of [3, 30, 60]) {
         const hall = settled(count);
-        for (const host of hall.hosts) host.cut = true;
+        for (const host of hall.hosts) host.isCutOff = true;
         const before = hall.hosts.reduce((sum, { calls }) => sum + calls, 0);
         for (let at = 0; at < 80; at++) {
             hall.run(100);
@@ -112,13 +112,13 @@
         }
         const calls = hall.hosts.reduce((sum, host) => sum + host.calls, 0) - before;
         t.true(calls <= 40, `${count}: ${calls} calls in 8 s`);
-        for (const host of hall.hosts) host.cut = false;
-        const took = hall.change(everyone);
+        for (const host of hall.hosts) host.isCutOff = false;
+        const took = hall.changeStore(anyHost);
         t.true(took < 3_000, `${count}: ${took} ms`);
     }
 });
 
-test("a pause of the watchers makes nobody else turn to the store for good", t => {
+test("a stall of the watchers makes no other host watch for good", t => {
     const hall = settled(60);
     for (const host of hall.watching) host.pausedUntil = hall.now + 900;
     hall.run(900);
@@ -126,21 +126,21 @@
 });
 
 for (const count of [1, 3, 6, 30, 60]) {
-    test(`in a hall of ${count}, news is in force within its bound after the store came back from an older copy`, t => {
+    test(`in a hall of ${count}, a change is in force within its bound after the store was restored from an older copy`, t => {
         for (const lost of [1, 5]) {
             const hall = settled(count, lost);
-            for (let at = 0; at < 8; at++) t.true(hall.change(everyone) < BOUND_MS);
+            for (let at = 0; at < 8; at++) t.true(hall.changeStore(anyHost) < MAX_CHANGE_DELAY_MS);
             for (const cutOff of [0, 1, 2]) {
-                for (const [at, host] of hall.hosts.entries()) host.cut = count > 1 && at % 4 < cutOff;
+                for (const [at, host] of hall.hosts.entries()) host.isCutOff = count > 1 && at % 4 < cutOff;
                 hall.restore(lost);
-                const took = hall.change(everyone);
-                t.true(took < BOUND_MS, `${lost} lost, ${cutOff} in 4 cut off: ${took} ms`);
+                const took = hall.changeStore(anyHost);
+                t.true(took < MAX_CHANGE_DELAY_MS, `${lost} lost, ${cutOff} in 4 cut off: ${took} ms`);
             }
         }
     });
 }
 
-test("who knows less is asked for nothing, by epoch, revision or version", t => {
+test("a peer that is behind by epoch, revision or version is not asked", t => {
     const at = { epoch: 2, revision: 38, version: 91 };
     const behind = [{ ...at, epoch: 1, revision: 42 }, { ...at, revision: 37 }, { ...at, version: 90 }, at];
     const further = [{ ...at, epoch: 3, revision: 1 }, { ...at, revision: 39 }, { ...at, version: 97 }];
@@ -152,7 +152,7 @@
     t.deepEqual(further.map(asks), further.map(() => true));
 });
 
-test("a host that hears of no watcher watches by itself, and one that hears of any does not", t => {
+test("a host without any watcher's report watches by itself, and one with a report does not", t => {
     // The last by rank: it is no watcher even when the first four are silent.
     const self = rank("store-watch", HOSTS).at(-1)!;
     let state: Following = createFollowing(self, 0);
@@ -165,7 +165,7 @@
     t.is(planFollowing(deaf, HOSTS, heard, START + 2 * WORD_VALID_MS).reason, undefined);
 });
 
-test("a host alone watches, though not before it knows whether it is alone", t => {
+test("a host that is alone watches, but not before it knows that it is alone", t => {
     const state = createFollowing("a", 0);
     const heard = { hears: undefined, freshAt: 0, seeking: true };
     t.is(planFollowing(state, ["a"], heard, 0).reason, undefined);
@@ -173,7 +173,7 @@
     t.is(planFollowing(state, ["a"], { ...heard, seeking: false }, 0).reason, "first", "it looks for nobody");
 });
 
-test("a host that the store did not answer does not take itself for a watcher again at once", t => {
+test("a host that the store did not answer does not become a watcher again at once", t => {
     const self = rank("store-watch", HOSTS)[0]!;
     const hearAll = (state: Following, now: number): Following =>
         HOSTS.filter(host => host !== self).reduce((known, host) => hearWatcher(known, host, true, now), state);
--- a/packages/hall/test/uneven-faults.test.ts
+++ b/packages/hall/test/uneven-faults.test.ts
@@ -1,24 +1,24 @@
 /**
- * Endpoints of three speeds while their owner falls silent, or a host tells what is not so.
+ * Endpoints of three speeds while their owner is silent, or a host reports false samples.
  */
 import test from "ava";
 import { decodeSamples, endpointOwner, type ShareMessage, shownWords } from "../src/index.js";
 import { UNEVEN } from "./loads.js";
 import { checkUneven } from "./uneven-tests.js";
 
-const FEW = { ...UNEVEN, hosts: 16, runMs: 15_000 };
+const LOAD = { ...UNEVEN, hosts: 16, runMs: 15_000 };
 const SEEDS = [2, 3];
-const HOSTS = Array.from({ length: FEW.hosts }, (_, at) => `host-${String(at).padStart(3, "0")}`);
+const HOSTS = Array.from({ length: LOAD.hosts }, (_, at) => `host-${String(at).padStart(3, "0")}`);
 
 test("the owner is silent from the first burst on", t => {
-    const owner = endpointOwner("any of so few", FEW.engines.length, HOSTS);
+    const owner = endpointOwner("any of so few", LOAD.engines.length, HOSTS);
     const isLost = (from: string, to: string, now: number): boolean => now > 8_000 && (from === owner || to === owner);
-    checkUneven(t, { ...FEW, isLost }, SEEDS);
+    checkUneven(t, { ...LOAD, isLost }, SEEDS);
 });
 
-test("a host tells what is not so", t => checkUneven(t, { ...FEW, arrives: exaggerate }, SEEDS));
+test("a host reports false samples", t => checkUneven(t, { ...LOAD, transform: exaggerate }, SEEDS));
 
-/** One host's words with endpoints that take a thousand times as long as they do, or as little. */
+/** Changes one host's reports: its samples are a thousand times too slow or too fast. */
 function exaggerate(from: string, message: ShareMessage): ShareMessage {
     if (from !== HOSTS[3] || message.kind !== "held") return message;
     const held = message.held.map((item, at) => {
--- a/packages/hall/test/uneven-fleet.test.ts
+++ b/packages/hall/test/uneven-fleet.test.ts
@@ -1,5 +1,5 @@
 /**
- * Owners and watchers among hosts of unlike capacities, by what the hosts themselves tell each other.
+ * Owners and watchers among hosts of different capacities, by the capacities that hosts report to each other.
  */
 import test from "ava";
 import {
@@ -21,7 +21,7 @@
 const LARGE = 1.35;
 const SMALL = 0.324;
 
-/** One host in fifteen is large, one in ten does not tell, and one in thirty tells nonsense. */
+/** One host in fifteen is large, one in ten reports no capacity, and one in thirty an invalid one. */
 function capacityAt(at: number): number | undefined {
     if (at % 30 === 7) return [0, -1, 1e9][Math.floor(at / 30) % 3];
     if (at % 10 === 9) return undefined;
@@ -38,20 +38,20 @@
     return weightsOf(ratedHosts(host.state.membership, now));
 }
 
-/** Whom a host takes for the owner of each key. */
+/** The owner of each key in a host's view. */
 function ownersBy(host: SimHost, now: number): readonly (string | undefined)[] {
     const live = liveHosts(host.state.membership, now);
     const weights = weightsAt(host, now);
     return KEYS.map(key => ownerOf(key, live, weights));
 }
 
-/** Whom a host takes for its hall's watchers. */
+/** The watchers of its hall in a host's view. */
 function watchersBy(host: SimHost, now: number): string {
     const live = liveInHall(host.state.membership, now);
     return rank("store-watch", live, weightsAt(host, now)).slice(0, WATCHERS_PER_HALL).join();
 }
 
-/** All that owners follow from, as a host sees it. */
+/** A host's view of all that determines owners: live hosts and weights. */
 function viewOf(host: SimHost, now: number): string {
     const weights = weightsAt(host, now);
     return liveHosts(host.state.membership, now).map(name => `${name}=${weights.get(name)}`).join();
@@ -62,7 +62,7 @@
 }
 
 for (const hosts of [6, 60, 300]) {
-    test(`${hosts} hosts of unlike capacities, some of which tell none or nonsense, agree on owners and watchers`, t => {
+    test(`${hosts} hosts of different capacities, some with none or an invalid one, agree on owners and watchers`, t => {
         const fleet = settledFleet(hosts);
         t.true(agree(fleet));
         const [first, other] = [fleet.hosts[0]!, fleet.hosts[HALLS]!];
@@ -70,7 +70,7 @@
         t.is(watchersBy(first, fleet.now), watchersBy(other, fleet.now));
     });
 
-    test(`${hosts} hosts: where owners and watchers die, only what they had moves, and all agree again within 4 s`, t => {
+    test(`${hosts} hosts: when owners and watchers crash, only their share moves, and all agree again within 4 s`, t => {
         const fleet = settledFleet(hosts);
         const observer = fleet.hosts.at(-1)!;
         const before = ownersBy(observer, fleet.now);
@@ -80,7 +80,7 @@
         for (const host of fleet.hosts) if (dead.has(host.name)) fleet.kill(host);
         const knowsDead = (): boolean =>
             fleet.running.every(host => liveHosts(host.state.membership, fleet.now).every(name => !dead.has(name)));
-        const took = fleet.until(() => knowsDead() && agree(fleet), 10_000);
+        const took = fleet.runUntil(() => knowsDead() && agree(fleet), 10_000);
         t.true(took <= 4_000, String(took));
         for (const [at, owner] of ownersBy(observer, fleet.now).entries()) {
             if (owner !== before[at]) t.true(dead.has(before[at]!), `${KEYS[at]} moved from ${before[at]}`);
@@ -92,7 +92,7 @@
     });
 }
 
-test("a host that starts again with another capacity is weighed by it at all hosts within 1 s", t => {
+test("a host that restarts with another capacity has its new weight at all hosts within 1 s", t => {
     const fleet = settledFleet(60);
     const host = fleet.hosts[5]!;
     t.is(weightsAt(fleet.hosts[0]!, fleet.now).get(host.name), weightOf(SMALL));
@@ -102,12 +102,12 @@
     fleet.restart(host, fleet.hosts.slice(0, 3).map(({ address }) => address));
     const isWeighed = (): boolean =>
         fleet.running.every(other => weightsAt(other, fleet.now).get(host.name) === weightOf(LARGE));
-    const took = fleet.until(() => isWeighed() && agree(fleet), 5_000);
+    const took = fleet.runUntil(() => isWeighed() && agree(fleet), 5_000);
     t.true(took <= 1_000, String(took));
 });
 
 for (const hosts of [6, 60, 300]) {
-    test(`in a hall of ${hosts} of unlike capacities two watch, and news is in force in time after both are lost`, t => {
+    test(`in a hall of ${hosts} of different capacities two hosts watch, and a change is in force in time after both are lost`, t => {
         const names = Array.from({ length: hosts }, (_, at) => `h${String(at).padStart(3, "0")}`);
         const weights = weightsOf(names.map((name, at) => ({ name, capacity: capacityAt(at) })));
         for (const kind of ["killed", "cut"] as const) {
@@ -120,13 +120,13 @@
             );
             for (const host of hall.watching) {
                 if (kind === "killed") host.alive = false;
-                else host.cut = true;
+                else host.isCutOff = true;
             }
             hall.run(300);
-            const took = hall.change(() => true);
+            const took = hall.changeStore(() => true);
             t.true(took < 2_000, `${kind}: ${took} ms`);
             hall.run(5_000);
-            t.is(hall.watching.filter(({ cut }) => !cut).length, WATCHERS_PER_HALL, kind);
+            t.is(hall.watching.filter(({ isCutOff }) => !isCutOff).length, WATCHERS_PER_HALL, kind);
         }
     });
 }
--- a/packages/hall/test/uneven-tests.ts
+++ b/packages/hall/test/uneven-tests.ts
@@ -1,37 +1,37 @@
 /**
- * Replays of a load on uneven engines, with endpoints' speeds known and without.
+ * Compares replays of a load on engines of different speeds, with and without estimates of endpoints' speeds.
  */
 import type { ExecutionContext } from "ava";
-import { type Fate, inTime, type Load, replay } from "./load-fleet.js";
+import { isInTime, type Load, replay, type RequestRecord } from "./load-fleet.js";
 
-/** How many requests of a kind came, and the part that was not served in time: by the first piece, by a pause or not at all. */
-interface Late {
-    readonly asked: number;
-    readonly part: number;
+/** Number of requests of a kind, and the fraction that missed an objective: first token or a pause too late, or not served. */
+interface LateRequests {
+    readonly count: number;
+    readonly fraction: number;
 }
 
-function lateOf(load: Load, seeds: readonly number[]): readonly Late[] {
-    const fates = seeds.flatMap((seed): readonly Fate[] => replay({ ...load, seed }).fates);
+function replayLate(load: Load, seeds: readonly number[]): readonly LateRequests[] {
+    const records = seeds.flatMap((seed): readonly RequestRecord[] => replay({ ...load, seed }).records);
     return load.kinds.map(kind => {
-        const own = fates.filter(({ kind: name }) => name === kind.name);
-        return { asked: own.length, part: own.filter(fate => !inTime(fate, kind)).length / own.length };
+        const own = records.filter(({ kind: name }) => name === kind.name);
+        return { count: own.length, fraction: own.filter(record => !isInTime(record, kind)).length / own.length };
     });
 }
 
-/** More than two replays of one load differ by in what is late, where a decision goes another way by chance. */
-const FEWER = 0.1;
+/** Smallest reduction of late requests that is not chance: replays of one load differ by less. */
+const MIN_REDUCTION = 0.1;
 
-/** Two standard deviations of the difference of two replays that serve as many in time. */
-function chance({ asked, part }: Late): number {
-    return 2 * Math.sqrt(2 * part * (1 - part) / asked);
+/** Two standard deviations of the difference between two replays with equal probability of late requests. */
+function twoDeviations({ count, fraction }: LateRequests): number {
+    return 2 * Math.sqrt(2 * fraction * (1 - fraction) / count);
 }
 
-/** Checks that fewer of a load's long streams are late where speeds are known, and its short requests do not pay for it. */
+/** Checks that with speed estimates fewer long streams of a load are late, and not more short requests. */
 export function checkUneven(t: ExecutionContext, load: Load, seeds: readonly number[]): void {
-    const [long, short] = lateOf(load, seeds) as [Late, Late];
+    const [long, short] = replayLate(load, seeds) as [LateRequests, LateRequests];
     const unaware = { ...load, variant: { ...load.variant, speeds: false } };
-    const [longBefore, shortBefore] = lateOf(unaware, seeds) as [Late, Late];
-    t.log(`late: long ${longBefore.part} to ${long.part}, short ${shortBefore.part} to ${short.part}`);
-    t.true(long.part <= (1 - FEWER) * longBefore.part);
-    t.true(short.part <= shortBefore.part + chance(shortBefore));
+    const [longBefore, shortBefore] = replayLate(unaware, seeds) as [LateRequests, LateRequests];
+    t.log(`late: long ${longBefore.fraction} to ${long.fraction}, short ${shortBefore.fraction} to ${short.fraction}`);
+    t.true(long.fraction <= (1 - MIN_REDUCTION) * longBefore.fraction);
+    t.true(short.fraction <= shortBefore.fraction + twoDeviations(shortBefore));
 }
--- a/packages/hall/test/virtual-clock.ts
+++ b/packages/hall/test/virtual-clock.ts
@@ -1,25 +1,25 @@
 /**
- * Time that passes by milliseconds, and what is due in it.
+ * A virtual clock with timers for simulations.
  *
  * @module
  */
 
-/** A clock that is stepped by hand. */
+/** A clock in milliseconds that only {@link VirtualClock.run} advances. */
 export class VirtualClock {
     now = 0;
     private readonly due = new Map<number, (() => void)[]>();
 
-    /** Does something at a time, in milliseconds. */
+    /** Schedules a callback. */
     at(time: number, run: () => void): void {
         const list = this.due.get(time);
         if (list) list.push(run);
         else this.due.set(time, [run]);
     }
 
-    /** Lets time pass. */
+    /** Advances the clock and runs all callbacks that are due. */
     run(ms: number): void {
         for (const end = this.now + ms; this.now < end; this.now++) {
-            // What is added for this moment meanwhile is run as well.
+            // Callbacks that are added for this moment by others run as well.
             for (const run of this.due.get(this.now) ?? []) run();
             this.due.delete(this.now);
         }
