--- a/packages/standins/src/host-mutations.ts
+++ b/packages/standins/src/host-mutations.ts
@@ -8,11 +8,11 @@
 
 const OWNERSHIP_SOURCE = "packages/hall/src/ownership.ts";
 const CAPACITY_SOURCE = "packages/hall/src/capacity.ts";
-const REACH_SOURCE = "packages/hall/src/reach.ts";
+const REACH_SOURCE = "packages/hall/src/reachability.ts";
 const SHARING_SOURCE = "packages/host/src/peers/reach-sharing.ts";
 const OWNERSHIP = "packages/hall/test/ownership.test.ts";
 const UNEVEN = "packages/hall/test/uneven-fleet.test.ts";
-const REACH = "packages/hall/test/reach.test.ts";
+const REACH = "packages/hall/test/reachability.test.ts";
 const IN_DOUBT = "packages/policy/test/in-doubt.test.ts";
 const SHARING = "packages/host/test/reach-sharing.test.ts";
 const CUT = "packages/host/test/partitioned-hall.test.ts";
@@ -32,27 +32,27 @@
     {
         promise: "uneven hosts: hosts that are alike keep the order of plain rendezvous",
         file: OWNERSHIP_SOURCE,
-        find: "a.draw < b.draw ? 1 : -1",
-        replace: "a.draw < b.draw ? -1 : 1",
+        find: "a.hashHex < b.hashHex ? 1 : -1",
+        replace: "a.hashHex < b.hashHex ? -1 : 1",
         tests: [OWNERSHIP],
     },
     {
         promise: "uneven hosts: a wrong capacity draws no more than the largest host's part",
         file: CAPACITY_SOURCE,
-        find: "Math.min(LARGEST_CORES, Math.max(LEAST_CORES, cores))",
+        find: "Math.min(MAX_CORES, Math.max(MIN_CORES, cores))",
         replace: "cores",
         tests: [OWNERSHIP],
     },
     {
         promise: "uneven hosts: a capacity of nothing counts as none told",
         file: CAPACITY_SOURCE,
-        find: "isSensible(capacity) ? capacity : USUAL_CORES",
-        replace: "capacity ?? USUAL_CORES",
+        find: "isValidCapacity(capacity) ? capacity : DEFAULT_CORES",
+        replace: "capacity ?? DEFAULT_CORES",
         tests: [OWNERSHIP],
     },
     {
         promise: "uneven hosts: owners follow weights that change while all else stays",
-        file: "packages/hall/src/share.ts",
+        file: "packages/hall/src/load-exchange.ts",
         find: "weights.has(host) ? `${host}=${weights.get(host)}` : host",
         replace: "host",
         tests: [OWNERSHIP],
@@ -66,7 +66,7 @@
     },
     {
         promise: "uneven hosts: watchers of the store are ranked by what they can carry",
-        file: "packages/hall/src/following.ts",
+        file: "packages/hall/src/store-watchers.ts",
         find: `rank("store-watch", hosts, weights)`,
         replace: `rank("store-watch", hosts)`,
         tests: [UNEVEN],
@@ -74,8 +74,8 @@
     {
         promise: "cut halls: a hall of which something was heard a moment ago is not in doubt",
         file: REACH_SOURCE,
-        find: "return silentMs >= QUIET_MS && lost >= needed",
-        replace: "return lost >= needed",
+        find: "return silentMs >= QUIET_MS && failedCount >= needed",
+        replace: "return failedCount >= needed",
         tests: [REACH],
     },
     {
@@ -88,7 +88,7 @@
     {
         promise: "cut halls: one endpoint that fails makes no doubt of a hall whose hosts are there",
         file: REACH_SOURCE,
-        find: "const needed = isGivenUp ? 1 :",
+        find: "const needed = isMostlyDead ? 1 :",
         replace: "const needed = hosts > 0 ? 1 :",
         tests: [REACH],
     },
--- a/packages/standins/src/mutations.ts
+++ b/packages/standins/src/mutations.ts
@@ -22,7 +22,7 @@
 const CONNECTIONS = "packages/host/test/endpoint-connections.test.ts";
 const CONTINUE = "packages/request/test/continue.test.ts";
 const CARRY = "packages/policy/test/backups.test.ts";
-const FOLLOWING = "packages/hall/test/following.test.ts";
+const FOLLOWING = "packages/hall/test/store-watchers.test.ts";
 const DETECTOR = "packages/hall/test/detector.test.ts";
 const SOAK = "platform/test/soak.test.ts";
 const ROUTES = "packages/routes/test/routes.test.ts";
@@ -30,7 +30,7 @@
 const SUSPENDED = "platform/test/suspended.test.ts";
 const CLOCK = "packages/protocol/src/clock.ts";
 const QUARANTINE = "packages/hall/test/quarantine.test.ts";
-const VERDICT = "packages/hall/src/verdict.ts";
+const VERDICT = "packages/hall/src/assessment.ts";
 const GUARD = "packages/host/src/endpoints/request-guard.ts";
 const JUDGE = "packages/host/src/calls/judge-answer.ts";
 const DECLARE = "packages/host/src/endpoints/declare-endpoints.ts";
@@ -159,9 +159,9 @@
     },
     {
         promise: "two askers cannot both have the last room",
-        file: "packages/hall/src/load-share.ts",
-        find: "others: plus(before, granted, 1), at: now };",
-        replace: "others: before, at: now };",
+        file: "packages/hall/src/load-account.ts",
+        find: "others: addLoad(previous, granted, 1), at: now };",
+        replace: "others: previous, at: now };",
         tests: [HALL],
     },
     {
@@ -278,44 +278,44 @@
     },
     {
         promise: "a watcher that the store does not answer is passed over",
-        file: "packages/hall/src/following.ts",
-        find: "? !isDeaf",
+        file: "packages/hall/src/store-watchers.ts",
+        find: "? !hasStoreFailed",
         replace: "? true",
         tests: [FOLLOWING],
     },
     {
         promise: "a host that hears of no watcher watches by itself",
-        file: "packages/hall/src/following.ts",
+        file: "packages/hall/src/store-watchers.ts",
         find: 'now < watchUntil ? "alone" : undefined',
         replace: "undefined",
         tests: [FOLLOWING],
     },
     {
         promise: "a watcher that is passed over says so",
-        file: "packages/hall/src/following.ts",
-        find: "state.placed && hears === false",
+        file: "packages/hall/src/store-watchers.ts",
+        find: "state.wasWatcher && hears === false",
         replace: "false",
         tests: [FOLLOWING],
     },
     {
         promise: "a host that stays behind asks a peer",
-        file: "packages/hall/src/following.ts",
-        find: "const asks = lacked !== undefined && isBehind",
-        replace: "const asks = false && lacked !== undefined",
+        file: "packages/hall/src/store-watchers.ts",
+        find: "const asks = missing !== undefined && isBehind",
+        replace: "const asks = false && missing !== undefined",
         tests: [FOLLOWING],
     },
     {
         promise: "a suspected host denies it",
         file: "packages/hall/src/membership.ts",
-        find: "incarnation: news.incarnation + 1, rumours",
-        replace: "rumours",
+        find: "incarnation: news.incarnation + 1,",
+        replace: "",
         tests: [DETECTOR],
     },
     {
         promise: "a host that does not answer is tried by others before it is suspected",
         file: "packages/hall/src/detector.ts",
-        find: "const CHECKERS = 2;",
-        replace: "const CHECKERS = 0;",
+        find: "const INDIRECT_PROBERS = 2;",
+        replace: "const INDIRECT_PROBERS = 0;",
         tests: [DETECTOR],
     },
     {
@@ -327,8 +327,8 @@
     },
     {
         promise: "an owner that does not answer is passed over",
-        file: "packages/hall/src/share.ts",
-        find: "for (const [, { owner }] of late) silent.set(owner, now + SILENT_MS);",
+        file: "packages/hall/src/load-exchange.ts",
+        find: "for (const [, { owner }] of late) silentOwners.set(owner, now + SILENT_OWNER_MS);",
         replace: "",
         tests: [HALL],
     },
@@ -356,7 +356,7 @@
     {
         promise: "quarantine: a life counts once",
         file: "packages/hall/src/endings.ts",
-        find: "const known = endings.get(told.life);",
+        find: "const known = endings.get(received.life);",
         replace: "const known = undefined as Ending | undefined;",
         tests: [QUARANTINE],
     },
@@ -377,35 +377,35 @@
     {
         promise: "quarantine: nobody is to blame where a rack fails",
         file: VERDICT,
-        find: "if (endedWithMany(fingerprint, part.ending, ordered)) continue;",
+        find: "if (isMassEnding(fingerprint, part.ending, ordered)) continue;",
         replace: "",
         tests: [QUARANTINE],
     },
     {
         promise: "quarantine: what another explains is not held against a request",
         file: VERDICT,
-        find: "for (const { life } of charge.endings) explained.add(life);",
+        find: "for (const { life } of candidate.endings) explained.add(life);",
         replace: "",
         tests: [QUARANTINE],
     },
     {
         promise: "quarantine: a whole run clears",
         file: "packages/hall/src/quarantine.ts",
-        find: "{ endings: clearingOf(state.endings, fingerprint, now), trials: [] }",
+        find: "{ endings: clearingNews(state.endings, fingerprint, now), trials: [] }",
         replace: "{ endings: [], trials: [] }",
         tests: [QUARANTINE],
     },
     {
         promise: "quarantine: a suspect runs at one endpoint at a time",
         file: "packages/hall/src/quarantine.ts",
-        find: "left = Math.max(left, trial.at + TRIAL_MS - now);",
+        find: "left = Math.max(left, trial.at + TRIAL_TIMEOUT_MS - now);",
         replace: "",
         tests: [QUARANTINE],
     },
     {
         promise: "quarantine: drawn bodies push none out",
         file: "packages/hall/src/quarantine.ts",
-        find: "Number(guilty.has(b)) - Number(guilty.has(a)) || atB - atA",
+        find: "Number(culprits.has(b)) - Number(culprits.has(a)) || atB - atA",
         replace: "atB - atA",
         tests: [QUARANTINE],
     },
--- a/packages/standins/src/speed-mutations.ts
+++ b/packages/standins/src/speed-mutations.ts
@@ -7,13 +7,13 @@
 
 const SPEED = "packages/policy/test/speed.test.ts";
 const CHOICE = "packages/policy/test/uneven-choice.test.ts";
-const WORDS = "packages/hall/test/speed-words.test.ts";
+const WORDS = "packages/hall/test/speed-encoding.test.ts";
 const MESSAGES = "packages/host/test/endpoint-speeds.test.ts";
 const POOL_SOURCE = "packages/policy/src/speed-pool.ts";
 const SPEED_SOURCE = "packages/policy/src/speed-estimate.ts";
 const CHOOSE = "packages/policy/src/choose.ts";
 const LATENESS = "packages/policy/src/lateness.ts";
-const LOAD_SHARE = "packages/hall/src/load-share.ts";
+const LOAD_SHARE = "packages/hall/src/load-account.ts";
 
 /** Broken one at a time by `npm run test:mutations`. */
 export const SPEED_MUTATIONS: readonly Mutation[] = [
@@ -90,21 +90,21 @@
     {
         promise: "streams that ended between two rounds are told of",
         file: LOAD_SHARE,
-        find: "!shown && !worthSaying",
-        replace: "!worthSaying",
+        find: "!newSamples && !shouldReport",
+        replace: "!shouldReport",
         tests: [WORDS],
     },
     {
         promise: "only what is new is told",
         file: LOAD_SHARE,
-        find: "before?.held.allShown ?? NOTHING_SHOWN",
+        find: "previous?.load.allShown ?? NOTHING_SHOWN",
         replace: "NOTHING_SHOWN",
         tests: [WORDS],
     },
     {
         promise: "owners tell what they know",
-        file: "packages/hall/src/share.ts",
-        find: "                speed: held.speed && speedOf(held.speed),\n",
+        file: "packages/hall/src/load-exchange.ts",
+        find: "                speed: held.speed && decodeSpeed(held.speed),\n",
         replace: "",
         tests: [WORDS],
     },
