--- a/packages/hall/src/assessment.ts
+++ b/packages/hall/src/assessment.ts
@@ -25,7 +25,7 @@
 export const SIMULTANEOUS_MS = 250;
 
 /** What the known endings say of a request. */
-export interface Charge {
+export interface Assessment {
     readonly fingerprint: string;
     /** Endings that count against it, each life once. */
     readonly endings: readonly Ending[];
@@ -34,7 +34,7 @@
     /** The longest time that it had run at an ending that counts. */
     readonly ranMs: number;
     /** Whether it is to be quarantined. */
-    readonly isGuilty: boolean;
+    readonly isCulprit: boolean;
 }
 
 /** A request's involvement in one ending. */
@@ -52,7 +52,7 @@
  * assessRequests(endings).get(fingerprint)?.isGuilty;
  * ```
  */
-export function assessRequests(endings: Endings): ReadonlyMap<string, Charge> {
+export function assessRequests(endings: Endings): ReadonlyMap<string, Assessment> {
     const ordered = [...endings.values()].sort((a, b) => a.at - b.at);
     const assessments = [...partsByRequest(ordered)].map(([fingerprint, parts]) =>
         assessmentOf(fingerprint, parts, ordered)
@@ -74,7 +74,7 @@
     return parts;
 }
 
-function assessmentOf(fingerprint: string, parts: readonly EndingPart[], ordered: readonly Ending[]): Charge {
+function assessmentOf(fingerprint: string, parts: readonly EndingPart[], ordered: readonly Ending[]): Assessment {
     const counted: EndingPart[] = [];
     for (const part of parts) {
         if (isMassEnding(fingerprint, part.ending, ordered)) continue;
@@ -87,7 +87,7 @@
         endings: counted.map(({ ending }) => ending),
         lastAt: parts.at(-1)!.ending.at,
         ranMs: counted.reduce((most, { ranMs }) => Math.max(most, ranMs), 0),
-        isGuilty: false,
+        isCulprit: false,
     };
 }
 
@@ -99,16 +99,16 @@
 }
 
 /** Marks culprits, those with the most endings first: the endings that one of them explains do not count for the next ones. */
-function markCulprits(assessments: readonly Charge[]): readonly Charge[] {
+function markCulprits(assessments: readonly Assessment[]): readonly Assessment[] {
     const explained = new Set<string>();
     return [...assessments].sort(compareAssessments).map(candidate => {
         const unexplained = candidate.endings.filter(({ life }) => !explained.has(life)).length;
         if (candidate.endings.length < ENDINGS_TO_QUARANTINE || unexplained < MIN_UNEXPLAINED_ENDINGS) return candidate;
         for (const { life } of candidate.endings) explained.add(life);
-        return { ...candidate, isGuilty: true };
+        return { ...candidate, isCulprit: true };
     });
 }
 
-function compareAssessments(a: Charge, b: Charge): number {
+function compareAssessments(a: Assessment, b: Assessment): number {
     return b.endings.length - a.endings.length || a.ranMs - b.ranMs || (a.fingerprint < b.fingerprint ? -1 : 1);
 }
--- a/packages/hall/src/detector.ts
+++ b/packages/hall/src/detector.ts
@@ -39,7 +39,7 @@
     Status,
     suspect,
     takeRumours,
-    unheardCandidates,
+    unknownCandidates,
 } from "./membership.js";
 
 /** Messages between failure detectors. */
@@ -88,7 +88,7 @@
 export interface DetectorEnv {
     readonly now: number;
     /** Interval between two rounds. */
-    readonly everyMs: number;
+    readonly intervalMs: number;
     /** Returns random numbers, uniform in [0, 1). */
     readonly random: () => number;
 }
@@ -103,7 +103,7 @@
     /** When gossip was last sent. */
     readonly lastGossipAt: number;
     /** Probed hosts that have not answered yet, with the number of rounds since. */
-    readonly waiting: ReadonlyMap<string, number>;
+    readonly unanswered: ReadonlyMap<string, number>;
 }
 
 /** Result of a step: the next state and the messages to send. */
@@ -144,7 +144,7 @@
         round: 0,
         lastRoundAt: undefined,
         lastGossipAt: -Infinity,
-        waiting: new Map(),
+        unanswered: new Map(),
     };
 }
 
@@ -156,13 +156,13 @@
  * const { state: next, send } = tickDetector(state, { now, intervalMs: 250, random });
  * ```
  */
-export function tick(previous: Detector, env: DetectorEnv): DetectorStep {
-    const { now, everyMs } = env;
+export function tickDetector(previous: Detector, env: DetectorEnv): DetectorStep {
+    const { now, intervalMs: everyMs } = env;
     const isLate = previous.lastRoundAt !== undefined && now - previous.lastRoundAt > 2 * everyMs;
     const round = previous.round + 1;
     const checked = checkUnanswered(
         { ...previous, round, lastRoundAt: now },
-        isLate ? new Map() : previous.waiting,
+        isLate ? new Map() : previous.unanswered,
         env,
     );
     const state = { ...checked.state, membership: expire(checked.state.membership, now) };
@@ -199,7 +199,7 @@
             })),
         );
     }
-    return { state: { ...previous, membership, waiting: next }, send };
+    return { state: { ...previous, membership, unanswered: next }, send };
 }
 
 function probeNext(state: Detector, env: DetectorEnv): DetectorStep {
@@ -220,10 +220,10 @@
         probes.length > 0 ? MAX_NEWS_PER_MESSAGE : 0,
         now,
     );
-    const waiting = new Map(state.waiting);
+    const waiting = new Map(state.unanswered);
     for (const { name } of targets) if (!waiting.has(name)) waiting.set(name, 0);
     const send = probes.map(member => probeMessageFor(membership, member, news, now));
-    return { state: { ...state, membership, waiting }, send };
+    return { state: { ...state, membership, unanswered: waiting }, send };
 }
 
 /** Builds a probe. A host that is suspected or considered dead is told so, so that it can refute it. */
@@ -274,7 +274,7 @@
     { membership, round: turn }: Detector,
     { now, random }: DetectorEnv,
 ): readonly AddressedDetectorMessage[] {
-    const unknownAddresses = unheardCandidates(membership);
+    const unknownAddresses = unknownCandidates(membership);
     const isJoining = turn <= JOINING_ROUNDS;
     const partner = isJoining || turn % SYNC_INTERVAL === 0
         ? pickOne(aliveMembers(membership, now), random)
@@ -289,7 +289,7 @@
 }
 
 /** Announces at once that this host is leaving. */
-export function leaveHall(state: Detector, env: DetectorEnv): DetectorStep {
+export function announceLeaving(state: Detector, env: DetectorEnv): DetectorStep {
     return gossip({ ...state, membership: markLeaving(state.membership) }, env);
 }
 
@@ -371,7 +371,12 @@
  * const { state: next, send } = receiveDetectorMessage(state, "10.0.0.2:7080", message, { now, intervalMs: 250, random });
  * ```
  */
-export function receive(state: Detector, from: string, message: DetectorMessage, env: DetectorEnv): DetectorStep {
+export function receiveDetectorMessage(
+    state: Detector,
+    from: string,
+    message: DetectorMessage,
+    env: DetectorEnv,
+): DetectorStep {
     const handler = HANDLERS[message.kind] as Handlers["probe"];
     const step = handler(state, from, message as Extract<DetectorMessage, { kind: "probe" }>, env);
     if (env.now - step.state.lastGossipAt < MIN_GOSSIP_INTERVAL_MS) return step;
@@ -395,10 +400,10 @@
 }
 
 function markAnswered(state: Detector, name: string): Detector {
-    if (!state.waiting.has(name)) return state;
-    const waiting = new Map(state.waiting);
+    if (!state.unanswered.has(name)) return state;
+    const waiting = new Map(state.unanswered);
     waiting.delete(name);
-    return { ...state, waiting };
+    return { ...state, unanswered: waiting };
 }
 
 /** Returns whether this host does not know the sender, or knows an earlier instance of it. */
--- a/packages/hall/src/endings.ts
+++ b/packages/hall/src/endings.ts
@@ -50,7 +50,7 @@
  * How many requests of an ending are kept at most, those that had run for the shortest time. An engine runs up to 24 requests at once,
  * so none is dropped as long as endpoints are used as declared.
  */
-export const MOST_REQUESTS = 64;
+export const MAX_REQUESTS_PER_ENDING = 64;
 
 /** Returns the news by which an ending is sent to peers. */
 export function newsOfEnding({ life, at, software, requests }: Ending, now: number): EndingNews {
@@ -113,9 +113,9 @@
 }
 
 function dropLongestRunning(requests: ReadonlyMap<string, Involvement>): ReadonlyMap<string, Involvement> {
-    if (requests.size <= MOST_REQUESTS) return requests;
+    if (requests.size <= MAX_REQUESTS_PER_ENDING) return requests;
     const sorted = [...requests].sort(([a, { ranMs: ranA }], [b, { ranMs: ranB }]) => ranA - ranB || (a < b ? -1 : 1));
-    return new Map(sorted.slice(0, MOST_REQUESTS));
+    return new Map(sorted.slice(0, MAX_REQUESTS_PER_ENDING));
 }
 
 /**
@@ -147,7 +147,7 @@
  * nameOfEndedLife(endings, "e1@7", now - 120); // "e1@7", or "e1@7#2" if e1@7 had ended before that time
  * ```
  */
-export function nameOfEnded(endings: Endings, life: string, firstBeganAt: number): string {
+export function nameOfEndedLife(endings: Endings, life: string, firstBeganAt: number): string {
     let name = life;
     for (let number = 2; (endings.get(name)?.at ?? Infinity) < firstBeganAt; number++) name = `${life}#${number}`;
     return name;
--- a/packages/hall/src/endpoint-notices.ts
+++ b/packages/hall/src/endpoint-notices.ts
@@ -6,10 +6,10 @@
  *
  * @module
  */
-import { type EndpointView, type Said, saysLeaving } from "@drumpaddle/policy";
+import { announcedLeaving, type AnnouncedLimit, type EndpointView } from "@drumpaddle/policy";
 
 /** What an endpoint announced, as hosts send it to peers. */
-export interface EndpointWord {
+export interface EndpointNotice {
     readonly endpoint: string;
     /** Whether it announced that it is leaving. That holds until its process ends. */
     readonly leaves: boolean;
@@ -36,14 +36,14 @@
  * noticesToTell(scheduler.endpoints.values(), now); // [{ endpoint: "i-7", leaves: false, limit: { perS: 2.3, agoMs: 120 } }]
  * ```
  */
-export function wordsToTell(views: readonly EndpointView[], now: number): readonly EndpointWord[] {
-    return views.flatMap(view => wordOf(view, now) ?? []);
+export function noticesToTell(views: readonly EndpointView[], now: number): readonly EndpointNotice[] {
+    return views.flatMap(view => noticeOf(view, now) ?? []);
 }
 
 /** Returns the notice of one endpoint, or undefined if there is nothing to tell. */
-export function wordOf(view: EndpointView, now: number): EndpointWord | undefined {
+export function noticeOf(view: EndpointView, now: number): EndpointNotice | undefined {
     const { cfg: { id: endpoint }, said } = view;
-    const leaves = saysLeaving(view);
+    const leaves = announcedLeaving(view);
     const isNews = said && (said.limitPerS !== undefined || now - said.at <= LIMIT_END_TOLD_MS);
     if (!isNews) return leaves ? { endpoint, leaves } : undefined;
     const perS = said.limitPerS === undefined ? {} : { perS: said.limitPerS };
@@ -54,6 +54,6 @@
  * Converts a peer's notice of a limit to an announcement of the endpoint. If the message was delayed, the announcement seems newer than
  * it is. The endpoint's next answer to any host corrects that.
  */
-export function saidOf({ perS, agoMs }: LimitNotice, now: number): Said {
+export function saidFromNotice({ perS, agoMs }: LimitNotice, now: number): AnnouncedLimit {
     return { limitPerS: perS, at: now - agoMs };
 }
--- a/packages/hall/src/limit-share.ts
+++ b/packages/hall/src/limit-share.ts
@@ -25,7 +25,7 @@
 }
 
 /** Returns the share of a name from a list. A name that is not in the list gets the only share, thus the whole. */
-export function placeIn(name: string, names: readonly string[]): ShareIndex {
+export function shareIndexIn(name: string, names: readonly string[]): ShareIndex {
     const index = names.indexOf(name);
     return index < 0 ? { index: 0, of: 1 } : { index, of: names.length };
 }
@@ -38,7 +38,7 @@
  * hostShareOfLimits(limits, shareIndexIn("k1", halls), shareIndexIn("k1-a", liveHosts(membership, now)));
  * ```
  */
-export function shareOf(limits: WorkspaceLimits, hall: ShareIndex, host: ShareIndex): WorkspaceLimits {
+export function hostShareOfLimits(limits: WorkspaceLimits, hall: ShareIndex, host: ShareIndex): WorkspaceLimits {
     const share = (limit: number): number => splitLimit(splitLimit(limit, hall), host);
     return {
         requestsPerMinute: share(limits.requestsPerMinute),
--- a/packages/hall/src/load-account.ts
+++ b/packages/hall/src/load-account.ts
@@ -12,17 +12,17 @@
  */
 import {
     addCurve,
-    type Curve,
-    NOTHING_SHOWN,
-    type Others,
-    type Shown,
-    shownSince,
+    type MemoryCurve,
+    NO_SPEED_SUMS,
+    type OthersLoad,
+    type SpeedSums,
+    speedSumsSince,
     zeroCurve,
 } from "@drumpaddle/policy";
-import { decodeSpeed, type EncodedSamples, type EncodedSpeed, shownWords } from "./speed-encoding.js";
+import { decodeSpeed, type EncodedSamples, type EncodedSpeed, encodeSamples } from "./speed-encoding.js";
 
 /** The load of one host, or of several, on one endpoint, as hosts send it to each other. */
-export interface Held {
+export interface EndpointLoad {
     readonly endpoint: string;
     readonly streams: number;
     /** Prompt tokens of streams that have not produced a token yet. */
@@ -40,8 +40,8 @@
 }
 
 /** This host's load on one endpoint, with the sums of all speed samples of its streams so far. */
-export interface LocalLoad extends Held {
-    readonly allShown?: Shown;
+export interface LocalLoad extends EndpointLoad {
+    readonly allShown?: SpeedSums;
 }
 
 /** An owner's account: the loads that hosts reported, and the grants since. */
@@ -53,13 +53,13 @@
 /** The loads of all hosts on one endpoint. Their sum is kept because every request needs it. */
 interface Tally {
     readonly hosts: ReadonlyMap<string, HostEntry>;
-    readonly sum: Others;
+    readonly sum: OthersLoad;
 }
 
 /** One host's load on one endpoint. */
 interface HostEntry {
     /** The host's last report, plus what was granted to it since. */
-    readonly others: Others;
+    readonly others: OthersLoad;
     readonly at: number;
 }
 
@@ -87,7 +87,7 @@
 const SMALL_HALL_OWNER_REPORT_MS = 100;
 
 /** Interval at which hosts of larger halls report to owners, thus the largest age of the loads that an owner decides by. */
-export const TELL_OWNERS_MS = 250;
+export const HOLDER_REPORT_INTERVAL_MS = 250;
 
 /**
  * Returns the interval of an owner's reports to hosts, in milliseconds. It grows with the hall; in larger halls hosts ask owners where to
@@ -99,7 +99,7 @@
  * ownerReportIntervalMs(58); // 5800
  * ```
  */
-export function tellEvery(hosts: number): number {
+export function ownerReportIntervalMs(hosts: number): number {
     if (hosts <= SMALL_HALL_HOSTS) return SMALL_HALL_OWNER_REPORT_MS;
     return Math.round(OWNER_REPORT_MS * Math.max(1, hosts / OWNER_REPORT_HOSTS));
 }
@@ -123,7 +123,7 @@
  * encodeLoad("e1", { streams: view.streams.size, unread: unreadTokens(view), stalled: 0, curve: view.curve });
  * ```
  */
-export function heldOf(endpoint: string, { streams, unread, stalled, curve }: Others): Held {
+export function encodeLoad(endpoint: string, { streams, unread, stalled, curve }: OthersLoad): EndpointLoad {
     const mean = Array.from(curve.mean, value => Math.round(value / TOKENS_PER_UNIT));
     const deviation = Array.from(curve.variance, value => Math.round(Math.sqrt(value) / TOKENS_PER_UNIT));
     return { endpoint, streams, unread, stalled, mean, deviation };
@@ -142,13 +142,13 @@
     loads: readonly LocalLoad[],
     ownerOf: (endpoint: string) => string | undefined,
     now: number,
-): { readonly state: ReportedLoads; readonly reports: ReadonlyMap<string, readonly Held[]> } {
+): { readonly state: ReportedLoads; readonly reports: ReadonlyMap<string, readonly EndpointLoad[]> } {
     const last = new Map(reported.last);
-    const toSay = new Map<string, Held[]>();
+    const toSay = new Map<string, EndpointLoad[]>();
     for (const load of loads) {
         const owner = ownerOf(load.endpoint);
         const previous = last.get(load.endpoint);
-        const newSamples = shownSince(load.allShown ?? NOTHING_SHOWN, previous?.load.allShown ?? NOTHING_SHOWN);
+        const newSamples = speedSumsSince(load.allShown ?? NO_SPEED_SUMS, previous?.load.allShown ?? NO_SPEED_SUMS);
         if (owner === undefined || !newSamples && !shouldReport(previous, load, owner, now)) continue;
         last.set(load.endpoint, { owner, load: load, at: now });
         const report = withNewSamples(load, newSamples);
@@ -162,8 +162,8 @@
 /** Returns a load for a report: with the new speed samples instead of all samples. */
 function withNewSamples(
     { endpoint, streams, unread, stalled, mean, deviation }: LocalLoad,
-    newSamples: Shown | undefined,
-): Held {
+    newSamples: SpeedSums | undefined,
+): EndpointLoad {
     return {
         endpoint,
         streams,
@@ -171,13 +171,13 @@
         stalled,
         mean,
         deviation,
-        ...(newSamples ? { shown: shownWords(newSamples) } : {}),
+        ...(newSamples ? { shown: encodeSamples(newSamples) } : {}),
     };
 }
 
 function shouldReport(
     last: ReportedLoad | undefined,
-    load: Held,
+    load: EndpointLoad,
     owner: string,
     now: number,
 ): boolean {
@@ -187,7 +187,7 @@
 }
 
 /** Returns whether a load differs enough from the last reported one to be reported again. */
-export function hasChanged(last: Held, load: Held): boolean {
+export function hasChanged(last: EndpointLoad, load: EndpointLoad): boolean {
     if (load.streams !== last.streams || load.unread !== last.unread || load.stalled !== last.stalled) return true;
     if (hasSpeedChanged(last.speed, load.speed)) return true;
     return load.mean.some((mean, at) =>
@@ -203,13 +203,13 @@
 }
 
 /** Returns whether a host has any load on an endpoint. Standby copies of streams hold memory but do not count as streams. */
-function isHolding({ streams, mean }: Held): boolean {
+function isHolding({ streams, mean }: EndpointLoad): boolean {
     return streams > 0 || mean[0]! > 0;
 }
 
 const EMPTY_TALLY: Tally = { hosts: new Map(), sum: { streams: 0, unread: 0, stalled: 0, curve: zeroCurve() } };
 
-function addLoad(a: Others, b: Others, sign: 1 | -1): Others {
+function addLoad(a: OthersLoad, b: OthersLoad, sign: 1 | -1): OthersLoad {
     return {
         streams: a.streams + sign * b.streams,
         unread: a.unread + sign * b.unread,
@@ -225,12 +225,17 @@
 }
 
 /** Decodes a load. */
-export function decodeLoad(encoded: Held): Others {
+export function decodeLoad(encoded: EndpointLoad): OthersLoad {
     return { streams: encoded.streams, unread: encoded.unread, stalled: encoded.stalled, curve: decodeCurve(encoded) };
 }
 
 /** Records a host's report in an owner's account. */
-export function recordLoads(account: LoadAccount, host: string, loads: readonly Held[], now: number): LoadAccount {
+export function recordLoads(
+    account: LoadAccount,
+    host: string,
+    loads: readonly EndpointLoad[],
+    now: number,
+): LoadAccount {
     if (loads.length === 0) return account;
     const next = new Map(account.tallies);
     for (const load of loads) {
@@ -262,7 +267,7 @@
  * loadOfOthers(account, "e1", "k1-a").streams;
  * ```
  */
-export function loadOfOthers(account: LoadAccount, endpoint: string, host: string): Others {
+export function loadOfOthers(account: LoadAccount, endpoint: string, host: string): OthersLoad {
     const { hosts, sum } = account.tallies.get(endpoint) ?? EMPTY_TALLY;
     const ownEntry = hosts.get(host);
     return ownEntry ? addLoad(sum, ownEntry.others, -1) : sum;
@@ -272,7 +277,7 @@
 export interface Grant {
     readonly endpoint: string;
     readonly kind: "stream" | "copy";
-    readonly curve: Curve;
+    readonly curve: MemoryCurve;
 }
 
 /** Records a grant. It counts until the host's next report for the endpoint. */
@@ -286,13 +291,13 @@
     const previous = tally.hosts.get(host)?.others ?? EMPTY_TALLY.sum;
     // A granted stream starts with its prompt, all of which is unread.
     const isStream = kind === "stream";
-    const granted: Others = { streams: isStream ? 1 : 0, unread: isStream ? curve.mean[0]! : 0, stalled: 0, curve };
+    const granted: OthersLoad = { streams: isStream ? 1 : 0, unread: isStream ? curve.mean[0]! : 0, stalled: 0, curve };
     const entry: HostEntry = { others: addLoad(previous, granted, 1), at: now };
     return { tallies: new Map(account.tallies).set(endpoint, withEntry(tally, host, entry)) };
 }
 
 /** Decodes the forecast of memory of a load. */
-export function decodeCurve(encoded: Held): Curve {
+export function decodeCurve(encoded: EndpointLoad): MemoryCurve {
     return {
         mean: Float64Array.from(encoded.mean, units => units * TOKENS_PER_UNIT),
         variance: Float64Array.from(encoded.deviation, units => (units * TOKENS_PER_UNIT) ** 2),
--- a/packages/hall/src/load-exchange.ts
+++ b/packages/hall/src/load-exchange.ts
@@ -7,26 +7,26 @@
  * @module
  */
 import {
-    advise,
+    advisePlacement,
     type EndpointTable,
     type EndpointView,
-    type Question,
+    ownerSpeedOf,
+    ownPendingPrefill,
+    pendingPrefill,
+    type PlacementQuestion,
     type SchedulerAction,
     type SchedulerEvent,
     type SchedulerState,
     stalledStreams,
-    toldSpeedOf,
-    unreadAt,
-    unreadTokens,
 } from "@drumpaddle/policy";
 import {
     decodeLoad,
     dropExpiredLoads,
     EMPTY_ACCOUNT,
+    encodeLoad,
+    type EndpointLoad,
     type Grant,
     hasChanged,
-    type Held,
-    heldOf,
     LOAD_REPEAT_MS,
     type LoadAccount,
     loadOfOthers,
@@ -38,10 +38,10 @@
     type ReportedLoads,
 } from "./load-account.js";
 import { EQUAL_WEIGHTS, ownerOf, shardOf, type Weights } from "./ownership.js";
-import { decodeSamples, decodeSpeed, speedWords } from "./speed-encoding.js";
+import { decodeSamples, decodeSpeed, encodeSpeed } from "./speed-encoding.js";
 
 /** A host's state of the exchange. */
-export interface ShareState {
+export interface LoadExchange {
     readonly self: string;
     /** Weights by which live hosts are assigned endpoints to own. */
     readonly weights: Weights;
@@ -73,7 +73,7 @@
 /** An owner's last report to a host, so that it sends only changes. */
 interface ReportToHost {
     /** Last reported load by endpoint, with the time of the report. */
-    readonly held: ReadonlyMap<string, { readonly held: Held; readonly at: number }>;
+    readonly held: ReadonlyMap<string, { readonly held: EndpointLoad; readonly at: number }>;
     /** Owned and leaving endpoints in the last report, as one string. */
     readonly endpointsKey: string;
     readonly at: number;
@@ -87,18 +87,19 @@
 }
 
 /** Messages between the hosts of a hall. */
-export type ShareMessage =
+export type LoadMessage =
     /** Report to an owner: the sender's load on the owner's endpoints. */
-    | { readonly kind: "held"; readonly held: readonly Held[] }
+    | { readonly kind: "held"; readonly held: readonly EndpointLoad[] }
     /** Report of an owner: the load of hosts other than the receiver, and which of its endpoints announce that they are leaving. */
     | {
         readonly kind: "others";
-        readonly others: readonly Held[];
+        readonly others: readonly EndpointLoad[];
         readonly owned: readonly string[];
         readonly leaving: readonly string[];
     }
     /** Asks an owner where to send a request. `stream` is the load that the request will add. */
-    | { readonly kind: "question"; readonly job: string; readonly stream: Held } & Omit<Question, "curve">
+    | { readonly kind: "question"; readonly job: string; readonly stream: EndpointLoad }
+        & Omit<PlacementQuestion, "curve">
     /** An owner's answer. It names no endpoint if none has room. */
     | {
         readonly kind: "answer";
@@ -111,18 +112,18 @@
 /** A message and the name of its receiver. */
 export interface AddressedLoadMessage {
     readonly to: string;
-    readonly message: ShareMessage;
+    readonly message: LoadMessage;
 }
 
 /** Result of a step: the next state, the messages to send, and the events for the host's own scheduler. */
-export interface ShareStep {
-    readonly state: ShareState;
+export interface LoadExchangeStep {
+    readonly state: LoadExchange;
     readonly send: readonly AddressedLoadMessage[];
     readonly events: readonly SchedulerEvent[];
 }
 
 /** Creates the state of a host that has sent and received nothing. */
-export function createShare(self: string): ShareState {
+export function createLoadExchange(self: string): LoadExchange {
     return {
         self,
         weights: EQUAL_WEIGHTS,
@@ -137,7 +138,7 @@
 }
 
 /** Sets the weights by which hosts own endpoints. Weights of hosts that are not live have no effect. */
-export function withWeights(state: ShareState, weights: Weights): ShareState {
+export function withOwnerWeights(state: LoadExchange, weights: Weights): LoadExchange {
     return { ...state, weights };
 }
 
@@ -178,7 +179,7 @@
 }
 
 /** Passes over owners that have not answered a question in time, and lets those return whose time is over. */
-function expireQuestions(state: ShareState, now: number): ShareState {
+function expireQuestions(state: LoadExchange, now: number): LoadExchange {
     const late = [...state.openQuestions].filter(([, { at }]) => now - at >= ANSWER_TIMEOUT_MS);
     const hasExpired = [...state.silentOwners].some(([, until]) => now >= until);
     if (late.length === 0 && !hasExpired) return state;
@@ -189,7 +190,7 @@
 }
 
 /** Returns the live hosts that are not passed over for their silence. */
-function answeringHosts({ silentOwners }: ShareState, live: readonly string[]): readonly string[] {
+function answeringHosts({ silentOwners }: LoadExchange, live: readonly string[]): readonly string[] {
     return silentOwners.size === 0 ? live : live.filter(host => !silentOwners.has(host));
 }
 
@@ -206,14 +207,14 @@
  * const { state: next, send, events } = runLoadRound(state, scheduler.endpoints, live, now, intervalMs);
  * ```
  */
-export function shareRound(
-    previous: ShareState,
+export function runLoadRound(
+    previous: LoadExchange,
     endpoints: EndpointTable,
     live: readonly string[],
     now: number,
     reportIntervalMs = 0,
     unknownHosts = 0,
-): ShareStep {
+): LoadExchangeStep {
     const state = expireQuestions(previous, now);
     const views = endpoints.values();
     const loads = views.map(view => localLoad(view, now));
@@ -233,7 +234,7 @@
     const loadMessages = [...reports].filter(([owner]) => owner !== state.self)
         .map(([to, list]): AddressedLoadMessage => ({ to, message: { kind: "held", held: list } }));
     const owned = views.map(view => view.cfg.id).filter(endpoint => owners.byEndpoint.get(endpoint) === state.self);
-    const next: ShareState = { ...state, account, reported, owners };
+    const next: LoadExchange = { ...state, account, reported, owners };
     const isDue = now - state.reportedToHostsAt >= reportIntervalMs;
     const { state: after, send: others } = isDue
         ? reportToHosts(next, endpoints, owned, live, now)
@@ -270,9 +271,9 @@
 
 /** Returns this host's own load on an endpoint. */
 function localLoad(view: EndpointView, now: number): LocalLoad {
-    const encoded = heldOf(view.cfg.id, {
+    const encoded = encodeLoad(view.cfg.id, {
         streams: view.streams.size,
-        unread: unreadTokens(view),
+        unread: ownPendingPrefill(view),
         stalled: stalledStreams(view, now),
         curve: view.curve,
     });
@@ -281,12 +282,12 @@
 
 /** As an owner, reports changes in the load of the others to every live host. */
 function reportToHosts(
-    state: ShareState,
+    state: LoadExchange,
     endpoints: EndpointTable,
     owned: readonly string[],
     live: readonly string[],
     now: number,
-): { readonly state: ShareState; readonly send: readonly AddressedLoadMessage[] } {
+): { readonly state: LoadExchange; readonly send: readonly AddressedLoadMessage[] } {
     const leaving = owned.filter(endpoint => endpoints.get(endpoint)?.leavingBy.includes("endpoint"));
     const reportedToHosts = new Map<string, ReportToHost>();
     const send = live.flatMap((to): readonly AddressedLoadMessage[] => {
@@ -302,10 +303,10 @@
 /** Plans an owner's report to one host. The message is undefined if nothing is new and no repeat is due. */
 function planReportToHost(
     last: ReportToHost | undefined,
-    loads: readonly Held[],
+    loads: readonly EndpointLoad[],
     { owned, leaving }: { readonly owned: readonly string[]; readonly leaving: readonly string[] },
     now: number,
-): { readonly report: ReportToHost; readonly message: ShareMessage | undefined } {
+): { readonly report: ReportToHost; readonly message: LoadMessage | undefined } {
     const held = new Map(last?.held);
     const others = loads.filter(item => {
         const previous = held.get(item.endpoint);
@@ -324,45 +325,45 @@
     endpoint: string,
     host: string,
     now: number,
-): Held {
-    const speed = view && toldSpeedOf(view.speed, now);
+): EndpointLoad {
+    const speed = view && ownerSpeedOf(view.speed, now);
     return {
-        ...heldOf(endpoint, loadOfOthers(account, endpoint, host)),
-        ...(speed ? { speed: speedWords(speed) } : {}),
+        ...encodeLoad(endpoint, loadOfOthers(account, endpoint, host)),
+        ...(speed ? { speed: encodeSpeed(speed) } : {}),
     };
 }
 
 /** Sends the scheduler's question to an endpoint's owner. Nothing is sent if no host is alive, or if the owner is this host. */
-export function shareAsk(
-    previous: ShareState,
+export function askOwner(
+    previous: LoadExchange,
     action: Extract<SchedulerAction, { kind: "ask" }>,
     endpoints: EndpointTable,
     live: readonly string[],
     now: number,
-): ShareStep {
+): LoadExchangeStep {
     const state = expireQuestions(previous, now);
     const { job, endpoint, question: { curve, ...rest } } = action;
     const to = endpointOwner(endpoint, endpoints.values().length, answeringHosts(state, live), state.weights);
     if (to === undefined || to === state.self) return { state, send: [], events: [] };
-    const message: ShareMessage = {
+    const message: LoadMessage = {
         kind: "question",
         job,
-        stream: heldOf(endpoint, { streams: 1, unread: 0, stalled: 0, curve }),
+        stream: encodeLoad(endpoint, { streams: 1, unread: 0, stalled: 0, curve }),
         ...rest,
     };
     const openQuestions = new Map(state.openQuestions).set(job, { owner: to, at: now });
     return { state: { ...state, openQuestions }, send: [{ to, message }], events: [] };
 }
 
-type Handler<K extends ShareMessage["kind"]> = (
-    state: ShareState,
+type Handler<K extends LoadMessage["kind"]> = (
+    state: LoadExchange,
     from: string,
-    message: Extract<ShareMessage, { kind: K }>,
+    message: Extract<LoadMessage, { kind: K }>,
     scheduler: SchedulerState,
     now: number,
-) => ShareStep;
+) => LoadExchangeStep;
 
-const HANDLERS: { readonly [K in ShareMessage["kind"]]: Handler<K> } = {
+const HANDLERS: { readonly [K in LoadMessage["kind"]]: Handler<K> } = {
     held: (state, from, { held }, _scheduler, now) => {
         const account = recordLoads(state.account, from, held, now);
         const events = held.flatMap(({ endpoint, shown }): readonly SchedulerEvent[] => [
@@ -391,7 +392,7 @@
     }),
     question: (state, from, { job, stream, ...rest }, scheduler, now) => {
         const { curve } = decodeLoad(stream);
-        const advice = advise(scheduler, { ...rest, curve }, now);
+        const advice = advisePlacement(scheduler, { ...rest, curve }, now);
         if (!advice) return { state, send: [{ to: from, message: { kind: "answer", job } }], events: [] };
         const { endpoint, standby } = advice;
         const grants: readonly Grant[] = [
@@ -399,7 +400,7 @@
             ...(standby === undefined ? [] : [{ endpoint: standby, kind: "copy", curve } as const]),
         ];
         const account = grants.reduce((sum, grant) => recordGrant(sum, from, grant, now), state.account);
-        const answer: ShareMessage = {
+        const answer: LoadMessage = {
             kind: "answer",
             job,
             ...(endpoint === undefined ? {} : { endpoint }),
@@ -429,7 +430,7 @@
 /** Returns the prompt tokens that an endpoint has to read before a new request, for an answer. */
 function unreadOf({ endpoints }: SchedulerState, endpoint: string | undefined): { readonly unread?: number } {
     const view = endpoint === undefined ? undefined : endpoints.get(endpoint);
-    return view ? { unread: unreadAt(view) } : {};
+    return view ? { unread: pendingPrefill(view) } : {};
 }
 
 function othersEvent(account: LoadAccount, endpoint: string, self: string): SchedulerEvent {
@@ -444,13 +445,13 @@
  * const { state: next, send, events } = receiveLoadMessage(state, "k1-b", message, scheduler, now);
  * ```
  */
-export function shareHear(
-    state: ShareState,
+export function receiveLoadMessage(
+    state: LoadExchange,
     from: string,
-    message: ShareMessage,
+    message: LoadMessage,
     scheduler: SchedulerState,
     now: number,
-): ShareStep {
-    const handler = HANDLERS[message.kind] as Handler<ShareMessage["kind"]>;
+): LoadExchangeStep {
+    const handler = HANDLERS[message.kind] as Handler<LoadMessage["kind"]>;
     return handler(state, from, message, scheduler, now);
 }
--- a/packages/hall/src/membership.ts
+++ b/packages/hall/src/membership.ts
@@ -104,16 +104,16 @@
         rumours: new Map(),
         candidates: [],
     };
-    return listHosts(state, candidates);
+    return setCandidates(state, candidates);
 }
 
 /** Replaces the candidate addresses by those of the host list or the settings. */
-export function listHosts(state: Membership, addresses: readonly string[]): Membership {
+export function setCandidates(state: Membership, addresses: readonly string[]): Membership {
     return { ...state, candidates: addresses.filter(address => address !== state.self.address) };
 }
 
 /** Returns the candidate addresses at which no host is known. */
-export function unheardCandidates({ members, candidates }: Membership): readonly string[] {
+export function unknownCandidates({ members, candidates }: Membership): readonly string[] {
     const known = [...members.values()];
     return candidates.filter(address => !known.some(member => member.address === address));
 }
@@ -149,7 +149,7 @@
  * liveHostsInHall(state, now); // ["k1-a"]
  * ```
  */
-export function liveInHall(state: Membership, now: number): readonly string[] {
+export function liveHostsInHall(state: Membership, now: number): readonly string[] {
     return liveNames(state, member => member.hall === state.self.hall, now);
 }
 
@@ -161,7 +161,7 @@
 }
 
 /** Returns this host and the members that are considered alive, from which {@link weightsOf} takes their capacities. */
-export function ratedHosts(state: Membership, now: number): readonly HostInfo[] {
+export function selfAndAliveMembers(state: Membership, now: number): readonly HostInfo[] {
     return [state.self, ...aliveMembers(state, now)];
 }
 
--- a/packages/hall/src/ownership.ts
+++ b/packages/hall/src/ownership.ts
@@ -86,6 +86,6 @@
  * isWatcher("k1-a", ["k1-a", "k1-b", "k1-c"]);
  * ```
  */
-export function watches(host: string, hosts: readonly string[], weights: Weights = EQUAL_WEIGHTS): boolean {
+export function isWatcher(host: string, hosts: readonly string[], weights: Weights = EQUAL_WEIGHTS): boolean {
     return rank("settings-watch", hosts, weights).slice(0, WATCHERS_PER_HALL).includes(host);
 }
--- a/packages/hall/src/quarantine.ts
+++ b/packages/hall/src/quarantine.ts
@@ -15,7 +15,7 @@
  *
  * @module
  */
-import { assessRequests, type Charge, ENDINGS_TO_QUARANTINE } from "./assessment.js";
+import { type Assessment, assessRequests, ENDINGS_TO_QUARANTINE } from "./assessment.js";
 import { clearingNews, digestOfEndings, type EndingNews, type Endings, mergeEnding, newsOfEnding } from "./endings.js";
 
 /** A run of a suspect. */
@@ -45,7 +45,7 @@
     readonly endings: Endings;
     readonly trials: ReadonlyMap<string, Trial>;
     /** By fingerprint, derived from the endings. */
-    readonly charges: ReadonlyMap<string, Charge>;
+    readonly assessments: ReadonlyMap<string, Assessment>;
     /** Digest of the endings. */
     readonly digest: number;
 }
@@ -57,7 +57,12 @@
 }
 
 /** The state of a host that knows nothing. */
-export const EMPTY_QUARANTINE: Quarantine = { endings: new Map(), trials: new Map(), charges: new Map(), digest: 0 };
+export const EMPTY_QUARANTINE: Quarantine = {
+    endings: new Map(),
+    trials: new Map(),
+    assessments: new Map(),
+    digest: 0,
+};
 
 /**
  * How long a quarantine lasts before a trial decides again. It doubles with each further ending. Engines were back 3 s after such an
@@ -83,7 +88,7 @@
  * that, the evidence against the culprit may still be missing. In simulations, 7.8 of 10,000 innocent requests were refused without
  * this wait (and with other faults of the model), 2.6 with it.
  */
-export const NEWS_MS = 50;
+export const ENDING_SPREAD_MS = 50;
 
 /** Whether a request may be begun. */
 export type Verdict =
@@ -92,14 +97,14 @@
     /** It was involved in endings. It may begin at an endpoint with little load. */
     | { readonly kind: "suspect"; readonly endings: number }
     /** It is a suspect that is running elsewhere. It may begin after `trialEndsInMs` at the latest. */
-    | { readonly kind: "onTrial"; readonly againMs: number }
+    | { readonly kind: "onTrial"; readonly trialEndsInMs: number }
     /** It may not begin. For another `evidencePendingMs`, observations of its last ending may still arrive and clear it. */
-    | { readonly kind: "quarantined"; readonly endings: number; readonly sureMs: number };
+    | { readonly kind: "quarantined"; readonly endings: number; readonly evidencePendingMs: number };
 
 const FREE: Verdict = { kind: "free" };
 
 /** The circumstances in which a request is about to begin. */
-export interface Asked {
+export interface VerdictContext {
     /** Name of the attempt that is about to begin, if it is known. */
     readonly attempt?: string | undefined;
     /** Software versions of the endpoints that may run it. */
@@ -114,30 +119,35 @@
  * verdictOf(quarantine, fingerprint, now).kind; // "free"
  * ```
  */
-export function verdictOf(state: Quarantine, fingerprint: string, now: number, context: Asked = {}): Verdict {
-    const assessment = state.charges.get(fingerprint);
+export function verdictOf(state: Quarantine, fingerprint: string, now: number, context: VerdictContext = {}): Verdict {
+    const assessment = state.assessments.get(fingerprint);
     if (!assessment || assessment.endings.length === 0) return FREE;
     const endings = assessment.endings.length;
     if (
-        assessment.isGuilty && now < quarantinedUntil(assessment) && !mayMeetOtherSoftware(assessment, context.software)
+        assessment.isCulprit && now < quarantinedUntil(assessment)
+        && !mayMeetOtherSoftware(assessment, context.software)
     ) {
-        return { kind: "quarantined", endings, sureMs: Math.max(0, assessment.lastAt + NEWS_MS - now) };
+        return {
+            kind: "quarantined",
+            endings,
+            evidencePendingMs: Math.max(0, assessment.lastAt + ENDING_SPREAD_MS - now),
+        };
     }
-    const againMs = remainingTrialMs(state, fingerprint, now, context.attempt);
-    return againMs > 0 ? { kind: "onTrial", againMs } : { kind: "suspect", endings };
+    const trialEndsInMs = remainingTrialMs(state, fingerprint, now, context.attempt);
+    return trialEndsInMs > 0 ? { kind: "onTrial", trialEndsInMs } : { kind: "suspect", endings };
 }
 
 /**
  * Returns whether a quarantined request may run on software that it has not crashed yet. A trial there decides again, but only one:
  * simultaneous endings count once, and at most three trials are allowed after the third ending.
  */
-function mayMeetOtherSoftware({ endings }: Charge, versions: readonly string[] = []): boolean {
+function mayMeetOtherSoftware({ endings }: Assessment, versions: readonly string[] = []): boolean {
     const ended = new Set(endings.flatMap(({ software }) => software ?? []));
     return endings.length <= ENDINGS_TO_QUARANTINE && ended.size > 0 && versions.some(version => !ended.has(version));
 }
 
 /** Returns when a trial may decide again. */
-function quarantinedUntil({ endings, lastAt }: Charge): number {
+function quarantinedUntil({ endings, lastAt }: Assessment): number {
     if (endings.length >= ENDINGS_TO_QUARANTINE_FOREVER) return Infinity;
     return lastAt + QUARANTINE_MS * 2 ** (endings.length - ENDINGS_TO_QUARANTINE);
 }
@@ -157,7 +167,7 @@
 }
 
 /** Returns whether a request was involved in an ending and not cleared since. */
-export function isSuspect({ charges }: Quarantine, fingerprint: string): boolean {
+export function isSuspect({ assessments: charges }: Quarantine, fingerprint: string): boolean {
     return charges.has(fingerprint);
 }
 
@@ -169,7 +179,7 @@
  * const { state, news } = mergeNews(quarantine, { endings: [ending], trials: [] }, now);
  * ```
  */
-export function joinNews(state: Quarantine, received: QuarantineNews, now: number): QuarantineStep {
+export function mergeNews(state: Quarantine, received: QuarantineNews, now: number): QuarantineStep {
     const endings = mergeEndings(state, received.endings, now);
     const trials = mergeTrials(endings.state, received.trials, now);
     const hasNews = endings.added.length + trials.added.length > 0;
@@ -177,17 +187,17 @@
 }
 
 /** Clears a request of all known endings, because it ran to completion or an operator lifts its quarantine. */
-export function clear(state: Quarantine, fingerprint: string, now: number): QuarantineStep {
-    return joinNews(state, { endings: clearingNews(state.endings, fingerprint, now), trials: [] }, now);
+export function clearRequest(state: Quarantine, fingerprint: string, now: number): QuarantineStep {
+    return mergeNews(state, { endings: clearingNews(state.endings, fingerprint, now), trials: [] }, now);
 }
 
 /** Returns all known endings, for a host that starts or whose digest differs. Trials are left out: they are too short to send again. */
-export function allNews({ endings }: Quarantine, now: number): QuarantineNews {
+export function allEndingNews({ endings }: Quarantine, now: number): QuarantineNews {
     return { endings: [...endings.values()].map(ending => newsOfEnding(ending, now)), trials: [] };
 }
 
 /** Drops expired endings and trials. The host calls it periodically. */
-export function forgetOld(state: Quarantine, now: number): Quarantine {
+export function dropExpired(state: Quarantine, now: number): Quarantine {
     const culprits = livesOfCulprits(state);
     const kept = [...state.endings].filter(([life, { at }]) =>
         now - at < (culprits.has(life) ? QUARANTINE_RETENTION_MS : EVIDENCE_RETENTION_MS)
@@ -215,7 +225,7 @@
 }
 
 function withEndings(state: Quarantine, endings: Endings): Quarantine {
-    return { ...state, endings, charges: assessRequests(endings), digest: digestOfEndings(endings) };
+    return { ...state, endings, assessments: assessRequests(endings), digest: digestOfEndings(endings) };
 }
 
 /** Drops endings above {@link MAX_ENDINGS}: first those on which no quarantine rests, the oldest first. */
@@ -229,8 +239,8 @@
     return withEndings(state, new Map(sorted.slice(0, MAX_ENDINGS)));
 }
 
-function livesOfCulprits({ charges }: Quarantine): ReadonlySet<string> {
-    const culprits = [...charges.values()].filter(({ isGuilty }) => isGuilty);
+function livesOfCulprits({ assessments: charges }: Quarantine): ReadonlySet<string> {
+    const culprits = [...charges.values()].filter(({ isCulprit: isGuilty }) => isGuilty);
     return new Set(culprits.flatMap(({ endings }) => endings.map(({ life }) => life)));
 }
 
--- a/packages/hall/src/reachability.ts
+++ b/packages/hall/src/reachability.ts
@@ -18,11 +18,11 @@
 import { isAlive, type Membership } from "./membership.js";
 
 /** A host's observations of other halls. */
-export interface Reach {
+export interface Reachability {
     /** When a host or an endpoint of a hall was last heard, by hall. */
     readonly lastHeardAt: ReadonlyMap<string, number>;
     /** The last failed connection to an endpoint, by the endpoint's name. */
-    readonly lost: ReadonlyMap<string, FailedConnection>;
+    readonly failedEndpoints: ReadonlyMap<string, FailedConnection>;
 }
 
 /** A failed connection from this host, or another host of its hall, to an endpoint. */
@@ -38,7 +38,7 @@
     /** All known hosts except those that are leaving. */
     readonly hosts: number;
     /** How many of these are considered alive. */
-    readonly relied: number;
+    readonly aliveHosts: number;
 }
 
 /** Number of hosts and endpoints of another hall. */
@@ -48,12 +48,12 @@
 }
 
 /** A hall in doubt, with the reasons. */
-export interface DoubtedHall {
+export interface HallInDoubt {
     readonly hall: string;
     /** Number of endpoints to which connections failed since the hall was last heard. */
-    readonly lost: number;
+    readonly failedEndpoints: number;
     /** Whether at least half of its hosts are still considered alive. */
-    readonly hasHosts: boolean;
+    readonly hasAliveMajority: boolean;
     /** For how long nothing was heard from it. */
     readonly silentMs: number;
 }
@@ -61,7 +61,7 @@
 /** A hall is in doubt only after this silence. With three halls, probes between halls reach a host from each other hall once a second. */
 export const QUIET_MS = 1_000;
 /** A failed connection counts for this long. Afterwards a request may try the endpoint again, if nothing else does. */
-export const LOST_VALID_MS = 5_000;
+export const FAILURE_TTL_MS = 5_000;
 /** Endpoints that have to fail before their hall is in doubt while its hosts seem alive: a single one may have failed by itself. */
 const MIN_FAILED_ENDPOINTS = 2;
 /** A failure within this time after the last known one of the same endpoint is not news. */
@@ -76,22 +76,22 @@
  * ```
  */
 export function otherHalls({ self, members }: Membership, now: number): readonly HallHosts[] {
-    const halls = new Map<string, { hosts: number; relied: number }>();
+    const halls = new Map<string, { hosts: number; aliveHosts: number }>();
     for (const member of members.values()) {
         if (member.hall === self.hall || member.scope !== self.scope || member.leaving) continue;
-        const { hosts, relied } = halls.get(member.hall) ?? { hosts: 0, relied: 0 };
-        halls.set(member.hall, { hosts: hosts + 1, relied: relied + (isAlive(member, now) ? 1 : 0) });
+        const { hosts, aliveHosts: relied } = halls.get(member.hall) ?? { hosts: 0, aliveHosts: 0 };
+        halls.set(member.hall, { hosts: hosts + 1, aliveHosts: relied + (isAlive(member, now) ? 1 : 0) });
     }
     return [...halls].map(([hall, counts]) => ({ hall, ...counts }));
 }
 
 /** The state of a host that has observed nothing. */
-export const NOTHING_FOUND: Reach = { lastHeardAt: new Map(), lost: new Map() };
+export const EMPTY_REACHABILITY: Reachability = { lastHeardAt: new Map(), failedEndpoints: new Map() };
 
 /** Records that a host or an endpoint of another hall was heard, which ends all doubts about the hall. */
-export function hearHall(reach: Reach, hall: string, now: number): Reach {
-    const failed = new Map([...reach.lost].filter(([, { hall: other }]) => other !== hall));
-    return { lastHeardAt: new Map(reach.lastHeardAt).set(hall, now), lost: failed };
+export function recordHeard(reach: Reachability, hall: string, now: number): Reachability {
+    const failed = new Map([...reach.failedEndpoints].filter(([, { hall: other }]) => other !== hall));
+    return { lastHeardAt: new Map(reach.lastHeardAt).set(hall, now), failedEndpoints: failed };
 }
 
 /**
@@ -104,27 +104,27 @@
  * const { state, isNews } = recordFailedConnection(reach, "i-7@1700", "k2", now - agoMs, now);
  * ```
  */
-export function loseEndpoint(
-    reach: Reach,
+export function recordFailedConnection(
+    reach: Reachability,
     endpoint: string,
     hall: string,
     at: number,
     now: number,
-): { readonly state: Reach; readonly isNews: boolean } {
-    const known = reach.lost.get(endpoint);
-    const isOutdated = at <= lastHeardFrom(reach, hall) || now - at >= LOST_VALID_MS;
+): { readonly state: Reachability; readonly isNews: boolean } {
+    const known = reach.failedEndpoints.get(endpoint);
+    const isOutdated = at <= lastHeardFrom(reach, hall) || now - at >= FAILURE_TTL_MS;
     if (isOutdated || known && at - known.at < REPEATED_FAILURE_MS) return { state: reach, isNews: false };
-    const kept = [...reach.lost].filter(([, other]) => now - other.at < LOST_VALID_MS);
-    return { state: { ...reach, lost: new Map(kept).set(endpoint, { hall, at }) }, isNews: true };
+    const kept = [...reach.failedEndpoints].filter(([, other]) => now - other.at < FAILURE_TTL_MS);
+    return { state: { ...reach, failedEndpoints: new Map(kept).set(endpoint, { hall, at }) }, isNews: true };
 }
 
-function lastHeardFrom({ lastHeardAt }: Reach, hall: string): number {
+function lastHeardFrom({ lastHeardAt }: Reachability, hall: string): number {
     return lastHeardAt.get(hall) ?? -Infinity;
 }
 
 /** Halls and endpoints that a host probably cannot reach. */
 export interface Doubts {
-    readonly halls: readonly DoubtedHall[];
+    readonly halls: readonly HallInDoubt[];
     /** Endpoints in doubt, whether or not their hall is. */
     readonly endpoints: readonly string[];
 }
@@ -137,8 +137,8 @@
  * doubtsOf(reachability, [{ hall: "k2", hosts: 30, aliveHosts: 0, endpoints: 11 }], now).halls;
  * ```
  */
-export function doubtsOf(reach: Reach, halls: readonly HallMembers[], now: number): Doubts {
-    const failed = [...reach.lost].filter(([, { at }]) => now - at < LOST_VALID_MS);
+export function doubtsOf(reach: Reachability, halls: readonly HallMembers[], now: number): Doubts {
+    const failed = [...reach.failedEndpoints].filter(([, { at }]) => now - at < FAILURE_TTL_MS);
     const found = halls.filter(({ hosts }) => hosts > 0).map(members => {
         const endpoints = failed.flatMap(([endpoint, { hall }]) => hall === members.hall ? [endpoint] : []);
         return { endpoints, hall: hallInDoubt(members, endpoints.length, now - lastHeardFrom(reach, members.hall)) };
@@ -150,13 +150,13 @@
 }
 
 function hallInDoubt(
-    { hall, hosts, relied, endpoints }: HallMembers,
+    { hall, hosts, aliveHosts: relied, endpoints }: HallMembers,
     failedCount: number,
     silentMs: number,
-): DoubtedHall | undefined {
+): HallInDoubt | undefined {
     const isMostlyDead = 2 * relied < hosts;
     const needed = isMostlyDead ? 1 : Math.min(MIN_FAILED_ENDPOINTS, Math.max(1, endpoints));
     return silentMs >= QUIET_MS && failedCount >= needed
-        ? { hall, lost: failedCount, hasHosts: !isMostlyDead, silentMs }
+        ? { hall, failedEndpoints: failedCount, hasAliveMajority: !isMostlyDead, silentMs }
         : undefined;
 }
--- a/packages/hall/src/settings-exchange.ts
+++ b/packages/hall/src/settings-exchange.ts
@@ -20,19 +20,19 @@
 }
 
 /** Requests the newest version. */
-export interface SettingsAsk {
+export interface SettingsRequest {
     /** Hashes of the parts that the sender already has. */
     readonly have: Readonly<Record<PartName, string>>;
 }
 
 /** A version with the parts that the requester lacked. */
-export interface SettingsGive {
+export interface SettingsResponse {
     readonly head: Head;
     readonly parts: Readonly<Record<PartName, string>>;
 }
 
 /** Returns the version in force for a probe. */
-export function newsOf(inForce: InForce | undefined): VersionNews {
+export function versionNews(inForce: InForce | undefined): VersionNews {
     const head = inForce?.snapshot.head;
     return { version: head?.version ?? 0, hash: head?.hash ?? "" };
 }
@@ -45,13 +45,13 @@
  * const request = settingsRequestFor(feed.inForce, message.settings);
  * ```
  */
-export function askAfter(inForce: InForce | undefined, news: VersionNews): SettingsAsk | undefined {
+export function settingsRequestFor(inForce: InForce | undefined, news: VersionNews): SettingsRequest | undefined {
     const head = inForce?.snapshot.head;
     return news.version > (head?.version ?? 0) ? { have: head?.parts ?? {} } : undefined;
 }
 
 /** Answers a request with the newest head and the parts that the requester lacks, or undefined if no version is in force. */
-export function give(inForce: InForce | undefined, ask: SettingsAsk): SettingsGive | undefined {
+export function give(inForce: InForce | undefined, ask: SettingsRequest): SettingsResponse | undefined {
     if (!inForce) return undefined;
     const { head, parts } = inForce.snapshot;
     const lacking = Object.keys(head.parts).filter(name => ask.have[name] !== head.parts[name]);
@@ -59,7 +59,7 @@
 }
 
 /** Assembles a snapshot from a response and the parts in force. The caller validates it like any other offered snapshot. */
-export function takeGiven(inForce: InForce | undefined, given: SettingsGive): Snapshot {
+export function snapshotFromResponse(inForce: InForce | undefined, given: SettingsResponse): Snapshot {
     const missing = partsToRead(inForce, given.head);
     const read = Object.fromEntries(
         missing.flatMap(name => given.parts[name] === undefined ? [] : [[name, given.parts[name]]]),
--- a/packages/hall/src/speed-encoding.ts
+++ b/packages/hall/src/speed-encoding.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Shown, ToldSpeed } from "@drumpaddle/policy";
+import type { OwnerSpeed, SpeedSums } from "@drumpaddle/policy";
 
 /** Sums of speed samples, in the order of {@link encodeSamples}. Times are in tenths of a millisecond. */
 export type EncodedSamples = readonly number[];
@@ -11,20 +11,22 @@
 export type EncodedSpeed = readonly [value: number, weight: number, ageMs: number];
 
 /** Number of integers in {@link EncodedSamples}. */
-export const SHOWN_WORDS = 7;
+export const ENCODED_SAMPLES_LENGTH = 7;
 /** Gaps between pieces are a few milliseconds long, so they are sent in tenths. */
 const UNITS_PER_MS = 10;
 /** A slowness is sent in thousandths, which is far below the uncertainty of any estimate. */
 const UNITS_PER_SLOWNESS = 1_000;
 
 /** Encodes sums of speed samples. */
-export function shownWords({ firsts, unread, firstMs, stretches, pieces, gapMs, longestMs }: Shown): EncodedSamples {
+export function encodeSamples(
+    { firsts, unread, firstMs, stretches, pieces, gapMs, longestMs }: SpeedSums,
+): EncodedSamples {
     const times = [firstMs, gapMs, longestMs].map(ms => Math.round(ms * UNITS_PER_MS));
     return [firsts, Math.round(unread), stretches, Math.round(pieces), ...times];
 }
 
 /** Decodes sums of speed samples. */
-export function decodeSamples(encoded: EncodedSamples): Shown {
+export function decodeSamples(encoded: EncodedSamples): SpeedSums {
     const [firsts = 0, unread = 0, stretches = 0, pieces = 0, ...times] = encoded;
     const [firstMs = 0, gapMs = 0, longestMs = 0] = times.map(units => units / UNITS_PER_MS);
     return { firsts, unread, firstMs, stretches, pieces, gapMs, longestMs };
@@ -38,11 +40,11 @@
  * encodeSpeed({ value: 0.4704, weight: 61.3, ageMs: 20.5 }); // [470, 61, 21]
  * ```
  */
-export function speedWords({ value, weight, ageMs }: ToldSpeed): EncodedSpeed {
+export function encodeSpeed({ value, weight, ageMs }: OwnerSpeed): EncodedSpeed {
     return [Math.round(value * UNITS_PER_SLOWNESS), Math.round(weight), Math.round(ageMs)];
 }
 
 /** Decodes an estimate of an endpoint's slowness. */
-export function decodeSpeed([value, weight, ageMs]: EncodedSpeed): ToldSpeed {
+export function decodeSpeed([value, weight, ageMs]: EncodedSpeed): OwnerSpeed {
     return { value: value / UNITS_PER_SLOWNESS, weight, ageMs };
 }
--- a/packages/hall/src/store-watchers.ts
+++ b/packages/hall/src/store-watchers.ts
@@ -3,7 +3,7 @@
  * number has to grow more slowly than the fleet.
  *
  * The first {@link WATCHERS_PER_HALL} hosts of a hall by rank, which depends on their capacity, watch the store. At least every
- * {@link WORD_EVERY_MS} they report to the hall their progress and whether the store answers them. A watcher that is silent, or that the
+ * {@link WATCHER_REPORT_INTERVAL_MS} they report to the hall their progress and whether the store answers them. A watcher that is silent, or that the
  * store does not answer, is passed over for {@link PASSED_OVER_MS} and the next by rank takes its place, so that the hosts of the hall
  * take turns while the store is unavailable. The other hosts follow the watchers' reports and the progress of any peer. A host that
  * hears of neither watches the store itself, later the lower its rank is. Following only saves calls; nothing else depends on it.
@@ -21,9 +21,9 @@
 import { isFurther, type StoreProgress } from "./store-position.js";
 
 /** Interval of a watcher's reports. */
-export const WORD_EVERY_MS = 400;
+export const WATCHER_REPORT_INTERVAL_MS = 400;
 /** A watcher without a report for this long is passed over. It is half of the shortest bound on the delay of changes (2 s). */
-export const WORD_VALID_MS = 1_000;
+export const WATCHER_REPORT_TTL_MS = 1_000;
 /** A host that the store did not answer, or that sent no report when it was expected to, is not expected to watch for this long. */
 const PASSED_OVER_MS = 3_000;
 /** A host that has heard nothing of the store for this long, not even from peers, watches it itself. */
@@ -49,12 +49,12 @@
 }
 
 /** A host's view of the watchers of its hall. */
-export interface Following {
+export interface WatcherView {
     readonly self: string;
     readonly startedAt: number;
     /** Last reports by host. */
     readonly reports: ReadonlyMap<string, WatcherReport>;
-    /** When a host was first expected to watch, by host. It has {@link WORD_VALID_MS} for its first report. */
+    /** When a host was first expected to watch, by host. It has {@link WATCHER_REPORT_TTL_MS} for its first report. */
     readonly expectedFrom: ReadonlyMap<string, number>;
     /** Whether this host was one of the watchers at its last plan. */
     readonly wasWatcher: boolean;
@@ -67,7 +67,7 @@
 }
 
 /** What a host knows of the store when it plans whether to watch. */
-export interface StoreHeard {
+export interface StoreContact {
     /** Whether the store answers this host; undefined while it does not watch or has no answer yet. */
     readonly hears: boolean | undefined;
     /** When the store last answered this host or one that it follows, as far as it knows. */
@@ -80,16 +80,16 @@
 export type WatchReason = "first" | "second" | "alone";
 
 /** What a host has to do now. */
-export interface FollowPlan {
-    readonly state: Following;
+export interface WatchPlan {
+    readonly state: WatcherView;
     /** Why it watches the store; undefined if it follows. */
     readonly reason: WatchReason | undefined;
     /** Whether it sends its hall a report now. */
-    readonly says: boolean;
+    readonly shouldReport: boolean;
 }
 
 /** Creates the view of a host that knows of no watcher. */
-export function createFollowing(self: string, now: number): Following {
+export function createWatcherView(self: string, now: number): WatcherView {
     return {
         self,
         startedAt: now,
@@ -103,7 +103,7 @@
 }
 
 /** Records a host's report of whether the store answers it. */
-export function hearWatcher(state: Following, host: string, hears: boolean, now: number): Following {
+export function recordWatcherReport(state: WatcherView, host: string, hears: boolean, now: number): WatcherView {
     return { ...state, reports: new Map(state.reports).set(host, { at: now, hears }) };
 }
 
@@ -114,12 +114,12 @@
  * @param theirs The peer's progress.
  * @param own This host's progress.
  */
-export function hearProgress(
-    state: Following,
+export function recordPeerProgress(
+    state: WatcherView,
     theirs: StoreProgress,
     own: StoreProgress,
     now: number,
-): { readonly state: Following; readonly asks: boolean } {
+): { readonly state: WatcherView; readonly asks: boolean } {
     const known = state.missing && isFurther(state.missing.progress, own) ? state.missing : undefined;
     const isBehind = isFurther(theirs, own);
     const missing = known ?? (isBehind ? { progress: theirs, since: now } : undefined);
@@ -138,14 +138,14 @@
  * const { state: next, reason, shouldReport } = planWatching(state, live, { hears, freshAt, seeking }, now);
  * ```
  */
-export function planFollowing(
-    state: Following,
+export function planWatching(
+    state: WatcherView,
     hosts: readonly string[],
-    { hears, freshAt, seeking }: StoreHeard,
+    { hears, freshAt, seeking }: StoreContact,
     now: number,
     weights: Weights = EQUAL_WEIGHTS,
-): FollowPlan {
-    if (seeking && now - state.startedAt < JOIN_GRACE_MS) return { state, reason: undefined, says: false };
+): WatchPlan {
+    if (seeking && now - state.startedAt < JOIN_GRACE_MS) return { state, reason: undefined, shouldReport: false };
     const storeFailedAt = hears === false ? now : state.storeFailedAt;
     const hasStoreFailed = hears !== true && now - storeFailedAt < PASSED_OVER_MS;
     const ranked = rank("store-watch", hosts, weights);
@@ -159,14 +159,14 @@
         state: { ...state, expectedFrom, watchUntil, storeFailedAt, wasWatcher: watcherIndex >= 0 },
         reason,
         // A watcher whose call to the store just failed reports that once, so that the next need not wait for its silence.
-        says: hears === undefined ? false : watcherIndex >= 0 || state.wasWatcher && hears === false,
+        shouldReport: hears === undefined ? false : watcherIndex >= 0 || state.wasWatcher && hears === false,
     };
 }
 
 const REASON_BY_PLACE = ["first", "second"] as const satisfies readonly WatchReason[];
 
 /** Returns when this host last heard of the store, including reports that it does not answer a watcher. */
-function lastStoreNewsAt({ startedAt, reports }: Following, freshAt: number): number {
+function lastStoreNewsAt({ startedAt, reports }: WatcherView, freshAt: number): number {
     return Math.max(startedAt, freshAt, ...[...reports.values()].map(({ at }) => at));
 }
 
@@ -176,7 +176,7 @@
 
 /** Returns the first hosts by rank that watch, or that have only just been expected to. */
 function pickWatchers(
-    state: Following,
+    state: WatcherView,
     ranked: readonly string[],
     hasStoreFailed: boolean,
     now: number,
@@ -197,11 +197,11 @@
 function expectedSince(since: number | undefined, report: WatcherReport | undefined, now: number): number {
     if (since === undefined) return now;
     const lastSign = Math.max(since, report?.at ?? -Infinity);
-    return now - lastSign >= WORD_VALID_MS + PASSED_OVER_MS ? now : since;
+    return now - lastSign >= WATCHER_REPORT_TTL_MS + PASSED_OVER_MS ? now : since;
 }
 
 function isWatching(report: WatcherReport | undefined, since: number, now: number): boolean {
-    if (report && now - report.at < WORD_VALID_MS) return report.hears;
+    if (report && now - report.at < WATCHER_REPORT_TTL_MS) return report.hears;
     if (report && !report.hears && now - report.at < PASSED_OVER_MS) return false;
-    return now - since < WORD_VALID_MS;
+    return now - since < WATCHER_REPORT_TTL_MS;
 }
--- a/packages/hall/test/bounded-fleet.ts
+++ b/packages/hall/test/bounded-fleet.ts
@@ -5,26 +5,26 @@
  * @module
  */
 import {
+    type AnnouncedLimit,
     createScheduler,
     decide,
     DEFAULT_VARIANT,
     type EndpointCfg,
-    type Said,
     type SchedulerEvent,
     type SchedulerState,
 } from "@drumpaddle/policy";
 import { makeJob } from "../../policy/test/job.js";
 import {
-    createShare,
-    type EndpointWord,
+    askOwner,
+    createLoadExchange,
+    type EndpointNotice,
     hostsEvent,
-    saidOf,
-    shareAsk,
-    shareHear,
-    shareRound,
-    type ShareState,
-    type ShareStep,
-    wordsToTell,
+    type LoadExchange,
+    type LoadExchangeStep,
+    noticesToTell,
+    receiveLoadMessage,
+    runLoadRound,
+    saidFromNotice,
 } from "../src/index.js";
 import { seeded } from "./fleet.js";
 
@@ -46,7 +46,7 @@
 interface Host {
     readonly name: string;
     state: SchedulerState;
-    share: ShareState;
+    share: LoadExchange;
     /** Number of its restarts. */
     life: number;
     /** When the endpoint first told its limit to this instance of the host; undefined before that. */
@@ -103,7 +103,7 @@
     const hosts = names.map((name): Host => ({
         name,
         state: newScheduler(),
-        share: createShare(name),
+        share: createLoadExchange(name),
         life: 0,
         informedAt: undefined,
         part: 0,
@@ -122,7 +122,7 @@
             host.state = state;
             for (const action of actions) {
                 if (action.kind === "ask") {
-                    applyStep(host, shareAsk(host.share, action, host.state.endpoints, host.knownHosts, now));
+                    applyStep(host, askOwner(host.share, action, host.state.endpoints, host.knownHosts, now));
                 }
                 if (action.kind !== "dispatch") continue;
                 send(host);
@@ -144,17 +144,17 @@
             });
         });
     };
-    const said = (host: Host): Said | undefined => host.state.endpoints.get(endpoint.id)?.said;
-    const applyLimit = (host: Host, word: Said): void => {
+    const said = (host: Host): AnnouncedLimit | undefined => host.state.endpoints.get(endpoint.id)?.said;
+    const applyLimit = (host: Host, word: AnnouncedLimit): void => {
         const before = said(host);
         handleEvents(host, [{ kind: "said", endpoint: endpoint.id, said: word }]);
         if (before?.limitPerS === said(host)?.limitPerS) return;
-        sendNotices(host, FANOUT, wordsToTell(host.state.endpoints.values(), now));
+        sendNotices(host, FANOUT, noticesToTell(host.state.endpoints.values(), now));
     };
-    const applyNotices = (host: Host, words: readonly EndpointWord[]): void => {
-        for (const { limit } of words) if (limit) applyLimit(host, saidOf(limit, now));
+    const applyNotices = (host: Host, words: readonly EndpointNotice[]): void => {
+        for (const { limit } of words) if (limit) applyLimit(host, saidFromNotice(limit, now));
     };
-    const sendNotices = (host: Host, most: number, words: readonly EndpointWord[]): void => {
+    const sendNotices = (host: Host, most: number, words: readonly EndpointNotice[]): void => {
         if (words.length === 0) return;
         for (let at = 0; at < most; at++) {
             const peer = hosts[Math.floor(random() * hosts.length)]!;
@@ -168,19 +168,23 @@
             if (to.suspendedUntil <= now && to.part === from.part) run();
         });
     };
-    const applyStep = (host: Host, { state, send, events }: ShareStep): void => {
+    const applyStep = (host: Host, { state, send, events }: LoadExchangeStep): void => {
         host.share = state;
         handleEvents(host, events);
         for (const { to, message } of send) {
             const peer = byName.get(to);
             if (!peer) continue;
-            deliver(host, peer, () => applyStep(peer, shareHear(peer.share, host.name, message, peer.state, now)));
+            deliver(
+                host,
+                peer,
+                () => applyStep(peer, receiveLoadMessage(peer.share, host.name, message, peer.state, now)),
+            );
         }
     };
     const runRound = (host: Host): void => {
         const unheard = Math.min(3, day.hosts - host.knownHosts.length);
         handleEvents(host, [hostsEvent(host.name, host.knownHosts, unheard)]);
-        applyStep(host, shareRound(host.share, host.state.endpoints, host.knownHosts, now, 0, unheard));
+        applyStep(host, runLoadRound(host.share, host.state.endpoints, host.knownHosts, now, 0, unheard));
     };
     const split = (parts: number): void => {
         for (const [at, host] of hosts.entries()) {
@@ -208,7 +212,7 @@
             const { asked, waiting } = host.state;
             if (host.suspendedUntil <= now && asked.size + waiting.length > 0) handleEvents(host, [{ kind: "tick" }]);
             if (host.suspendedUntil <= now && now % REPEAT_MS < STEP_MS) {
-                sendNotices(host, REPEAT_FANOUT, wordsToTell(host.state.endpoints.values(), now));
+                sendNotices(host, REPEAT_FANOUT, noticesToTell(host.state.endpoints.values(), now));
             }
         }
         dueRequests += day.perS * STEP_MS / 1_000;
@@ -223,7 +227,7 @@
     }
     function restart(host: Host): void {
         host.state = newScheduler();
-        host.share = createShare(host.name);
+        host.share = createLoadExchange(host.name);
         host.life += 1;
         host.informedAt = undefined;
         host.knownHosts = [host.name];
@@ -233,7 +237,7 @@
         schedule(MAX_DELAY_MS, () => {
             const peer = hosts.find(other => other !== host && other.part === host.part && other.suspendedUntil <= now);
             if (!peer || !limitAt) return;
-            const words = wordsToTell(peer.state.endpoints.values(), now);
+            const words = noticesToTell(peer.state.endpoints.values(), now);
             deliver(peer, host, () => applyNotices(host, words));
         });
         schedule(MAX_DETECTION_MS * random(), () => {
--- a/packages/hall/test/fleet.ts
+++ b/packages/hall/test/fleet.ts
@@ -6,15 +6,15 @@
  */
 import {
     type AddressedDetectorMessage,
+    announceLeaving,
     createDetector,
     type Detector,
     type DetectorStep,
     isAlive,
-    leaveHall,
     liveHosts,
-    liveInHall,
-    receive,
-    tick,
+    liveHostsInHall,
+    receiveDetectorMessage,
+    tickDetector,
 } from "../src/index.js";
 import { VirtualClock } from "./virtual-clock.js";
 
@@ -116,14 +116,14 @@
     }
 
     private env() {
-        return { now: this.now, everyMs: ROUND_MS, random: this.random };
+        return { now: this.now, intervalMs: ROUND_MS, random: this.random };
     }
 
     private round(host: SimHost, life: Detector): void {
         const start = life.membership.self.start;
         this.whenResumed(host, () => {
             if (!host.alive || host.state.membership.self.start !== start) return;
-            this.applyStep(host, tick(host.state, this.env()));
+            this.applyStep(host, tickDetector(host.state, this.env()));
             this.at(this.now + ROUND_MS, () => this.round(host, host.state));
         });
     }
@@ -143,7 +143,7 @@
             this.whenResumed(target, () => {
                 if (!target.alive) return;
                 this.onMessage(target, from);
-                this.applyStep(target, receive(target.state, from.address, message, this.env()));
+                this.applyStep(target, receiveDetectorMessage(target.state, from.address, message, this.env()));
             }));
     }
 
@@ -152,7 +152,7 @@
     }
 
     leave(host: SimHost): void {
-        this.applyStep(host, leaveHall(host.state, this.env()));
+        this.applyStep(host, announceLeaving(host.state, this.env()));
     }
 
     /** Starts a new instance of a host with the same name and address. */
@@ -177,7 +177,7 @@
     /** Whether a host considers exactly the running hosts of its hall alive. */
     knowsHall(host: SimHost): boolean {
         const wanted = this.running.filter(({ hall }) => hall === host.hall).map(({ name }) => name).sort();
-        return liveInHall(host.state.membership, this.now).join() === wanted.join();
+        return liveHostsInHall(host.state.membership, this.now).join() === wanted.join();
     }
 
     knowsScope(host: SimHost): boolean {
--- a/packages/hall/test/hall.test.ts
+++ b/packages/hall/test/hall.test.ts
@@ -1,12 +1,12 @@
 import {
     addCurve,
     createEndpoint,
-    createEstimates,
+    createLengthEstimates,
     createScheduler,
     decide,
     DEFAULT_VARIANT,
     EndpointTable,
-    peakOf,
+    peakMemory,
     streamCurve,
     survivalOf,
     zeroCurve,
@@ -14,32 +14,32 @@
 import { snapshotOf } from "@drumpaddle/settings";
 import test from "ava";
 import {
-    askAfter,
-    createShare,
+    askOwner,
+    createLoadExchange,
     dropExpiredLoads,
     EMPTY_ACCOUNT,
+    encodeLoad,
+    type EndpointLoad,
     endpointOwner,
     give,
-    type Held,
-    heldOf,
+    hostShareOfLimits,
+    isWatcher,
     LOAD_REPEAT_MS,
     LOAD_TTL_MS,
+    type LoadExchange,
+    type LoadMessage,
     loadOfOthers,
     NOTHING_REPORTED,
     ownerOf,
-    placeIn,
     planReports,
     rank,
+    receiveLoadMessage,
     recordLoads,
-    shareAsk,
-    shareHear,
-    type ShareMessage,
-    shareOf,
-    shareRound,
-    type ShareState,
+    runLoadRound,
+    settingsRequestFor,
+    shareIndexIn,
+    snapshotFromResponse,
     splitLimit,
-    takeGiven,
-    watches,
 } from "../src/index.js";
 
 const NAMES = ["a", "b", "c", "d"];
@@ -49,16 +49,16 @@
     t.true(moved.every(key => ownerOf(key, NAMES) === "b"));
     const counts = NAMES.map(name => keys.filter(key => ownerOf(key, NAMES) === name).length);
     t.true(counts.every(count => count > 25), counts.join(" "));
-    t.is(NAMES.filter(name => watches(name, NAMES)).length, 2);
+    t.is(NAMES.filter(name => isWatcher(name, NAMES)).length, 2);
     t.is(rank("k", NAMES).length, 4);
 });
 
-const lengths = survivalOf(createEstimates(), { workspace: "w", service: "s", model: "m" }, 4_000);
+const lengths = survivalOf(createLengthEstimates(), { workspace: "w", service: "s", model: "m" }, 4_000);
 
-function loadOf(streams: number): Held {
+function loadOf(streams: number): EndpointLoad {
     let curve = zeroCurve();
     for (let at = 0; at < streams; at++) curve = addCurve(curve, streamCurve(lengths, 500, 0), 1);
-    return heldOf("e1", { streams, unread: 0, stalled: 0, curve });
+    return encodeLoad("e1", { streams, unread: 0, stalled: 0, curve });
 }
 
 test("an owner's account sums the loads of other hosts, and drops those of silent hosts", t => {
@@ -74,7 +74,7 @@
 class Owner {
     private readonly endpoints;
     private scheduler;
-    share: ShareState = createShare("owner");
+    share: LoadExchange = createLoadExchange("owner");
 
     constructor(endpoints: readonly string[], memoryTokens: number) {
         this.endpoints = endpoints;
@@ -84,10 +84,10 @@
         this.hear("owner", undefined);
     }
 
-    private hear(from: string, message: ShareMessage | undefined): readonly ShareMessage[] {
+    private hear(from: string, message: LoadMessage | undefined): readonly LoadMessage[] {
         const step = message
-            ? shareHear(this.share, from, message, this.scheduler, 0)
-            : shareRound(this.share, this.scheduler.endpoints, ["owner"], 0);
+            ? receiveLoadMessage(this.share, from, message, this.scheduler, 0)
+            : runLoadRound(this.share, this.scheduler.endpoints, ["owner"], 0);
         this.share = step.state;
         for (const event of step.events) this.scheduler = decide(this.scheduler, event, 0).state;
         return step.send.map(({ message: sent }) => sent);
@@ -96,7 +96,7 @@
     ask(
         from: string,
         { backUp = false, exclude = [] as readonly string[] } = {},
-    ): Extract<ShareMessage, { kind: "answer" }> {
+    ): Extract<LoadMessage, { kind: "answer" }> {
         const demand = {
             model: "m",
             promptTokens: 500,
@@ -111,7 +111,7 @@
             weightPrefix: 0,
         };
         const stream = { ...loadOf(1), endpoint: this.endpoints[0]! };
-        const question: ShareMessage = {
+        const question: LoadMessage = {
             kind: "question",
             job: `of-${from}`,
             stream,
@@ -122,15 +122,15 @@
             backUp,
         };
         const [answer] = this.hear(from, question);
-        return answer as Extract<ShareMessage, { kind: "answer" }>;
+        return answer as Extract<LoadMessage, { kind: "answer" }>;
     }
 
-    tell(from: string, held: readonly Held[]): void {
+    tell(from: string, held: readonly EndpointLoad[]): void {
         this.hear(from, { kind: "held", held });
     }
 
     peak(endpoint: string): number {
-        return peakOf([loadOfOthers(this.share.account, endpoint, "owner").curve], 1.3);
+        return peakMemory([loadOfOthers(this.share.account, endpoint, "owner").curve], 1.3);
     }
 }
 
@@ -160,9 +160,9 @@
     const owner = endpointOwner("e1", 1, hosts)!;
     const self = hosts.find(host => host !== owner)!;
     const question = { demand: {} as never, curve: zeroCurve(), z: 1, hall: "h", exclude: [], backUp: false };
-    const ask = (state: ShareState, job: string, now: number) =>
-        shareAsk(state, { kind: "ask", job, endpoint: "e1", question }, endpoints, hosts, now);
-    const first = ask(createShare(self), "j1", 0);
+    const ask = (state: LoadExchange, job: string, now: number) =>
+        askOwner(state, { kind: "ask", job, endpoint: "e1", question }, endpoints, hosts, now);
+    const first = ask(createLoadExchange(self), "j1", 0);
     t.is(first.send[0]?.to, owner);
     const later = ask(first.state, "j2", 150);
     t.not(later.send[0]?.to, owner);
@@ -185,10 +185,10 @@
         const halls = ["k1", "k2", "k3"];
         const parts = halls.flatMap(hall =>
             NAMES.map(host =>
-                shareOf(
+                hostShareOfLimits(
                     { requestsPerMinute: limit, tokensPerMinute: limit, openStreams: limit },
-                    placeIn(hall, halls),
-                    placeIn(host, NAMES),
+                    shareIndexIn(hall, halls),
+                    shareIndexIn(host, NAMES),
                 ).tokensPerMinute
             )
         );
@@ -210,11 +210,11 @@
         tree: {},
         since: 0,
     };
-    t.is(askAfter(newer, { version: 1, hash: "" }), undefined);
-    const ask = askAfter(older, { version: 2, hash: newer.snapshot.head.hash })!;
+    t.is(settingsRequestFor(newer, { version: 1, hash: "" }), undefined);
+    const ask = settingsRequestFor(older, { version: 2, hash: newer.snapshot.head.hash })!;
     const given = give(newer, ask)!;
     t.deepEqual(Object.keys(given.parts), ["root"], "only the part that changed is sent");
-    t.deepEqual(takeGiven(older, given), newer.snapshot);
+    t.deepEqual(snapshotFromResponse(older, given), newer.snapshot);
     t.is(give(undefined, ask), undefined);
 });
 
@@ -222,11 +222,11 @@
     const endpoints = EndpointTable.of([createEndpoint({ id: "e1", hall: "h", models: ["m"], memoryTokens: 9 }, 0)]);
     const hosts = ["a", "b"];
     const self = endpointOwner("e1", 1, hosts)!;
-    const first = shareRound(createShare(self), endpoints, hosts, 0);
+    const first = runLoadRound(createLoadExchange(self), endpoints, hosts, 0);
     t.is(first.send.length, 1);
-    const second = shareRound(first.state, endpoints, hosts, 100);
+    const second = runLoadRound(first.state, endpoints, hosts, 100);
     t.is(second.send.length, 0);
-    t.is(shareRound(second.state, endpoints, hosts, LOAD_REPEAT_MS).send.length, 1);
+    t.is(runLoadRound(second.state, endpoints, hosts, LOAD_REPEAT_MS).send.length, 1);
     const heard = { ...second.state, account: recordLoads(second.state.account, "c", [loadOf(2)], 150) };
-    t.is(shareRound(heard, endpoints, hosts, 200).send.length, 1);
+    t.is(runLoadRound(heard, endpoints, hosts, 200).send.length, 1);
 });
--- a/packages/hall/test/load-fleet.ts
+++ b/packages/hall/test/load-fleet.ts
@@ -20,15 +20,15 @@
 import { EngineModel } from "../../standins/src/engine-model.js";
 import {
     type AddressedLoadMessage,
-    createShare,
-    shareAsk,
-    shareHear,
-    type ShareMessage,
-    shareRound,
-    type ShareState,
-    type ShareStep,
-    TELL_OWNERS_MS,
-    tellEvery,
+    askOwner,
+    createLoadExchange,
+    HOLDER_REPORT_INTERVAL_MS,
+    type LoadExchange,
+    type LoadExchangeStep,
+    type LoadMessage,
+    ownerReportIntervalMs,
+    receiveLoadMessage,
+    runLoadRound,
 } from "../src/index.js";
 import { seeded } from "./fleet.js";
 
@@ -69,7 +69,7 @@
     /** Whether a message between two hosts is lost. */
     readonly isLost?: (from: string, to: string, now: number) => boolean;
     /** Replaces a message in transit; undefined drops it. */
-    readonly transform?: (from: string, message: ShareMessage) => ShareMessage | undefined;
+    readonly transform?: (from: string, message: LoadMessage) => LoadMessage | undefined;
     /** Time for which hosts exchange messages before the load starts. */
     readonly warmupMs?: number;
     readonly variant?: Partial<Variant>;
@@ -122,7 +122,7 @@
 interface HostSim {
     readonly name: string;
     state: SchedulerState;
-    share: ShareState;
+    share: LoadExchange;
 }
 
 interface EngineSim {
@@ -193,7 +193,7 @@
         };
         this.hosts = Array.from({ length: load.hosts }, (_, at): HostSim => {
             const name = `host-${String(at).padStart(3, "0")}`;
-            return { name, state: createScheduler(variant, at + 1, { hall: HALL }), share: createShare(name) };
+            return { name, state: createScheduler(variant, at + 1, { hall: HALL }), share: createLoadExchange(name) };
         });
         this.byName = new Map(this.hosts.map(host => [host.name, host]));
         for (const at of load.engines.keys()) this.startEngine(at);
@@ -202,7 +202,7 @@
     run(): ReplayResult {
         this.declareEndpoints();
         for (const [at, host] of this.hosts.entries()) {
-            const firstMs = TELL_OWNERS_MS * at / this.hosts.length;
+            const firstMs = HOLDER_REPORT_INTERVAL_MS * at / this.hosts.length;
             this.schedule(firstMs, () => this.round(host));
         }
         for (const kind of this.load.kinds) this.schedule(this.warmupMs + this.drawWait(kind), () => this.arrive(kind));
@@ -281,14 +281,14 @@
     }
 
     private round(host: HostSim): void {
-        this.schedule(TELL_OWNERS_MS, () => this.round(host));
+        this.schedule(HOLDER_REPORT_INTERVAL_MS, () => this.round(host));
         const names = this.hosts.map(({ name }) => name);
-        const every = tellEvery(names.length);
-        const othersEveryMs = every <= TELL_OWNERS_MS ? 0 : every;
-        this.applyStep(host, shareRound(host.share, host.state.endpoints, names, this.now, othersEveryMs));
+        const every = ownerReportIntervalMs(names.length);
+        const othersEveryMs = every <= HOLDER_REPORT_INTERVAL_MS ? 0 : every;
+        this.applyStep(host, runLoadRound(host.share, host.state.endpoints, names, this.now, othersEveryMs));
     }
 
-    private applyStep(host: HostSim, { state, send, events }: ShareStep): void {
+    private applyStep(host: HostSim, { state, send, events }: LoadExchangeStep): void {
         host.share = state;
         for (const addressed of send) this.deliver(host, addressed);
         for (const event of events) this.handleEvent(host, event);
@@ -302,7 +302,7 @@
         if (!received) return;
         this.schedule(
             MESSAGE_DELAY_MS,
-            () => this.applyStep(peer, shareHear(peer.share, from.name, received, peer.state, this.now)),
+            () => this.applyStep(peer, receiveLoadMessage(peer.share, from.name, received, peer.state, this.now)),
         );
     }
 
@@ -322,7 +322,7 @@
     private perform(host: HostSim, action: SchedulerAction): void {
         if (action.kind === "ask") {
             const names = this.hosts.map(({ name }) => name);
-            return this.applyStep(host, shareAsk(host.share, action, host.state.endpoints, names, this.now));
+            return this.applyStep(host, askOwner(host.share, action, host.state.endpoints, names, this.now));
         }
         const stream = this.streams.get(action.job);
         if (!stream) return;
--- a/packages/hall/test/ownership.test.ts
+++ b/packages/hall/test/ownership.test.ts
@@ -2,18 +2,18 @@
 import test from "ava";
 import { createHash } from "node:crypto";
 import {
+    askOwner,
     capacityOf,
-    createShare,
+    createLoadExchange,
     endpointOwner,
     EQUAL_WEIGHTS,
     ownerOf,
     rank,
-    shareAsk,
-    shareRound,
+    runLoadRound,
     weightOf,
     type Weights,
     weightsOf,
-    withWeights,
+    withOwnerWeights,
 } from "../src/index.js";
 import { seeded } from "./fleet.js";
 
@@ -133,14 +133,14 @@
 test("reports and questions go to the owner by weight, also if only the weights change", t => {
     const endpoints = EndpointTable.of([createEndpoint({ id: "e1", hall: "k0", models: ["m"], memoryTokens: 9 }, 0)]);
     const { weights, owner } = otherOwner("e1");
-    const even = shareRound(createShare(owner), endpoints, HOSTS, 0);
+    const even = runLoadRound(createLoadExchange(owner), endpoints, HOSTS, 0);
     t.deepEqual(even.events.find(({ kind }) => kind === "owns"), { kind: "owns", endpoints: [] });
-    const uneven = shareRound(withWeights(even.state, weights), endpoints, HOSTS, 250);
+    const uneven = runLoadRound(withOwnerWeights(even.state, weights), endpoints, HOSTS, 250);
     t.deepEqual(uneven.events.find(({ kind }) => kind === "owns"), { kind: "owns", endpoints: ["e1"] });
     const asker = HOSTS.find(host => host !== owner)!;
     const question = { demand: {} as never, curve: zeroCurve(), z: 1, hall: "k0", exclude: [], backUp: false };
-    const asked = shareAsk(
-        withWeights(createShare(asker), weights),
+    const asked = askOwner(
+        withOwnerWeights(createLoadExchange(asker), weights),
         { kind: "ask", job: "j", endpoint: "e1", question },
         endpoints,
         HOSTS,
--- a/packages/hall/test/quarantine.test.ts
+++ b/packages/hall/test/quarantine.test.ts
@@ -1,13 +1,13 @@
 import test from "ava";
 import fc from "fast-check";
 import {
-    allNews,
-    clear,
+    allEndingNews,
+    clearRequest,
+    dropExpired,
     EMPTY_QUARANTINE,
     type EndingNews,
-    forgetOld,
-    joinNews,
-    nameOfEnded,
+    mergeNews,
+    nameOfEndedLife,
     type Quarantine,
     type QuarantineNews,
     SIMULTANEOUS_MS,
@@ -49,7 +49,7 @@
     let now = 0;
     for (const one of endings) {
         now += APART_MS;
-        state = joinNews(state, newsOf(one), now).state;
+        state = mergeNews(state, newsOf(one), now).state;
     }
     return { state, now };
 }
@@ -72,11 +72,11 @@
 test("an endpoint that restarts and ends again under its old name has had two lives", t => {
     const { state, now } = after(ending("e1@1", "a"));
     const beganAt = now + 50;
-    const name = nameOfEnded(state.endings, "e1@1", beganAt);
-    const again = joinNews(state, newsOf(ending(name, { fingerprint: "a", wasSuspect: true })), beganAt + 20).state;
+    const name = nameOfEndedLife(state.endings, "e1@1", beganAt);
+    const again = mergeNews(state, newsOf(ending(name, { fingerprint: "a", wasSuspect: true })), beganAt + 20).state;
     t.like(verdictOf(again, "a", beganAt + 20), { kind: "suspect", endings: 2 });
-    t.is(nameOfEnded(state.endings, "e1@1", now - 100), "e1@1");
-    t.is(nameOfEnded(again.endings, "e1@1", beganAt + 30), "e1@1#3");
+    t.is(nameOfEndedLife(state.endings, "e1@1", now - 100), "e1@1");
+    t.is(nameOfEndedLife(again.endings, "e1@1", beganAt + 30), "e1@1#3");
 });
 
 test("of requests that ran at the same time, the one that had just begun is the culprit", t => {
@@ -110,7 +110,7 @@
         const lives = ["1", "2", "3", "4", "5"].map(at =>
             ending(`r${rack}e${at}`, ...(at === "1" ? ["hot"] : [`x${rack}${at}`]))
         );
-        state = joinNews(state, newsOf(...lives), rack * APART_MS).state;
+        state = mergeNews(state, newsOf(...lives), rack * APART_MS).state;
     }
     t.is(verdictOf(state, "hot", 4 * APART_MS).kind, "free");
 });
@@ -118,7 +118,7 @@
 test("simultaneous endings count once for a request, unless it began there as a suspect", t => {
     const at = (wasSuspect: boolean): Verdict => {
         const lives = ["e1", "e2", "e3"].map(life => ending(life, { fingerprint: "a", wasSuspect }));
-        return verdictOf(joinNews(EMPTY_QUARANTINE, newsOf(...lives), 0).state, "a", 0);
+        return verdictOf(mergeNews(EMPTY_QUARANTINE, newsOf(...lives), 0).state, "a", 0);
     };
     t.like(at(false), { kind: "suspect", endings: 1 });
     t.like(at(true), { kind: "quarantined", endings: 3 });
@@ -126,30 +126,30 @@
 
 test("a request that runs to completion is cleared, and only later endings count against it", t => {
     const { state, now } = after(ending("e1", "a"), ending("e2", "a"));
-    const cleared = clear(state, "a", now);
+    const cleared = clearRequest(state, "a", now);
     t.is(verdictOf(cleared.state, "a", now).kind, "free");
     t.is(cleared.news?.endings.length, 2);
-    const again = joinNews(cleared.state, newsOf(ending("e3", "a")), now + APART_MS);
+    const again = mergeNews(cleared.state, newsOf(ending("e3", "a")), now + APART_MS);
     t.like(verdictOf(again.state, "a", now + APART_MS), { kind: "suspect", endings: 1 });
 });
 
 test("a request that was cleared at one host stays cleared when another host sends the ending again", t => {
     const { state, now } = after(ending("e1", "a"), ending("e2", "a"), ending("e3", "a"));
-    const cleared = clear(state, "a", now).state;
-    t.is(verdictOf(joinNews(cleared, allNews(state, now), now).state, "a", now).kind, "free");
-    t.is(verdictOf(joinNews(state, allNews(cleared, now), now).state, "a", now).kind, "free");
+    const cleared = clearRequest(state, "a", now).state;
+    t.is(verdictOf(mergeNews(cleared, allEndingNews(state, now), now).state, "a", now).kind, "free");
+    t.is(verdictOf(mergeNews(state, allEndingNews(cleared, now), now).state, "a", now).kind, "free");
 });
 
 test("a suspect runs at one endpoint at a time", t => {
     const { state, now } = after(ending("e1", "a"));
     const trial = { attempt: "r1.1", fingerprint: "a", agoMs: 0, isOver: false };
-    const running = joinNews(state, { endings: [], trials: [trial] }, now);
+    const running = mergeNews(state, { endings: [], trials: [trial] }, now);
     t.is(verdictOf(running.state, "a", now).kind, "onTrial");
     t.is(verdictOf(running.state, "a", now, { attempt: "r1.1" }).kind, "suspect");
-    const over = joinNews(running.state, { endings: [], trials: [{ ...trial, isOver: true }] }, now);
+    const over = mergeNews(running.state, { endings: [], trials: [{ ...trial, isOver: true }] }, now);
     t.is(verdictOf(over.state, "a", now).kind, "suspect");
     // News of its begin that arrives after that of its end changes nothing.
-    t.is(joinNews(over.state, { endings: [], trials: [trial] }, now).news, undefined);
+    t.is(mergeNews(over.state, { endings: [], trials: [trial] }, now).news, undefined);
     t.is(verdictOf(running.state, "a", now + MINUTE_MS).kind, "suspect");
 });
 
@@ -160,7 +160,7 @@
         t.is(verdictOf(state, "a", now + minutes * MINUTE_MS - 1).kind, "quarantined");
         now += minutes * MINUTE_MS;
         t.is(verdictOf(state, "a", now).kind, "suspect");
-        state = joinNews(state, newsOf(ending(`later-${at}`, { fingerprint: "a", wasSuspect: true })), now).state;
+        state = mergeNews(state, newsOf(ending(`later-${at}`, { fingerprint: "a", wasSuspect: true })), now).state;
     }
     t.is(verdictOf(state, "a", now + 20 * 60 * MINUTE_MS).kind, "quarantined");
 });
@@ -175,24 +175,24 @@
         verdictOf(known, "a", now, { software }).kind;
     t.is(kind(state, "v1"), "quarantined");
     t.is(kind(state, "v1", "v2"), "suspect");
-    const again = joinNews(state, newsOf(of("e4", "v2")), now).state;
+    const again = mergeNews(state, newsOf(of("e4", "v2")), now).state;
     t.is(kind(again, "v1", "v2"), "quarantined");
     t.is(kind(again, "v3"), "quarantined");
 });
 
 test("evidence without a quarantine expires after minutes, evidence for a quarantine after a day", t => {
     const { state, now } = after(ending("e1", "a"), ending("e2", "b"), ending("e3", "b"), ending("e4", "b"));
-    const later = forgetOld(state, now + 11 * MINUTE_MS);
+    const later = dropExpired(state, now + 11 * MINUTE_MS);
     t.is(verdictOf(later, "a", now + 11 * MINUTE_MS).kind, "free");
     t.is(verdictOf(later, "b", now + 11 * MINUTE_MS).kind, "quarantined");
-    t.is(forgetOld(later, now + 25 * 60 * MINUTE_MS).endings.size, 0);
+    t.is(dropExpired(later, now + 25 * 60 * MINUTE_MS).endings.size, 0);
 });
 
 test("endings of random requests displace no culprit, and the number of endings is bounded", t => {
     let { state, now } = after(ending("e1", "a"), ending("e2", "a"), ending("e3", "a"));
     for (let at = 0; at < 1_000; at++) {
         now += APART_MS;
-        state = joinNews(state, newsOf(ending(`x${at}`, `drawn-${at}`)), now).state;
+        state = mergeNews(state, newsOf(ending(`x${at}`, `drawn-${at}`)), now).state;
     }
     t.is(verdictOf(state, "a", now).kind, "quarantined");
     t.true(state.endings.size <= 256);
@@ -213,7 +213,7 @@
 const NOW = 100_000;
 
 function mergeAll(endings: readonly EndingNews[]): Quarantine {
-    return endings.reduce((state, one) => joinNews(state, newsOf(one), NOW).state, EMPTY_QUARANTINE);
+    return endings.reduce((state, one) => mergeNews(state, newsOf(one), NOW).state, EMPTY_QUARANTINE);
 }
 
 function verdicts(state: Quarantine): readonly Verdict[] {
@@ -236,11 +236,11 @@
         fc.array(endingArb, { maxLength: 12 }),
         (here, there) => {
             const [a, b] = [mergeAll(here), mergeAll(there)];
-            const atA = joinNews(a, allNews(b, NOW), NOW).state;
-            const atB = joinNews(b, allNews(a, NOW), NOW).state;
+            const atA = mergeNews(a, allEndingNews(b, NOW), NOW).state;
+            const atB = mergeNews(b, allEndingNews(a, NOW), NOW).state;
             t.deepEqual(verdicts(atA), verdicts(atB));
             t.is(atA.digest, atB.digest);
-            t.is(joinNews(atA, allNews(atB, NOW), NOW).news, undefined);
+            t.is(mergeNews(atA, allEndingNews(atB, NOW), NOW).news, undefined);
         },
     ));
 });
--- a/packages/hall/test/reachability.test.ts
+++ b/packages/hall/test/reachability.test.ts
@@ -1,30 +1,30 @@
 import test from "ava";
 import {
     doubtsOf,
+    EMPTY_REACHABILITY,
+    FAILURE_TTL_MS,
     type HallMembers,
-    hearHall,
-    loseEndpoint,
-    LOST_VALID_MS,
-    NOTHING_FOUND,
     otherHalls,
     QUIET_MS,
-    type Reach,
+    type Reachability,
+    recordFailedConnection,
+    recordHeard,
 } from "../src/index.js";
 import { Fleet } from "./fleet.js";
 
 const NOW = 100_000;
-const HALL: HallMembers = { hall: "k2", hosts: 30, relied: 30, endpoints: 11 };
+const HALL: HallMembers = { hall: "k2", hosts: 30, aliveHosts: 30, endpoints: 11 };
 
 /** Observations of a host: endpoints with the age of their failure, and the time since the hall was last heard. */
-function observed(lostAgo: Readonly<Record<string, number>>, heardAgo: number, hall = "k2"): Reach {
-    const heard = hearHall(NOTHING_FOUND, hall, NOW - heardAgo);
+function observed(lostAgo: Readonly<Record<string, number>>, heardAgo: number, hall = "k2"): Reachability {
+    const heard = recordHeard(EMPTY_REACHABILITY, hall, NOW - heardAgo);
     return Object.entries(lostAgo).reduce(
-        (reach, [endpoint, ago]) => loseEndpoint(reach, endpoint, hall, NOW - ago, NOW).state,
+        (reach, [endpoint, ago]) => recordFailedConnection(reach, endpoint, hall, NOW - ago, NOW).state,
         heard,
     );
 }
 
-function halls(reach: Reach, members: readonly HallMembers[], now = NOW): readonly string[] {
+function halls(reach: Reachability, members: readonly HallMembers[], now = NOW): readonly string[] {
     return doubtsOf(reach, members, now).halls.map(({ hall }) => hall);
 }
 
@@ -54,25 +54,25 @@
     "one failed and less than half of the hosts are alive": {
         lostAgo: { a: 10 },
         heardAgo: LONG_SILENT,
-        members: { relied: 14 },
+        members: { aliveHosts: 14 },
         isInDoubt: true,
     },
     "one failed and half of the hosts are alive": {
         lostAgo: { a: 10 },
         heardAgo: LONG_SILENT,
-        members: { relied: 15 },
+        members: { aliveHosts: 15 },
         isInDoubt: false,
     },
     "no host is alive, and none failed": {
         lostAgo: {},
         heardAgo: LONG_SILENT,
-        members: { relied: 0 },
+        members: { aliveHosts: 0 },
         isInDoubt: false,
     },
     "two failed in a hall without hosts": {
         lostAgo: { a: 10, b: 20 },
         heardAgo: LONG_SILENT,
-        members: { hosts: 0, relied: 0 },
+        members: { hosts: 0, aliveHosts: 0 },
         isInDoubt: false,
     },
 };
@@ -86,40 +86,42 @@
 test("a doubt ends as soon as anything is heard from the hall, or after a while", t => {
     const reach = observed({ a: 10, b: 20 }, LONG_SILENT);
     t.is(halls(reach, [HALL]).length, 1);
-    t.is(halls(hearHall(reach, "k2", NOW), [HALL], NOW + LONG_SILENT).length, 0);
-    t.is(halls(reach, [HALL], NOW + LOST_VALID_MS).length, 0);
+    t.is(halls(recordHeard(reach, "k2", NOW), [HALL], NOW + LONG_SILENT).length, 0);
+    t.is(halls(reach, [HALL], NOW + FAILURE_TTL_MS).length, 0);
 });
 
 test("a failed endpoint is in doubt until anything is heard from its hall, or for a while", t => {
     const reach = observed({ a: 10 }, 20);
     t.deepEqual(doubtsOf(reach, [HALL], NOW), { halls: [], endpoints: ["a"] });
-    t.deepEqual(doubtsOf(hearHall(reach, "k2", NOW), [HALL], NOW).endpoints, []);
-    t.deepEqual(doubtsOf(reach, [HALL], NOW + LOST_VALID_MS).endpoints, []);
+    t.deepEqual(doubtsOf(recordHeard(reach, "k2", NOW), [HALL], NOW).endpoints, []);
+    t.deepEqual(doubtsOf(reach, [HALL], NOW + FAILURE_TTL_MS).endpoints, []);
     t.deepEqual(doubtsOf(reach, [{ ...HALL, hosts: 0 }], NOW).endpoints, [], "nobody there would end the doubt");
 });
 
 test("silence and failures of one hall do not put another in doubt", t => {
-    const reach = hearHall(observed({ a: 10, b: 20 }, LONG_SILENT, "k3"), "k2", NOW - 10);
+    const reach = recordHeard(observed({ a: 10, b: 20 }, LONG_SILENT, "k3"), "k2", NOW - 10);
     t.deepEqual(halls(reach, [HALL, { ...HALL, hall: "k3" }]), ["k3"]);
 });
 
 test("a failure is news once, and not if it has expired or the hall was heard since", t => {
     const reach = observed({ a: 10 }, LONG_SILENT);
     const isNews = (endpoint: string, ago: number): boolean =>
-        loseEndpoint(reach, endpoint, "k2", NOW - ago, NOW).isNews;
+        recordFailedConnection(reach, endpoint, "k2", NOW - ago, NOW).isNews;
     t.false(isNews("a", 0));
     t.false(isNews("a", 900));
     t.true(isNews("b", 900));
     t.false(isNews("b", LONG_SILENT + 1));
-    t.true(loseEndpoint(reach, "a", "k2", NOW + 2_000, NOW + 2_000).isNews);
-    t.false(loseEndpoint(NOTHING_FOUND, "b", "k2", NOW - LOST_VALID_MS, NOW).isNews);
+    t.true(recordFailedConnection(reach, "a", "k2", NOW + 2_000, NOW + 2_000).isNews);
+    t.false(recordFailedConnection(EMPTY_REACHABILITY, "b", "k2", NOW - FAILURE_TTL_MS, NOW).isNews);
 });
 
 test("repeated failures of an endpoint are kept once, and old ones are dropped", t => {
-    let reach = NOTHING_FOUND;
-    for (let at = 0; at < 100; at++) reach = loseEndpoint(reach, `e${at % 7}`, "k2", at * 300, at * 300).state;
-    t.is(reach.lost.size, 7);
-    t.deepEqual([...loseEndpoint(reach, "e1", "k2", 1e6, 1e6).state.lost.keys()], ["e1"]);
+    let reach = EMPTY_REACHABILITY;
+    for (let at = 0; at < 100; at++) {
+        reach = recordFailedConnection(reach, `e${at % 7}`, "k2", at * 300, at * 300).state;
+    }
+    t.is(reach.failedEndpoints.size, 7);
+    t.deepEqual([...recordFailedConnection(reach, "e1", "k2", 1e6, 1e6).state.failedEndpoints.keys()], ["e1"]);
 });
 
 test("the hosts of other halls are counted by the detector's view: dead ones are included, leaving ones are not", t => {
--- a/packages/hall/test/speed-encoding.test.ts
+++ b/packages/hall/test/speed-encoding.test.ts
@@ -5,26 +5,26 @@
     createScheduler,
     decide,
     DEFAULT_VARIANT,
-    estimateOf,
-    knownSpeed,
+    endpointSlowness,
     type SchedulerEvent,
     type SchedulerState,
+    speedEstimateOf,
 } from "@drumpaddle/policy";
 import test from "ava";
 import { makeJob } from "../../policy/test/job.js";
 import {
-    createShare,
+    createLoadExchange,
     decodeSamples,
     decodeSpeed,
+    ENCODED_SAMPLES_LENGTH,
+    encodeSamples,
+    encodeSpeed,
     endpointOwner,
-    shareHear,
-    type ShareMessage,
-    shareRound,
-    type ShareState,
-    type ShareStep,
-    SHOWN_WORDS,
-    shownWords,
-    speedWords,
+    type LoadExchange,
+    type LoadExchangeStep,
+    type LoadMessage,
+    receiveLoadMessage,
+    runLoadRound,
 } from "../src/index.js";
 
 const ENDPOINTS = ["e1", "e2", "e3", "e4"];
@@ -36,11 +36,11 @@
 /** One of three simulated hosts, whose messages arrive at once. */
 class SimHost {
     scheduler: SchedulerState = createScheduler(DEFAULT_VARIANT, 1);
-    exchange: ShareState;
+    exchange: LoadExchange;
     private streams = 0;
 
     constructor(readonly name: string, private readonly peers: Map<string, SimHost>) {
-        this.exchange = createShare(name);
+        this.exchange = createLoadExchange(name);
         peers.set(name, this);
         const endpoints = ENDPOINTS.map(id => ({ id, hall: "h", models: ["m"], memoryTokens: 30_000 }));
         this.apply({ kind: "endpoints", endpoints }, 0);
@@ -51,18 +51,18 @@
     }
 
     /** Runs a round and returns the messages, which are delivered unless they are lost. */
-    round(now: number, lost = false): readonly ShareMessage[] {
-        const step = shareRound(this.exchange, this.scheduler.endpoints, HOSTS, now);
+    round(now: number, lost = false): readonly LoadMessage[] {
+        const step = runLoadRound(this.exchange, this.scheduler.endpoints, HOSTS, now);
         this.applyStep(step, now, lost);
         return step.send.map(({ message }) => message);
     }
 
-    private applyStep({ state, send, events }: ShareStep, now: number, lost = false): void {
+    private applyStep({ state, send, events }: LoadExchangeStep, now: number, lost = false): void {
         this.exchange = state;
         for (const event of events) this.apply(event, now);
         for (const { to, message } of lost ? [] : send) {
             const peer = this.peers.get(to)!;
-            peer.applyStep(shareHear(peer.exchange, this.name, message, peer.scheduler, now), now);
+            peer.applyStep(receiveLoadMessage(peer.exchange, this.name, message, peer.scheduler, now), now);
         }
     }
 
@@ -94,10 +94,10 @@
 
 /** Weight of a host's estimate of an endpoint's speed. */
 function estimateWeight({ scheduler }: SimHost, endpoint: string, now: number): number {
-    return estimateOf(scheduler.endpoints.get(endpoint)!.speed, now).weight;
+    return speedEstimateOf(scheduler.endpoints.get(endpoint)!.speed, now).weight;
 }
 
-function samplesIn(messages: readonly ShareMessage[]): number {
+function samplesIn(messages: readonly LoadMessage[]): number {
     return messages.flatMap(message => message.kind === "held" ? message.held : [])
         .reduce((sum, { shown }) => sum + (shown ? decodeSamples(shown).stretches : 0), 0);
 }
@@ -133,7 +133,7 @@
     for (const member of all) member.round(20_000);
     const speedOf = (member: SimHost, endpoint: string): number => {
         const { scheduler } = member;
-        return Math.exp(knownSpeed(scheduler, scheduler.endpoints.get(endpoint)!, 20_000).log);
+        return Math.exp(endpointSlowness(scheduler, scheduler.endpoints.get(endpoint)!, 20_000).logRatio);
     };
     for (const member of all) t.true(speedOf(member, "e1") > 1.4 * speedOf(member, "e2"), member.name);
     t.is(other.scheduler.endpoints.get("e1")!.shown.stretches, 0);
@@ -149,10 +149,10 @@
         gapMs: 90.26,
         longestMs: 301.11,
     };
-    const words = shownWords(shown);
-    t.is(words.length, SHOWN_WORDS);
+    const words = encodeSamples(shown);
+    t.is(words.length, ENCODED_SAMPLES_LENGTH);
     t.deepEqual(decodeSamples(words), { ...shown, firstMs: 812.3, gapMs: 90.3, longestMs: 301.1 });
-    t.deepEqual(decodeSpeed(speedWords({ value: -0.4704, weight: 61.3, ageMs: 20.5 })), {
+    t.deepEqual(decodeSpeed(encodeSpeed({ value: -0.4704, weight: 61.3, ageMs: 20.5 })), {
         value: -0.47,
         weight: 61,
         ageMs: 21,
--- a/packages/hall/test/store-hall.ts
+++ b/packages/hall/test/store-hall.ts
@@ -5,16 +5,16 @@
  * @module
  */
 import {
-    createFollowing,
-    type Following,
-    hearProgress,
-    hearWatcher,
+    createWatcherView,
     isAfter,
-    planFollowing,
+    planWatching,
+    recordPeerProgress,
+    recordWatcherReport,
     type StorePosition,
+    WATCHER_REPORT_INTERVAL_MS,
+    type WatcherView,
     type WatchReason,
     type Weights,
-    WORD_EVERY_MS,
 } from "../src/index.js";
 import { seeded } from "./fleet.js";
 import { VirtualClock } from "./virtual-clock.js";
@@ -27,7 +27,7 @@
 /** A host of the hall. */
 export interface HallHost {
     readonly name: string;
-    following: Following;
+    following: WatcherView;
     position: StorePosition;
     freshAt: number;
     reason: WatchReason | undefined;
@@ -55,7 +55,7 @@
         this.random = seeded(seed);
         this.hosts = Array.from({ length: count }, (_, at) => ({
             name: `h${String(at).padStart(3, "0")}`,
-            following: createFollowing(`h${String(at).padStart(3, "0")}`, 0),
+            following: createWatcherView(`h${String(at).padStart(3, "0")}`, 0),
             position: this.position,
             freshAt: 0,
             reason: undefined,
@@ -68,7 +68,7 @@
             calls: 1,
         }));
         for (const [at, host] of this.hosts.entries()) {
-            this.every(WORD_EVERY_MS, host, () => this.plan(host));
+            this.every(WATCHER_REPORT_INTERVAL_MS, host, () => this.plan(host));
             this.every(ROUND_MS, host, turn => this.exchange(host, at, turn));
         }
     }
@@ -104,7 +104,7 @@
     private plan(host: HallHost): void {
         const names = this.running.map(({ name }) => name);
         const { hears, freshAt } = host;
-        const { state, reason, says } = planFollowing(
+        const { state, reason, shouldReport: says } = planWatching(
             host.following,
             names,
             { hears, freshAt, seeking: true },
@@ -167,7 +167,7 @@
     }
 
     private receiveReport(host: HallHost, from: HallHost, name: string, hears: boolean, position: StorePosition): void {
-        host.following = hearWatcher(host.following, name, hears, this.now);
+        host.following = recordWatcherReport(host.following, name, hears, this.now);
         if (hears) host.freshAt = Math.max(host.freshAt, this.now);
         if (isAfter(position, host.position)) this.requestState(host, from);
     }
@@ -195,7 +195,7 @@
         host.freshAt = Math.max(host.freshAt, from.freshAt);
         const theirs = { ...from.position, version: 0 };
         const own = { ...host.position, version: 0 };
-        const { state, asks } = hearProgress(host.following, theirs, own, this.now);
+        const { state, asks } = recordPeerProgress(host.following, theirs, own, this.now);
         host.following = state;
         if (asks) this.requestState(host, from);
     }
--- a/packages/hall/test/store-watchers.test.ts
+++ b/packages/hall/test/store-watchers.test.ts
@@ -1,13 +1,13 @@
 import test from "ava";
 import {
-    createFollowing,
-    type Following,
-    hearProgress,
-    hearWatcher,
-    planFollowing,
+    createWatcherView,
+    planWatching,
     rank,
+    recordPeerProgress,
+    recordWatcherReport,
     type StoreProgress,
-    WORD_VALID_MS,
+    WATCHER_REPORT_TTL_MS,
+    type WatcherView,
 } from "../src/index.js";
 import { type HallHost, StoreHall } from "./store-hall.js";
 
@@ -145,8 +145,8 @@
     const behind = [{ ...at, epoch: 1, revision: 42 }, { ...at, revision: 37 }, { ...at, version: 90 }, at];
     const further = [{ ...at, epoch: 3, revision: 1 }, { ...at, revision: 39 }, { ...at, version: 97 }];
     const asks = (theirs: StoreProgress): boolean => {
-        const { state } = hearProgress(createFollowing("a", 0), theirs, at, START);
-        return hearProgress(state, theirs, at, START + 1_000).asks;
+        const { state } = recordPeerProgress(createWatcherView("a", 0), theirs, at, START);
+        return recordPeerProgress(state, theirs, at, START + 1_000).asks;
     };
     t.deepEqual(behind.map(asks), behind.map(() => false));
     t.deepEqual(further.map(asks), further.map(() => true));
@@ -155,34 +155,34 @@
 test("a host without any watcher's report watches by itself, and one with a report does not", t => {
     // The last by rank: it is no watcher even when the first four are silent.
     const self = rank("store-watch", HOSTS).at(-1)!;
-    let state: Following = createFollowing(self, 0);
-    for (const host of HOSTS) state = host === self ? state : hearWatcher(state, host, true, START);
+    let state: WatcherView = createWatcherView(self, 0);
+    for (const host of HOSTS) state = host === self ? state : recordWatcherReport(state, host, true, START);
     const heard = { hears: undefined, freshAt: START, seeking: true };
-    state = planFollowing(state, HOSTS, heard, START).state;
-    t.is(planFollowing(state, HOSTS, heard, START + WORD_VALID_MS).reason, undefined);
-    t.is(planFollowing(state, HOSTS, heard, START + 2 * WORD_VALID_MS).reason, "alone");
-    const deaf = hearWatcher(state, HOSTS[0]!, false, START + 2 * WORD_VALID_MS);
-    t.is(planFollowing(deaf, HOSTS, heard, START + 2 * WORD_VALID_MS).reason, undefined);
+    state = planWatching(state, HOSTS, heard, START).state;
+    t.is(planWatching(state, HOSTS, heard, START + WATCHER_REPORT_TTL_MS).reason, undefined);
+    t.is(planWatching(state, HOSTS, heard, START + 2 * WATCHER_REPORT_TTL_MS).reason, "alone");
+    const deaf = recordWatcherReport(state, HOSTS[0]!, false, START + 2 * WATCHER_REPORT_TTL_MS);
+    t.is(planWatching(deaf, HOSTS, heard, START + 2 * WATCHER_REPORT_TTL_MS).reason, undefined);
 });
 
 test("a host that is alone watches, but not before it knows that it is alone", t => {
-    const state = createFollowing("a", 0);
+    const state = createWatcherView("a", 0);
     const heard = { hears: undefined, freshAt: 0, seeking: true };
-    t.is(planFollowing(state, ["a"], heard, 0).reason, undefined);
-    t.is(planFollowing(state, ["a"], heard, START).reason, "first");
-    t.is(planFollowing(state, ["a"], { ...heard, seeking: false }, 0).reason, "first", "it looks for nobody");
+    t.is(planWatching(state, ["a"], heard, 0).reason, undefined);
+    t.is(planWatching(state, ["a"], heard, START).reason, "first");
+    t.is(planWatching(state, ["a"], { ...heard, seeking: false }, 0).reason, "first", "it looks for nobody");
 });
 
 test("a host that the store did not answer does not become a watcher again at once", t => {
     const self = rank("store-watch", HOSTS)[0]!;
-    const hearAll = (state: Following, now: number): Following =>
-        HOSTS.filter(host => host !== self).reduce((known, host) => hearWatcher(known, host, true, now), state);
-    let state = hearAll(createFollowing(self, 0), START);
-    t.is(planFollowing(state, HOSTS, { hears: true, freshAt: START, seeking: true }, START).reason, "first");
-    state = planFollowing(state, HOSTS, { hears: true, freshAt: START, seeking: true }, START).state;
-    const failed = planFollowing(state, HOSTS, { hears: false, freshAt: START, seeking: true }, START + 10);
-    t.true(failed.says, "it says so once, so that the next takes its place");
-    const after = planFollowing(
+    const hearAll = (state: WatcherView, now: number): WatcherView =>
+        HOSTS.filter(host => host !== self).reduce((known, host) => recordWatcherReport(known, host, true, now), state);
+    let state = hearAll(createWatcherView(self, 0), START);
+    t.is(planWatching(state, HOSTS, { hears: true, freshAt: START, seeking: true }, START).reason, "first");
+    state = planWatching(state, HOSTS, { hears: true, freshAt: START, seeking: true }, START).state;
+    const failed = planWatching(state, HOSTS, { hears: false, freshAt: START, seeking: true }, START + 10);
+    t.true(failed.shouldReport, "it says so once, so that the next takes its place");
+    const after = planWatching(
         failed.state,
         HOSTS,
         { hears: undefined, freshAt: START, seeking: true },
@@ -191,7 +191,7 @@
     t.is(after.reason, undefined);
     const later = START + 4_000;
     t.is(
-        planFollowing(
+        planWatching(
             hearAll(after.state, later),
             HOSTS,
             { hears: undefined, freshAt: later, seeking: true },
--- a/packages/hall/test/uneven-faults.test.ts
+++ b/packages/hall/test/uneven-faults.test.ts
@@ -2,7 +2,7 @@
  * Endpoints of three speeds while their owner is silent, or a host reports false samples.
  */
 import test from "ava";
-import { decodeSamples, endpointOwner, type ShareMessage, shownWords } from "../src/index.js";
+import { decodeSamples, encodeSamples, endpointOwner, type LoadMessage } from "../src/index.js";
 import { UNEVEN } from "./loads.js";
 import { checkUneven } from "./uneven-tests.js";
 
@@ -19,13 +19,13 @@
 test("a host reports false samples", t => checkUneven(t, { ...LOAD, transform: exaggerate }, SEEDS));
 
 /** Changes one host's reports: its samples are a thousand times too slow or too fast. */
-function exaggerate(from: string, message: ShareMessage): ShareMessage {
+function exaggerate(from: string, message: LoadMessage): LoadMessage {
     if (from !== HOSTS[3] || message.kind !== "held") return message;
     const held = message.held.map((item, at) => {
         if (!item.shown) return item;
         const times = at % 2 === 0 ? 1_000 : 0.001;
         const told = decodeSamples(item.shown);
-        const shown = shownWords({
+        const shown = encodeSamples({
             ...told,
             firstMs: told.firstMs * times,
             gapMs: told.gapMs * times,
--- a/packages/hall/test/uneven-fleet.test.ts
+++ b/packages/hall/test/uneven-fleet.test.ts
@@ -4,10 +4,10 @@
 import test from "ava";
 import {
     liveHosts,
-    liveInHall,
+    liveHostsInHall,
     ownerOf,
     rank,
-    ratedHosts,
+    selfAndAliveMembers,
     WATCHERS_PER_HALL,
     weightOf,
     type Weights,
@@ -35,7 +35,7 @@
 }
 
 function weightsAt(host: SimHost, now: number): Weights {
-    return weightsOf(ratedHosts(host.state.membership, now));
+    return weightsOf(selfAndAliveMembers(host.state.membership, now));
 }
 
 /** The owner of each key in a host's view. */
@@ -47,7 +47,7 @@
 
 /** The watchers of its hall in a host's view. */
 function watchersBy(host: SimHost, now: number): string {
-    const live = liveInHall(host.state.membership, now);
+    const live = liveHostsInHall(host.state.membership, now);
     return rank("store-watch", live, weightsAt(host, now)).slice(0, WATCHERS_PER_HALL).join();
 }
 
--- a/packages/hall/test/uneven-large.test.ts
+++ b/packages/hall/test/uneven-large.test.ts
@@ -1,7 +1,7 @@
 /**
  * Endpoints of three speeds and 300 hosts, each of which gets two requests per minute.
  */
-import { knownSpeed, type SchedulerState } from "@drumpaddle/policy";
+import { endpointSlowness, type SchedulerState } from "@drumpaddle/policy";
 import test from "ava";
 import { replay } from "./load-fleet.js";
 import { UNEVEN } from "./loads.js";
@@ -18,9 +18,9 @@
 function slownessOf(owner: SchedulerState, kind: number): readonly number[] {
     return owner.endpoints.values()
         .filter(({ cfg }) => engineOf(cfg.id) % KINDS === kind)
-        .map(view => knownSpeed(owner, view, RUN_MS))
+        .map(view => endpointSlowness(owner, view, RUN_MS))
         .filter(({ ageMs }) => ageMs !== undefined)
-        .map(({ log }) => log);
+        .map(({ logRatio: log }) => log);
 }
 
 function mean(values: readonly number[]): number {
--- a/packages/host/src/calls/callers-server.ts
+++ b/packages/host/src/calls/callers-server.ts
@@ -64,14 +64,14 @@
         memory.onGiveUp = () => reply.raw.destroy();
         reply.raw.on("close", () => memory.close());
         const bytes = Math.min(declaredLength(req.raw) ?? 0, MAX_BODY_BYTES);
-        if (bytes === 0 || memory.takeIn(bytes)) return done();
+        if (bytes === 0 || memory.reserveBody(bytes)) return done();
         host.metrics.countOutcome(FailCode.MemoryFull, "no");
         reply.hijack();
         writeError(reply.raw, MEMORY_FULL, { "x-request-id": req.id });
     });
     app.addHook("preParsing", (req, _reply, payload, done) => {
         const onData = (chunk: Buffer): void => {
-            if (memories.get(req.raw)!.takeIn(chunk.length)) return;
+            if (memories.get(req.raw)!.reserveBody(chunk.length)) return;
             payload.off("data", onData);
             payload.emit("error", new BodyMemoryError());
         };
@@ -81,7 +81,7 @@
 }
 
 /** Creates the server for callers; it does not listen yet. */
-export function createCallers(host: Host, tls: { cert: string; key: string } | undefined): FastifyInstance {
+export function createCallersServer(host: Host, tls: { cert: string; key: string } | undefined): FastifyInstance {
     const app = Fastify({
         bodyLimit: MAX_BODY_BYTES,
         requestTimeout: host.cfg["callers.body-timeout"],
--- a/packages/host/src/calls/forward-attempt.ts
+++ b/packages/host/src/calls/forward-attempt.ts
@@ -73,7 +73,7 @@
     /** Called with what the endpoint states about itself, if the answer is certainly its own. */
     readonly onSelfReport: (status: number, head: AnswerHead) => void;
     /** Called when the endpoint refuses the call because it is not the incarnation that the call names. */
-    readonly onOtherIncarnation: () => void;
+    readonly onMisdirected: () => void;
     /** Aborts when the endpoint's incarnation is known to be over: its connection may stay silent forever. */
     readonly life: AbortSignal;
     readonly signal: AbortSignal;
@@ -229,7 +229,7 @@
     private reportRefusal(): void {
         this.hasEnded = true;
         this.releaseConnection();
-        if (this.status === MISDIRECTED) this.attempt.onOtherIncarnation();
+        if (this.status === MISDIRECTED) this.attempt.onMisdirected();
         const detail = `the endpoint refused with ${this.status}`;
         this.attempt.sink.report({ kind: "endpointRefused", attempt: this.attempt.id, detail });
     }
--- a/packages/host/src/calls/forward-call.ts
+++ b/packages/host/src/calls/forward-call.ts
@@ -7,19 +7,19 @@
 import type { EndpointEntry, EngineCfg, Life, Route, RouteTable, WorkspaceCfg } from "@drumpaddle/routes";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { EndpointConnections } from "../endpoints/endpoint-connections.js";
-import type { EndpointWords } from "../endpoints/endpoint-notices.js";
-import type { LifeSignals } from "../endpoints/incarnation-signals.js";
+import type { EndpointNotices } from "../endpoints/endpoint-notices.js";
+import type { IncarnationSignals } from "../endpoints/incarnation-signals.js";
 import type { Placement } from "../endpoints/placement.js";
 import type { RequestGuard } from "../endpoints/request-guard.js";
 import type { CallMemory } from "../runtime/call-memory.js";
 import type { HostMemory } from "../runtime/host-memory.js";
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
-import type { Copies } from "./generation-copies.js";
-import type { OpenRuns } from "./host.js";
+import type { GenerationCopies } from "./generation-copies.js";
+import type { OpenRequests } from "./host.js";
 
 /** State and services that the calls of one gateway share. */
-export interface Forwarding {
+export interface GatewayContext {
     readonly wire: PlatformWire;
     readonly clock: Clock;
     readonly log: Log;
@@ -29,15 +29,15 @@
     readonly engines: Placement;
     /** Schedules calls of plain services. */
     readonly plain: Placement;
-    readonly runs: OpenRuns;
-    readonly copies: Copies;
+    readonly runs: OpenRequests;
+    readonly copies: GenerationCopies;
     /** Accounts for the memory that calls hold. */
     readonly memory: HostMemory;
     /** Receives what endpoints state about themselves in their answers, such as a limit. */
-    readonly words: EndpointWords;
+    readonly words: EndpointNotices;
     readonly signal: AbortSignal;
     /** Time limit for a caller to send a body, in milliseconds. */
-    readonly bodyMs: number;
+    readonly bodyTimeoutMs: number;
     /** Whether each call is logged. */
     readonly logCalls: boolean;
     /** Whether the host has file descriptors left for one more call. */
@@ -51,17 +51,17 @@
     /** Whether the operator has evacuated a hall. */
     isEvacuated(hall: string): boolean;
     /** Returns the halls that lie in some regions. */
-    hallsIn(homes: readonly string[]): readonly string[];
+    hallsInRegions(homes: readonly string[]): readonly string[];
     /** Returns the software versions of a service's endpoints that accept new work. */
-    softwareOf(service: string): readonly string[];
+    softwareVersionsOf(service: string): readonly string[];
     /** When the host exits, in milliseconds on the monotonic clock; undefined unless it is shutting down. */
-    endsAt(): number | undefined;
+    exitsAt(): number | undefined;
     /** Signals that abort when an incarnation of an endpoint is over. */
-    readonly lives: LifeSignals;
+    readonly lives: IncarnationSignals;
     /** Withholds requests that crash the endpoints that run them. */
     readonly guard: RequestGuard;
     /** Called when an endpoint refused a call because another incarnation runs at its address. */
-    onOtherIncarnation(incarnation: string): void;
+    onMisdirected(incarnation: string): void;
     /** Called when a later incarnation of an endpoint has answered than the one that was called. */
     meetLife(life: Life): void;
 }
--- a/packages/host/src/calls/forward-job.ts
+++ b/packages/host/src/calls/forward-job.ts
@@ -5,7 +5,7 @@
  */
 import type { Job, JobPolicy, Priority } from "@drumpaddle/policy";
 import { plainModel } from "../endpoints/plain-model.js";
-import type { ForwardCall, Forwarding } from "./forward-call.js";
+import type { ForwardCall, GatewayContext } from "./forward-call.js";
 
 /** Maximum number of calls that wait on a host. */
 const MAX_WAITING_CALLS = 500;
@@ -63,8 +63,8 @@
  * Returns the halls that may serve a call: those in the home regions of both its route and its workspace; undefined if
  * all may.
  */
-export function hallsOf(deps: Forwarding, { route, workspace }: ForwardCall): readonly string[] | undefined {
-    const allowedHalls = [route.homes, workspace?.homes].flatMap(homes => homes ? [deps.hallsIn(homes)] : []);
+export function hallsOf(deps: GatewayContext, { route, workspace }: ForwardCall): readonly string[] | undefined {
+    const allowedHalls = [route.homes, workspace?.homes].flatMap(homes => homes ? [deps.hallsInRegions(homes)] : []);
     if (allowedHalls.length === 0) return undefined;
     return allowedHalls.reduce((both, halls) => both.filter(hall => halls.includes(hall)));
 }
--- a/packages/host/src/calls/forward-runner.ts
+++ b/packages/host/src/calls/forward-runner.ts
@@ -7,7 +7,7 @@
 import type { AnswerHead } from "@drumpaddle/protocol";
 import { type CallProgress, continuationOf, knownStandby, recordProgress, sentBefore } from "./call-progress.js";
 import { type AnswerPiece, startAttempt } from "./forward-attempt.js";
-import type { ForwardCall, Forwarding } from "./forward-call.js";
+import type { ForwardCall, GatewayContext } from "./forward-call.js";
 import { rankOf } from "./forward-job.js";
 import { silenceCfgOf } from "./forward-silence.js";
 import { guardAttempt } from "./guard-attempt.js";
@@ -15,7 +15,7 @@
 
 /** Creates the runner of one call; its attempts update `progress`. */
 export function forwardRunner(
-    deps: Forwarding,
+    deps: GatewayContext,
     call: ForwardCall,
     progress: CallProgress,
     fingerprint: string,
@@ -81,8 +81,8 @@
                     endpoint,
                     signal,
                 }),
-                whenRoom: resume => memory.whenRoom(resume),
-                holdLimit: () => memory.holdLimit,
+                whenRoom: resume => memory.whenReadable(resume),
+                holdLimit: () => memory.maxHeldAnswerBytes,
                 onHeld: bytes => memory.hold(HeldKind.Answer, bytes + (progress.failedAnswer?.body.length ?? 0)),
                 trackBodyStall: unreadMs => memory.bodyStuckMs = unreadMs,
                 onBodyUnread: (bytes, ms) => progress.bodyUnread = { bytes, ms },
@@ -92,8 +92,8 @@
                     if (continueAt !== undefined) logContinuation(deps, head.id, incarnation, status, answer);
                 },
                 onSelfReport: (status, said) => deps.words.heard(incarnation, status, said),
-                onOtherIncarnation: () => deps.onOtherIncarnation(incarnation),
-                life: deps.lives.of(incarnation),
+                onMisdirected: () => deps.onMisdirected(incarnation),
+                life: deps.lives.signalOf(incarnation),
                 signal,
             });
         },
@@ -111,7 +111,7 @@
 
 /** Logs the answer of an endpoint that was asked to continue a stream. */
 function logContinuation(
-    deps: Forwarding,
+    deps: GatewayContext,
     req: string,
     endpoint: string,
     status: number,
--- a/packages/host/src/calls/forward-server.ts
+++ b/packages/host/src/calls/forward-server.ts
@@ -11,7 +11,7 @@
 /** Dependencies of the server. */
 export interface ForwardServerDeps {
     /** Time limit for a caller to send a complete request, in milliseconds. */
-    readonly requestMs: number;
+    readonly requestTimeoutMs: number;
     /** Aborts the answers that are still running when the host exits. */
     readonly signal: AbortSignal;
     onCall(req: IncomingMessage, target: string, out: ServerResponse): void;
@@ -33,11 +33,11 @@
     const app = Fastify({
         // Routes every request to one handler; `originalUrl` keeps the target as it was sent.
         rewriteUrl: () => "/",
-        requestTimeout: deps.requestMs,
+        requestTimeout: deps.requestTimeoutMs,
         http: {
             maxHeaderSize: MAX_HEAD_BYTES,
-            requestTimeout: deps.requestMs,
-            headersTimeout: deps.requestMs,
+            requestTimeout: deps.requestTimeoutMs,
+            headersTimeout: deps.requestTimeoutMs,
             connectionsCheckingInterval: LATE_REQUEST_CHECK_MS,
         },
         forceCloseConnections: "idle",
@@ -62,7 +62,7 @@
 }
 
 /** Applies a deployment's limits on callers. */
-export function applyLimits(app: FastifyInstance, limits: CallerLimits): void {
+export function applyCallerLimits(app: FastifyInstance, limits: CallerLimits): void {
     app.server.headersTimeout = limits.headerMs + IDLE_MARGIN_MS;
     app.server.keepAliveTimeout = limits.idleMs + IDLE_MARGIN_MS;
 }
--- a/packages/host/src/calls/forward-silence.ts
+++ b/packages/host/src/calls/forward-silence.ts
@@ -6,7 +6,7 @@
 import { errText } from "@drumpaddle/protocol";
 import { compareLives, type EndpointEntry, LifeOrder } from "@drumpaddle/routes";
 import { callEndpoint } from "../endpoints/call-endpoint.js";
-import type { ForwardCall, Forwarding } from "./forward-call.js";
+import type { ForwardCall, GatewayContext } from "./forward-call.js";
 import type { SilenceCfg } from "./silence-watch.js";
 
 /**
@@ -27,7 +27,7 @@
  * Returns when a stream counts as lost; undefined if no standby receives a copy of it or its route sets no maximum gap.
  */
 export function silenceCfgOf(
-    deps: Forwarding,
+    deps: GatewayContext,
     { head, route: { gapMs } }: ForwardCall,
     endpoint: EndpointEntry,
     backUp: string | undefined,
@@ -39,7 +39,7 @@
         lostAfterMs: gapMs * LOST_GAPS,
         awakeMs,
         isAlive: () => probeLife(deps, endpoint),
-        canContinue: () => deps.engines.canGoOn(head.id),
+        canContinue: () => deps.engines.canContinue(head.id),
     };
 }
 
@@ -47,10 +47,10 @@
  * Probes whether the incarnation of an endpoint is still alive. An endpoint that does not answer gets no new work for a
  * while. A later incarnation that answers at the address does not have the streams of the earlier one.
  */
-async function probeLife(deps: Forwarding, endpoint: EndpointEntry): Promise<boolean> {
+async function probeLife(deps: GatewayContext, endpoint: EndpointEntry): Promise<boolean> {
     const { id, address, incarnation } = endpoint;
     // An endpoint that limits its requests may not be probed: it is slow rather than gone.
-    if (!deps.engines.mayAsk(incarnation)) return true;
+    if (!deps.engines.admitsControlCall(incarnation)) return true;
     try {
         const { status, body } = await callEndpoint(address, deps.wire.stayCall(), PROBE_TIMEOUT_MS, deps.signal);
         const stay = deps.wire.readStay(status, body);
--- a/packages/host/src/calls/forward.ts
+++ b/packages/host/src/calls/forward.ts
@@ -14,7 +14,7 @@
 import { CallerQueue } from "./caller-queue.js";
 import { fingerprintOf } from "./fingerprint.js";
 import type { AnswerPiece } from "./forward-attempt.js";
-import type { ForwardCall, Forwarding } from "./forward-call.js";
+import type { ForwardCall, GatewayContext } from "./forward-call.js";
 import { hallsOf, jobOf } from "./forward-job.js";
 import { forwardReply, writeOwnAnswer } from "./forward-reply.js";
 import { forwardRunner } from "./forward-runner.js";
@@ -66,7 +66,12 @@
 } as const satisfies Record<string, ApiError>;
 
 /** Serves a call. Every call gets an answer or an aborted connection. */
-export function forward(deps: Forwarding, req: IncomingMessage, target: string, out: ServerResponse): void {
+export function serveForwardedCall(
+    deps: GatewayContext,
+    req: IncomingMessage,
+    target: string,
+    out: ServerResponse,
+): void {
     const arrivedAt = deps.clock.now();
     const parsed = deps.wire.readCall(req.rawHeaders);
     if (!parsed.ok) {
@@ -107,15 +112,15 @@
 }
 
 /** Reads the caller's body, if there is memory for it, and starts the call. */
-function readBodyAndStart(deps: Forwarding, call: ForwardCall, maxBytes: number): void {
+function readBodyAndStart(deps: GatewayContext, call: ForwardCall, maxBytes: number): void {
     const { req, out, head, memory } = call;
     const refuseFull = (): void => refuse(deps, out, head.id, REFUSALS.memoryFull, { ...deps.memory.state });
     const bytes = Math.min(declaredLength(req) ?? 0, maxBytes);
-    if (bytes > 0 && !memory.takeIn(bytes)) return refuseFull();
+    if (bytes > 0 && !memory.reserveBody(bytes)) return refuseFull();
     const reading = new AbortController();
     memory.onGiveUp = () => reading.abort();
-    const reserve = (more: number): boolean => memory.takeIn(more);
-    void readBody(req, { maxBytes, timeoutMs: deps.bodyMs, reserve, signal: reading.signal }).then(
+    const reserve = (more: number): boolean => memory.reserveBody(more);
+    void readBody(req, { maxBytes, timeoutMs: deps.bodyTimeoutMs, reserve, signal: reading.signal }).then(
         body => {
             if (body.kind === "whole") start(deps, call, body.bytes);
             else if (body.kind === "tooLarge") refuse(deps, out, head.id, REFUSALS.bodyTooLarge);
@@ -127,16 +132,21 @@
 }
 
 /** Whether a call of a route that starts now ends before the host exits. Streams may outlast any shutdown. */
-function canFinish(deps: Forwarding, route: Route): boolean {
-    const endsAt = deps.endsAt();
+function canFinish(deps: GatewayContext, route: Route): boolean {
+    const endsAt = deps.exitsAt();
     if (endsAt === undefined) return true;
     return route.kind !== RouteKind.Stream && deps.clock.now() + route.timeoutMs < endsAt;
 }
 
 /** Refuses a request that the guard withholds. */
-function refuseWithheld(deps: Forwarding, { head, out }: ForwardCall, fingerprint: string, withheld: Withheld): void {
+function refuseWithheld(
+    deps: GatewayContext,
+    { head, out }: ForwardCall,
+    fingerprint: string,
+    withheld: Withheld,
+): void {
     const { code, detail, retryAfterMs } = withheld;
-    deps.guard.refused(head.id, fingerprint, withheld);
+    deps.guard.recordRefusal(head.id, fingerprint, withheld);
     deps.metrics.countOutcome("refused", "no");
     const err = toApiError(notRunError(code, detail, retryAfterMs));
     writeOwnAnswer(out, deps.wire, { callId: head.id, err, close: deps.runs.stopping });
@@ -148,7 +158,7 @@
 }
 
 function refuse(
-    deps: Forwarding,
+    deps: GatewayContext,
     out: ServerResponse,
     callId: string | undefined,
     err: ApiError,
@@ -161,7 +171,7 @@
     writeOwnAnswer(out, deps.wire, { callId, err, close });
 }
 
-function start(deps: Forwarding, call: ForwardCall, body: Buffer | undefined): void {
+function start(deps: GatewayContext, call: ForwardCall, body: Buffer | undefined): void {
     const { arrivedAt, out, head, route, engine, memory } = call;
     if (out.destroyed) return;
     // The shutdown may have started while the body was read.
@@ -170,9 +180,9 @@
     const progress = createProgress(body, arrivedAt + timeoutMs);
     const queue = new CallerQueue(out, memory);
     const fingerprint = fingerprintOfCall(call, body);
-    const withheld = deps.guard.withhold(fingerprint, { software: deps.softwareOf(call.service) });
+    const withheld = deps.guard.withhold(fingerprint, { software: deps.softwareVersionsOf(call.service) });
     // If the guard is not certain yet, the driver asks it again before the first attempt.
-    if (withheld && !withheld.sureMs) return refuseWithheld(deps, call, fingerprint, withheld);
+    if (withheld && !withheld.evidencePendingMs) return refuseWithheld(deps, call, fingerprint, withheld);
     const onClose = (): void => driver.handle({ kind: "callerGone" });
     const driver: RequestDriver<AnswerPiece> = new RequestDriver<AnswerPiece>({
         cfg: {
@@ -220,7 +230,7 @@
     deps.metrics.open.inc();
     if (driver.ended) return;
     memory.onGiveUp = givenUp => driver.handle({ kind: "givenUp", ...giveUpError(givenUp) });
-    memory.onRead = () => driver.onReadResumed();
+    memory.onResume = () => driver.onReadResumed();
     deps.runs.add(driver);
     if (engine?.canMove) {
         deps.copies.add(head.id, {
@@ -236,7 +246,7 @@
 }
 
 function onEnd(
-    deps: Forwarding,
+    deps: GatewayContext,
     call: ForwardCall,
     progress: CallProgress,
     end: RequestEnd,
--- a/packages/host/src/calls/generate.ts
+++ b/packages/host/src/calls/generate.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { placeIn, shareOf } from "@drumpaddle/hall";
+import { hostShareOfLimits, shareIndexIn } from "@drumpaddle/hall";
 import {
     HeldKind,
     type Job,
@@ -90,8 +90,8 @@
         tokensPerMinute: settings["tokens-per-minute"],
         openStreams: settings["open-streams"],
     };
-    const hall = placeIn(host.cfg["host.hall"], directory.halls);
-    return shareOf(limits, hall, placeIn(host.cfg["host.name"], host.peers?.live ?? []));
+    const hall = shareIndexIn(host.cfg["host.hall"], directory.halls);
+    return hostShareOfLimits(limits, hall, shareIndexIn(host.cfg["host.name"], host.peers?.live ?? []));
 }
 
 /** Returns the error of a reached limit: which limit, its usage, and when it frees up. */
@@ -264,7 +264,7 @@
     if (driver.ended) return;
     host.runs.add(driver);
     memory.onGiveUp = givenUp => driver.handle({ kind: "givenUp", ...giveUpError(givenUp) });
-    memory.onRead = () => driver.onReadResumed();
+    memory.onResume = () => driver.onReadResumed();
     out.on("close", () => driver.handle({ kind: "callerGone" }));
 }
 
@@ -280,7 +280,7 @@
     host.limits.state = settle(host.limits.state, job.id, settlement);
     host.metrics.open.dec();
     host.metrics.countOutcome(end.err?.code ?? "whole", ran);
-    host.metrics.countDiscards({ ...end.state.discards });
+    host.metrics.countDiscardedTokens({ ...end.state.discards });
     if (end.firstTokenMs !== undefined) {
         host.metrics.firstToken.record(end.firstTokenMs);
         host.metrics.stall.record(end.stallMs);
--- a/packages/host/src/calls/generation-copies.ts
+++ b/packages/host/src/calls/generation-copies.ts
@@ -35,7 +35,7 @@
     onCopied(copy: Copy): void;
 }
 
-/** Dependencies of {@link Copies}. */
+/** Dependencies of {@link GenerationCopies}. */
 export interface GenerationCopiesDeps {
     readonly clock: Clock;
     readonly engines: Placement;
@@ -59,14 +59,14 @@
 const DROP_TIMEOUT_MS = 1_000;
 
 /** Makes and refreshes the copies of the generations that run for one host. */
-export class Copies {
+export class GenerationCopies {
     private readonly listeners = new Map<string, CopyListener>();
     private readonly copies = new Map<string, Copy>();
     private readonly copying = new Set<string>();
 
     constructor(private readonly deps: GenerationCopiesDeps) {
         // No event reports that an endpoint became unreachable, or reachable again.
-        repeat(() => this.evacuate(), () => RETRY_MS, deps.signal);
+        repeat(() => this.copyFromLeaving(), () => RETRY_MS, deps.signal);
     }
 
     /** Registers a call that has started to run. */
@@ -85,7 +85,7 @@
     /**
      * Starts to copy the generations that run on leaving endpoints and have no copy at a reachable endpoint that stays.
      */
-    evacuate(): void {
+    copyFromLeaving(): void {
         for (const job of jobsToEvacuate(this.deps.engines.view, this.deps.clock.now())) {
             if (this.listeners.has(job) && !this.copying.has(job)) void this.startCopying(job);
         }
@@ -100,7 +100,7 @@
         else this.deps.log.info({ req: job, planned: plan !== undefined }, "generation_not_copied");
         await pause(RETRY_MS);
         this.copying.delete(job);
-        if (this.listeners.has(job) && !this.deps.signal.aborted) this.evacuate();
+        if (this.listeners.has(job) && !this.deps.signal.aborted) this.copyFromLeaving();
     }
 
     /** Makes the copy, and refreshes it while the generation runs at its source. */
@@ -117,7 +117,7 @@
             const to = standby.incarnation;
             if (answer.kind === "notMade") {
                 log.info({ req: job, from, to, ms, detail: answer.detail }, "generation_not_copied");
-                if (!this.copies.has(job)) engines.copyLost(job);
+                if (!this.copies.has(job)) engines.copyFailed(job);
                 return;
             }
             log.info({ req: job, from, to, ms, copy: answer.copy }, "generation_copied");
--- a/packages/host/src/calls/given-up.ts
+++ b/packages/host/src/calls/given-up.ts
@@ -5,10 +5,10 @@
  */
 import { FailCode, type NotRunError } from "@drumpaddle/request";
 import type { ServerResponse } from "node:http";
-import type { CallMemory, GivenUp, SlowReader } from "../runtime/call-memory.js";
+import type { CallMemory, GiveUpReason, SlowReader } from "../runtime/call-memory.js";
 import type { CallerQueue } from "./caller-queue.js";
 import { breakAnswer } from "./forward-reply.js";
-import type { OpenRequest, OpenRuns } from "./host.js";
+import type { OpenRequest, OpenRequests } from "./host.js";
 
 /** Slow readers hold a host's memory for seconds: a caller that retries sooner would be refused again. */
 export const MEMORY_RETRY_MS = 1_000;
@@ -21,7 +21,7 @@
  * answer.
  */
 export function trackDelivery(
-    openRequests: OpenRuns,
+    openRequests: OpenRequests,
     out: ServerResponse,
     memory: CallMemory,
     queue: CallerQueue,
@@ -36,7 +36,7 @@
 }
 
 /** Returns the error of a call that the host ended for its memory. */
-export function giveUpError({ unreadBy, detail }: GivenUp): Pick<NotRunError, "code" | "detail" | "retryAfterMs"> {
+export function giveUpError({ unreadBy, detail }: GiveUpReason): Pick<NotRunError, "code" | "detail" | "retryAfterMs"> {
     const code = unreadBy === undefined ? FailCode.MemoryFull : CODE_OF_SLOW_READER[unreadBy];
     return { code, detail, retryAfterMs: MEMORY_RETRY_MS };
 }
--- a/packages/host/src/calls/guard-attempt.ts
+++ b/packages/host/src/calls/guard-attempt.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { LossCause, RequestEvent } from "@drumpaddle/request";
-import type { WatchedEndpoint } from "../endpoints/crash-detector.js";
+import type { EndpointIncarnation } from "../endpoints/crash-detector.js";
 import type { RequestGuard } from "../endpoints/request-guard.js";
 import type { AttemptRunner, AttemptSink } from "./request-driver.js";
 
@@ -19,7 +19,7 @@
 /** An attempt that is reported to the guard. */
 export interface GuardedAttempt extends GuardedCall {
     readonly attempt: string;
-    readonly endpoint: WatchedEndpoint;
+    readonly endpoint: EndpointIncarnation;
     /** Aborts when the attempt ends. */
     readonly signal: AbortSignal;
 }
@@ -43,26 +43,26 @@
     const { fingerprint } = run;
     let sentAt: number | undefined;
     let wasSuspect = false;
-    const onOver = (): void => guard.over(fingerprint, attempt);
+    const onOver = (): void => guard.attemptEnded(fingerprint, attempt);
     signal.addEventListener("abort", onOver, { once: true });
     const handlers: { readonly [K in RequestEvent["kind"]]?: (event: Extract<RequestEvent, { kind: K }>) => void } = {
         sending: () => {
             sentAt = guard.now();
-            wasSuspect = guard.begun(fingerprint, attempt);
+            wasSuspect = guard.attemptStarted(fingerprint, attempt);
         },
         lost: ({ cause }) => {
             onOver();
             if (sentAt === undefined || !POSSIBLE_CRASHES.has(cause)) return;
-            guard.broke(endpoint, { ...run, ranMs: guard.now() - sentAt, wasSuspect });
+            guard.attemptInterrupted(endpoint, { ...run, ranMs: guard.now() - sentAt, wasSuspect });
         },
         endpointRefused: onOver,
         failedAnswer: () => {
             onOver();
-            guard.ranWhole(fingerprint);
+            guard.attemptCompleted(fingerprint);
         },
         finished: () => {
             onOver();
-            guard.ranWhole(fingerprint);
+            guard.attemptCompleted(fingerprint);
         },
     };
     return {
--- a/packages/host/src/calls/host.ts
+++ b/packages/host/src/calls/host.ts
@@ -15,7 +15,7 @@
 import type { Metrics } from "../runtime/metrics.js";
 import type { SettingsFeed } from "../store/settings-feed.js";
 import type { SettingsStore } from "../store/settings-store.js";
-import type { Claims } from "./idempotency-claims.js";
+import type { IdempotencyClaims } from "./idempotency-claims.js";
 
 /** Services of a daemon that serve its requests. */
 export interface Host {
@@ -31,9 +31,9 @@
     readonly plain: Placement;
     readonly dispatcher: Dispatcher;
     readonly signal: AbortSignal;
-    readonly runs: OpenRuns;
-    readonly limits: LimitBook;
-    readonly claims: Claims;
+    readonly runs: OpenRequests;
+    readonly limits: WorkspaceUsage;
+    readonly claims: IdempotencyClaims;
     /** Accounts for the memory that calls hold. */
     readonly memory: HostMemory;
     /** Withholds requests that crash the endpoints that run them. */
@@ -51,7 +51,7 @@
 }
 
 /** The requests that the host is serving. */
-export class OpenRuns {
+export class OpenRequests {
     private readonly requests = new Set<OpenRequest>();
     private onEmpty: (() => void) | undefined;
     /** Whether the host is shutting down. */
@@ -87,6 +87,6 @@
 }
 
 /** Holds the current usage of the workspaces' limits. */
-export class LimitBook {
+export class WorkspaceUsage {
     state: LimitState = createLimits();
 }
--- a/packages/host/src/calls/idempotency-claims.ts
+++ b/packages/host/src/calls/idempotency-claims.ts
@@ -61,7 +61,7 @@
 }
 
 /** The claims of one host. */
-export class Claims {
+export class IdempotencyClaims {
     private lease: { readonly id: string; readonly until: number } | undefined;
 
     constructor(private readonly kv: KeyValue, private readonly prefix: string, private readonly signal: AbortSignal) {}
--- a/packages/host/src/calls/plain-service.ts
+++ b/packages/host/src/calls/plain-service.ts
@@ -86,7 +86,7 @@
  * isOnce("POST", "/holds/7", { "not-repeatable": ["POST /holds/*"], repeatable: true }, undefined); // true
  * ```
  */
-export function isOnce(
+export function runsAtMostOnce(
     method: string,
     path: string,
     settings: Pick<Settings, "not-repeatable" | "repeatable">,
@@ -130,7 +130,12 @@
     if (!reserved.ok) return refuse(limitReached(reserved.refusal));
     host.limits.state = reserved.state;
     const path = pathOf(call);
-    const runsOnce = isOnce(call.req.method, path.split("?")[0]!, settings, call.req.headers["x-not-repeatable"]);
+    const runsOnce = runsAtMostOnce(
+        call.req.method,
+        path.split("?")[0]!,
+        settings,
+        call.req.headers["x-not-repeatable"],
+    );
     const key = call.req.headers["idempotency-key"];
     const plan: PlainPlan = {
         call,
@@ -362,7 +367,7 @@
                 bytes += chunk.length;
                 if (bytes <= MAX_RECORDED_BYTES) chunks.push(chunk);
                 queue.write(chunk);
-                if (!memory.whenRoom(() => body.resume())) body.pause();
+                if (!memory.whenReadable(() => body.resume())) body.pause();
             });
         },
         discard: () => undefined,
--- a/packages/host/src/calls/request-driver.ts
+++ b/packages/host/src/calls/request-driver.ts
@@ -18,7 +18,7 @@
     type RequestState,
     step,
 } from "@drumpaddle/request";
-import type { Placed, Placement } from "../endpoints/placement.js";
+import type { Placement, PlacementListener } from "../endpoints/placement.js";
 import type { Withheld } from "../endpoints/request-guard.js";
 import type { DispatchKind } from "../runtime/metrics.js";
 
@@ -202,7 +202,11 @@
         },
         dispatch: action => this.dispatch(action, MAX_GUARD_CHECKS),
         admitCopy: ({ cause }) => {
-            this.deps.placement.continueOn(this.deps.job.id, !NOT_ENDPOINT_FAULT.has(cause), this.placementCallbacks());
+            this.deps.placement.continueOnStandby(
+                this.deps.job.id,
+                !NOT_ENDPOINT_FAULT.has(cause),
+                this.placementCallbacks(),
+            );
         },
         resume: ({ attempt, endpoint, generation, from }) => {
             this.deps.onDispatch("resume");
@@ -241,13 +245,13 @@
     private dispatch(action: Extract<RequestAction, { kind: "dispatch" }>, checksLeft: number): void {
         const { attempt, endpoint, backUp, continueAt } = action;
         const withheld = this.deps.withholdReason?.(attempt, endpoint);
-        if (withheld?.sureMs && checksLeft > 0) {
-            this.retryTimer = setTimeout(() => this.dispatch(action, checksLeft - 1), withheld.sureMs);
+        if (withheld?.evidencePendingMs && checksLeft > 0) {
+            this.retryTimer = setTimeout(() => this.dispatch(action, checksLeft - 1), withheld.evidencePendingMs);
             return;
         }
         // A guard that is still not certain is no reason to refuse: where many callers send the same call, some always
         // break off.
-        if (withheld && !withheld.sureMs) return this.handle({ kind: "withheld", ...withheld });
+        if (withheld && !withheld.evidencePendingMs) return this.handle({ kind: "withheld", ...withheld });
         const again = continueAt === undefined ? "retry" : "continue";
         this.deps.onDispatch(this.state.attempts === 1 ? "first" : again);
         const plan = { attempt, endpoint, priority: this.priority, backUp, continueAt };
@@ -259,7 +263,7 @@
         this.deps.placement.submit(this.deps.job, avoid, retry, this.placementCallbacks());
     }
 
-    private placementCallbacks(): Placed {
+    private placementCallbacks(): PlacementListener {
         return {
             onDispatch: (endpoint, priority, backUp) => {
                 this.placedEndpoint = endpoint;
--- a/packages/host/src/calls/stall-watch.ts
+++ b/packages/host/src/calls/stall-watch.ts
@@ -43,7 +43,7 @@
                 out.off("close", proceed);
                 resume();
             };
-            if (memory.whenRoom(proceed)) return undefined;
+            if (memory.whenReadable(proceed)) return undefined;
             out.on("close", proceed);
             return readable;
         },
--- a/packages/host/src/daemon.ts
+++ b/packages/host/src/daemon.ts
@@ -11,11 +11,11 @@
 import { readFileSync } from "node:fs";
 import type { AddressInfo } from "node:net";
 import { Agent, buildConnector } from "undici";
-import { createCallers } from "./calls/callers-server.js";
-import { type Host, LimitBook, OpenRuns } from "./calls/host.js";
-import { Claims } from "./calls/idempotency-claims.js";
+import { createCallersServer } from "./calls/callers-server.js";
+import { type Host, OpenRequests, WorkspaceUsage } from "./calls/host.js";
+import { IdempotencyClaims } from "./calls/idempotency-claims.js";
 import { failOnReset } from "./endpoints/connector.js";
-import { EndingWatch } from "./endpoints/crash-detector.js";
+import { CrashDetector } from "./endpoints/crash-detector.js";
 import { probeByConnecting } from "./endpoints/endpoint-probe.js";
 import { isLeaving, Placement } from "./endpoints/placement.js";
 import { RequestGuard } from "./endpoints/request-guard.js";
@@ -79,19 +79,19 @@
         log,
         metrics,
         signal,
-        tell: news => host.peers?.tellQuarantine(news),
-        broke: (endpoint, run) => endings.broke(endpoint, run),
+        share: news => host.peers?.shareQuarantine(news),
+        investigate: (endpoint, run) => endings.investigate(endpoint, run),
     });
-    const endings = new EndingWatch({
+    const endings = new CrashDetector({
         clock,
         log,
         probe: ({ address }) => probeByConnecting(address),
         isLeaving: id => isLeaving(id, host.engines, host.plain),
         isOver: () => false,
-        isDeaf: () => true,
-        onEnded: ending => guard.ended(ending),
-        onNotEnded: runs => guard.notEnded(runs),
-        meetLife: () => undefined,
+        isRegistryStale: () => true,
+        onCrash: ending => guard.endpointCrashed(ending),
+        onNoCrash: runs => guard.noCrashFound(runs),
+        learnIncarnation: () => undefined,
     });
     const host: Host = {
         cfg,
@@ -104,11 +104,11 @@
         signal,
         engines: new Placement(signal, clock),
         plain: new Placement(signal, clock, PLAIN_VARIANT),
-        runs: new OpenRuns(),
-        limits: new LimitBook(),
+        runs: new OpenRequests(),
+        limits: new WorkspaceUsage(),
         memory: new HostMemory({ budgetBytes: memoryBudgetBytes(cfg), clock, log, metrics }),
         guard,
-        claims: new Claims(kv, cfg["platform.prefix"], signal),
+        claims: new IdempotencyClaims(kv, cfg["platform.prefix"], signal),
         peers: undefined,
     };
     if (cfg["peers.secrets"].length === 0) log.warn({}, "peers_secret_missing");
@@ -116,12 +116,12 @@
     clock.onWake(({ suspendedMs, jumpMs }) => {
         log.warn({ suspended_ms: Math.round(suspendedMs), jump_ms: Math.round(jumpMs) }, "host_woke");
         host.runs.woke();
-        host.peers?.woke();
+        host.peers?.onWake();
     });
     watchEndpoints(host);
-    feed.onChange(() => host.peers?.announce());
+    feed.onChange(() => host.peers?.announceSettings());
     const tls = readTls(cfg);
-    const servers = { callers: createCallers(host, tls), operators: createOperators(host, tls) };
+    const servers = { callers: createCallersServer(host, tls), operators: createOperators(host, tls) };
     const callersUrl = await listen(servers.callers, cfg["callers.listen"], tls !== undefined);
     const operatorsUrl = await listen(servers.operators, cfg["operators.listen"], tls !== undefined);
     const { capacity } = host.peers;
--- a/packages/host/src/endpoints/crash-detector.ts
+++ b/packages/host/src/endpoints/crash-detector.ts
@@ -11,10 +11,10 @@
 import type { Clock } from "@drumpaddle/protocol";
 import { compareLives, type Life, LifeOrder, type Registry } from "@drumpaddle/routes";
 import type { Log } from "../runtime/log.js";
-import type { LifeSign } from "./endpoint-probe.js";
+import type { ProbeResult } from "./endpoint-probe.js";
 
 /** One incarnation of an endpoint: one run of its process. */
-export interface WatchedEndpoint extends Life {
+export interface EndpointIncarnation extends Life {
     /** Unique name of the incarnation; the endpoint's id alone if endpoints do not report their incarnations. */
     readonly incarnation: string;
     /** `ip:port`, or the endpoint's URL if endpoints do not report their incarnations. */
@@ -40,30 +40,30 @@
 
 /** The crash of an endpoint while it ran calls of this host. */
 export interface EndpointCrash {
-    readonly endpoint: WatchedEndpoint;
+    readonly endpoint: EndpointIncarnation;
     /** When the first call was interrupted, on the monotonic clock; the crash counts from then, whenever it is confirmed. */
     readonly at: number;
     readonly runs: readonly InterruptedRun[];
     readonly sign: CrashEvidence;
 }
 
-/** Dependencies of {@link EndingWatch}. */
+/** Dependencies of {@link CrashDetector}. */
 export interface CrashDetectorDeps {
     readonly clock: Clock;
     readonly log: Log;
     /** Asks an endpoint whether this incarnation is still alive. */
-    probe(endpoint: WatchedEndpoint): Promise<LifeSign>;
+    probe(endpoint: EndpointIncarnation): Promise<ProbeResult>;
     /** Whether the endpoint is known to be leaving, or to have left. */
     isLeaving(incarnation: string): boolean;
     /** Whether an endpoint that was not leaving is known to have started a later incarnation. */
     isOver(incarnation: string): boolean;
     /** Whether this host gets no changes of the registry at present, neither from the store nor from a peer. */
-    isDeaf(): boolean;
-    onEnded(ending: EndpointCrash): void;
+    isRegistryStale(): boolean;
+    onCrash(ending: EndpointCrash): void;
     /** The endpoint is alive, or it cannot be probed; in the latter case a crash may still be reported later. */
-    onNotEnded(runs: readonly InterruptedRun[]): void;
+    onNoCrash(runs: readonly InterruptedRun[]): void;
     /** A probe was answered by this later incarnation. */
-    meetLife(life: Life): void;
+    learnIncarnation(life: Life): void;
 }
 
 /**
@@ -76,7 +76,7 @@
 
 /** An endpoint whose calls were interrupted, until it is known whether it crashed. */
 interface Investigation {
-    readonly endpoint: WatchedEndpoint;
+    readonly endpoint: EndpointIncarnation;
     readonly at: number;
     readonly runs: InterruptedRun[];
     /** Whether the endpoint did not answer the probe, so that only the registry can show a crash. */
@@ -84,7 +84,7 @@
 }
 
 /** Detects crashes of the endpoints at which calls of this host run. */
-export class EndingWatch {
+export class CrashDetector {
     private readonly pending = new Map<string, Investigation>();
     /** Recent crashes, by incarnation. */
     private readonly crashes = new Map<string, { readonly at: number; readonly sign: CrashEvidence }>();
@@ -92,24 +92,24 @@
     constructor(private readonly deps: CrashDetectorDeps) {}
 
     /**
-     * Investigates an interrupted call. {@link CrashDetectorDeps.onEnded} or {@link CrashDetectorDeps.onNotEnded} receives the finding,
+     * Investigates an interrupted call. {@link CrashDetectorDeps.onCrash} or {@link CrashDetectorDeps.onNoCrash} receives the finding,
      * at once or later.
      */
-    broke(endpoint: WatchedEndpoint, run: InterruptedRun): void {
+    investigate(endpoint: EndpointIncarnation, run: InterruptedRun): void {
         const { incarnation } = endpoint;
         const now = this.deps.clock.now();
         if (this.deps.isOver(incarnation)) {
-            return this.deps.onEnded({ endpoint, at: now, runs: [run], sign: "laterLife" });
+            return this.deps.onCrash({ endpoint, at: now, runs: [run], sign: "laterLife" });
         }
-        if (this.deps.isLeaving(incarnation)) return this.deps.onNotEnded([run]);
+        if (this.deps.isLeaving(incarnation)) return this.deps.onNoCrash([run]);
         const known = this.crashes.get(incarnation);
         if (known && now - run.ranMs < known.at) {
-            return this.deps.onEnded({ endpoint, at: known.at, runs: [run], sign: known.sign });
+            return this.deps.onCrash({ endpoint, at: known.at, runs: [run], sign: known.sign });
         }
         const pending = this.pending.get(incarnation);
         if (pending) {
             pending.runs.push(run);
-            if (pending.awaitsRegistry) this.deps.onNotEnded([run]);
+            if (pending.awaitsRegistry) this.deps.onNoCrash([run]);
             return;
         }
         this.pending.set(incarnation, { endpoint, at: now, runs: [run], awaitsRegistry: false });
@@ -117,18 +117,18 @@
     }
 
     /** Checks the endpoints under investigation against a new state of the registry. */
-    take({ endpoints, departed, latest }: Registry): void {
+    applyRegistry({ endpoints, departed, latest }: Registry): void {
         for (const { endpoint } of [...this.pending.values()]) {
             const { incarnation, id } = endpoint;
             const known = latest.get(id);
             if (known && compareLives(known, endpoint) === LifeOrder.Later) this.confirmCrash(incarnation, "laterLife");
-            else if (!endpoints.has(incarnation) && departed.has(incarnation) && !this.deps.isDeaf()) {
+            else if (!endpoints.has(incarnation) && departed.has(incarnation) && !this.deps.isRegistryStale()) {
                 this.confirmCrash(incarnation, "gone");
             }
         }
     }
 
-    private async probeEndpoint(endpoint: WatchedEndpoint): Promise<void> {
+    private async probeEndpoint(endpoint: EndpointIncarnation): Promise<void> {
         const { incarnation } = endpoint;
         const sign = await this.deps.probe(endpoint);
         if (sign.kind === "lives") return this.dismiss(incarnation);
@@ -136,7 +136,7 @@
             this.deps.log.debug({ endpoint: incarnation, detail: sign.detail }, "endpoint_end_unknown");
             return this.waitForRegistry(incarnation);
         }
-        if (sign.kind === "laterLife") this.deps.meetLife(sign.life);
+        if (sign.kind === "laterLife") this.deps.learnIncarnation(sign.life);
         this.confirmCrash(incarnation, sign.kind);
     }
 
@@ -144,7 +144,7 @@
         const pending = this.pending.get(incarnation);
         if (!pending) return;
         pending.awaitsRegistry = true;
-        this.deps.onNotEnded([...pending.runs]);
+        this.deps.onNoCrash([...pending.runs]);
         setTimeout(() => this.pending.delete(incarnation), REGISTRY_WAIT_MS).unref();
     }
 
@@ -154,14 +154,14 @@
         this.pending.delete(incarnation);
         this.forgetOldCrashes();
         this.crashes.set(incarnation, { at: pending.at, sign });
-        this.deps.onEnded({ ...pending, sign });
+        this.deps.onCrash({ ...pending, sign });
     }
 
     private dismiss(incarnation: string): void {
         const pending = this.pending.get(incarnation);
         if (!pending) return;
         this.pending.delete(incarnation);
-        this.deps.onNotEnded(pending.runs);
+        this.deps.onNoCrash(pending.runs);
     }
 
     private forgetOldCrashes(): void {
--- a/packages/host/src/endpoints/endpoint-connections.ts
+++ b/packages/host/src/endpoints/endpoint-connections.ts
@@ -54,7 +54,7 @@
     /** A connection could not be established. */
     readonly onUnreachable?: (address: string) => void;
     /** An endpoint closed an idle connection before the keep-alive time that it had announced. */
-    readonly onEndedAtRest?: (address: string) => void;
+    readonly onClosedWhileIdle?: (address: string) => void;
 }
 
 /** Connections within a region are established within milliseconds. */
@@ -165,14 +165,14 @@
     }
 
     /** Closes all idle connections to an address. */
-    forget(address: string): void {
+    closeIdle(address: string): void {
         for (const connection of this.idle.get(address) ?? []) this.close(address, connection);
         this.idle.delete(address);
     }
 
     /** Closes all idle connections. */
-    forgetAll(): void {
-        for (const address of [...this.idle.keys()]) this.forget(address);
+    closeAllIdle(): void {
+        for (const address of [...this.idle.keys()]) this.closeIdle(address);
     }
 
     private takeIdle(address: string): Connection | undefined {
@@ -217,7 +217,7 @@
         };
         connection.client.on("disconnect", () => {
             const isIdle = this.idle.get(address)?.includes(connection) === true;
-            if (isIdle && this.clock.now() < connection.keepAliveUntil) this.listeners.onEndedAtRest?.(address);
+            if (isIdle && this.clock.now() < connection.keepAliveUntil) this.listeners.onClosedWhileIdle?.(address);
             this.close(address, connection);
         });
         this.all.add(connection);
--- a/packages/host/src/endpoints/endpoint-notices.ts
+++ b/packages/host/src/endpoints/endpoint-notices.ts
@@ -4,14 +4,14 @@
  *
  * @module
  */
-import { type EndpointWord, saidOf, wordOf, wordsToTell } from "@drumpaddle/hall";
-import { type EndpointView, isLimited, type Said, saysLeaving } from "@drumpaddle/policy";
+import { type EndpointNotice, noticeOf, noticesToTell, saidFromNotice } from "@drumpaddle/hall";
+import { announcedLeaving, type AnnouncedLimit, type EndpointView, isLimited } from "@drumpaddle/policy";
 import type { AnswerHead, Clock } from "@drumpaddle/protocol";
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
 import type { Placement } from "./placement.js";
 
-/** Dependencies of {@link EndpointWords}. */
+/** Dependencies of {@link EndpointNotices}. */
 export interface EndpointNoticesDeps {
     readonly clock: Clock;
     readonly log: Log;
@@ -19,7 +19,7 @@
     /** The schedulers; each endpoint is known to one of them. */
     readonly placements: readonly Placement[];
     /** Shares changed notices with peers. */
-    tell(words: readonly EndpointWord[]): void;
+    share(words: readonly EndpointNotice[]): void;
 }
 
 /** The part of an answer's head that carries notices. */
@@ -35,7 +35,7 @@
 const REPEAT_INTERVAL_MS = 250;
 
 /** The notices of all endpoints. */
-export class EndpointWords {
+export class EndpointNotices {
     constructor(private readonly deps: EndpointNoticesDeps) {}
 
     /**
@@ -54,30 +54,30 @@
     }
 
     /** Applies notices from a peer; returns those that are new here. */
-    receive(words: readonly EndpointWord[]): readonly EndpointWord[] {
+    receive(words: readonly EndpointNotice[]): readonly EndpointNotice[] {
         const now = this.deps.clock.now();
         return words.filter(({ endpoint, leaves, limit }) => {
             const isLeavingNews = leaves && this.applyLeaving(endpoint, "peer");
-            const isLimitNews = limit !== undefined && this.applyLimit(endpoint, saidOf(limit, now), "peer");
+            const isLimitNews = limit !== undefined && this.applyLimit(endpoint, saidFromNotice(limit, now), "peer");
             return isLeavingNews || isLimitNews;
         });
     }
 
     /** All notices worth sharing with a peer. */
-    all(): readonly EndpointWord[] {
-        return wordsToTell(this.views(), this.deps.clock.now());
+    all(): readonly EndpointNotice[] {
+        return noticesToTell(this.views(), this.deps.clock.now());
     }
 
     /** Whether an incarnation has announced that it is leaving, also if it is no longer declared. */
-    hasSaidLeaving(endpoint: string): boolean {
+    hasAnnouncedLeaving(endpoint: string): boolean {
         const view = this.viewOf(endpoint);
-        if (view) return saysLeaving(view);
+        if (view) return announcedLeaving(view);
         return this.deps.placements.some(({ view: { remembered } }) => remembered.get(endpoint)?.leaves === true);
     }
 
     /** Sets the gauge of endpoints with a limit; also called when endpoints come or go. */
-    count(): void {
-        this.deps.metrics.limited.set(this.views().filter(isLimited).length);
+    updateLimitedGauge(): void {
+        this.deps.metrics.limitedEndpoints.set(this.views().filter(isLimited).length);
     }
 
     private readLimit(endpoint: string, { limitPerS }: NoticeHead): boolean {
@@ -101,21 +101,21 @@
 
     private shareWithPeers(endpoint: string): void {
         const view = this.viewOf(endpoint);
-        const notice = view && wordOf(view, this.deps.clock.now());
-        if (notice) this.deps.tell([notice]);
+        const notice = view && noticeOf(view, this.deps.clock.now());
+        if (notice) this.deps.share([notice]);
     }
 
     /** Marks an endpoint as leaving; returns whether that is new. */
     private applyLeaving(endpoint: string, source: NoticeSource): boolean {
         const view = this.viewOf(endpoint);
-        if (!view || saysLeaving(view)) return false;
+        if (!view || announcedLeaving(view)) return false;
         for (const placement of this.deps.placements) placement.setLeaving(endpoint, "answer", true);
         this.deps.log.info({ endpoint, source }, "endpoint_says_leaving");
         return true;
     }
 
     /** Applies the limit that an endpoint states, or that it states none; returns whether the limit changed. */
-    private applyLimit(endpoint: string, said: Said, source: NoticeSource): boolean {
+    private applyLimit(endpoint: string, said: AnnouncedLimit, source: NoticeSource): boolean {
         const known = this.viewOf(endpoint)?.said;
         // Return early: nearly every answer states no limit, for an endpoint that had stated none before.
         if (!known && said.limitPerS === undefined) return false;
@@ -125,7 +125,7 @@
         if (isUnchanged || !this.viewOf(endpoint)) return false;
         const before = known?.limitPerS ?? "none";
         this.deps.log.info({ endpoint, per_s: said.limitPerS ?? "none", before, source }, "endpoint_limit");
-        this.count();
+        this.updateLimitedGauge();
         return true;
     }
 
--- a/packages/host/src/endpoints/endpoint-probe.ts
+++ b/packages/host/src/endpoints/endpoint-probe.ts
@@ -9,7 +9,7 @@
 import { callEndpoint } from "./call-endpoint.js";
 
 /** What a probe shows about an incarnation. */
-export type LifeSign =
+export type ProbeResult =
     /** `reportsBirth`: the answer also says when the incarnation began, so that it certainly came from the known one. */
     | { readonly kind: "lives"; readonly reportsBirth: boolean }
     /** The connection was refused. */
@@ -33,12 +33,12 @@
  * (await probeByStatusCall(wire, "10.0.0.9:8080", { id: "i-7", born: 1700 }, signal)).kind; // "lives"
  * ```
  */
-export async function probeByReport(
+export async function probeByStatusCall(
     wire: PlatformWire,
     address: string,
     known: Life,
     signal: AbortSignal,
-): Promise<LifeSign> {
+): Promise<ProbeResult> {
     try {
         const { status, body } = await callEndpoint(address, wire.stayCall(), PROBE_TIMEOUT_MS, signal);
         const stay = wire.readStay(status, body);
@@ -62,7 +62,7 @@
  * (await probeByConnecting("http://10.0.0.9:8080")).kind; // "refused" if nothing listens there
  * ```
  */
-export function probeByConnecting(url: string): Promise<LifeSign> {
+export function probeByConnecting(url: string): Promise<ProbeResult> {
     const { hostname, port, protocol } = new URL(url);
     return new Promise(resolve => {
         const socket = connect({
@@ -70,7 +70,7 @@
             port: Number(port || (protocol === "https:" ? 443 : 80)),
             timeout: PROBE_TIMEOUT_MS,
         });
-        const finish = (sign: LifeSign): void => {
+        const finish = (sign: ProbeResult): void => {
             socket.destroy();
             resolve(sign);
         };
@@ -80,7 +80,7 @@
     });
 }
 
-function resultOfError(err: unknown): LifeSign {
+function resultOfError(err: unknown): ProbeResult {
     const isRefused = err instanceof Error && "code" in err && err.code === REFUSED_CODE;
     return isRefused ? { kind: "refused" } : { kind: "unknown", detail: errText(err) };
 }
--- a/packages/host/src/endpoints/incarnation-signals.ts
+++ b/packages/host/src/endpoints/incarnation-signals.ts
@@ -7,7 +7,7 @@
 import { setMaxListeners } from "node:events";
 
 /** One abort signal for each incarnation that something depends on. */
-export class LifeSignals {
+export class IncarnationSignals {
     private readonly controllers = new Map<string, AbortController>();
     private overIncarnations: ReadonlySet<string> = new Set();
 
@@ -19,7 +19,7 @@
      * signals.signalOf(endpoint.incarnation).addEventListener("abort", () => lose("reset"), { once: true });
      * ```
      */
-    of(incarnation: string): AbortSignal {
+    signalOf(incarnation: string): AbortSignal {
         const known = this.controllers.get(incarnation);
         if (known) return known.signal;
         const controller = new AbortController();
@@ -30,7 +30,7 @@
     }
 
     /** Compares a new state of the registry with the last one; returns the incarnations that have been superseded since. */
-    take({ endpoints, departed }: Registry): readonly string[] {
+    applyRegistry({ endpoints, departed }: Registry): readonly string[] {
         const over = new Set([...departed].filter(([, { isOver }]) => isOver).map(([incarnation]) => incarnation));
         const newlyOver = [...over].filter(incarnation => !this.overIncarnations.has(incarnation));
         this.overIncarnations = over;
@@ -41,7 +41,7 @@
     }
 
     /** Aborts the signal of an incarnation that has ended. */
-    end(incarnation: string): void {
+    abort(incarnation: string): void {
         this.controllers.get(incarnation)?.abort();
         this.controllers.delete(incarnation);
     }
--- a/packages/host/src/endpoints/leaving-poll.ts
+++ b/packages/host/src/endpoints/leaving-poll.ts
@@ -10,20 +10,20 @@
 import { repeat } from "../runtime/repeat.js";
 import { callEndpoint } from "./call-endpoint.js";
 
-/** Dependencies of {@link watchStays}. */
+/** Dependencies of {@link pollLeaving}. */
 export interface LeavingPollDeps {
     readonly wire: PlatformWire;
     readonly log: Log;
     readonly metrics: Metrics;
     readonly signal: AbortSignal;
     /** Whether this host gets no changes of the registry at present, neither from the store nor from a peer. */
-    isDeaf(): boolean;
+    isRegistryStale(): boolean;
     /** Engines that this host polls on behalf of all hosts. */
     owned(): readonly EndpointEntry[];
     /** Whether a control call may be sent to the endpoint now. */
-    mayAsk(incarnation: string): boolean;
+    mayPoll(incarnation: string): boolean;
     /** An engine answered whether it is leaving. */
-    onStay(endpoint: EndpointEntry, stay: Extract<StayAnswer, { kind: "told" }>): void;
+    onAnswer(endpoint: EndpointEntry, stay: Extract<StayAnswer, { kind: "told" }>): void;
 }
 
 /**
@@ -35,11 +35,11 @@
 const POLL_TIMEOUT_MS = 250;
 
 /** Starts polling; stops when the signal aborts. */
-export function watchStays(deps: LeavingPollDeps): void {
+export function pollLeaving(deps: LeavingPollDeps): void {
     const ask = (): void => {
-        if (!deps.isDeaf()) return;
+        if (!deps.isRegistryStale()) return;
         for (const endpoint of deps.owned()) {
-            if (deps.mayAsk(endpoint.incarnation)) void pollOne(deps, endpoint);
+            if (deps.mayPoll(endpoint.incarnation)) void pollOne(deps, endpoint);
         }
     };
     repeat(ask, () => POLL_INTERVAL_MS, deps.signal);
@@ -51,12 +51,12 @@
     try {
         const { status, body } = await callEndpoint(address, wire.stayCall(), POLL_TIMEOUT_MS, signal);
         const answer = wire.readStay(status, body);
-        metrics.countStay(answer.kind === "told" ? leavingLabel(answer.leaving) : answer.kind);
-        if (answer.kind === "told") return deps.onStay(endpoint, answer);
+        metrics.countStayAnswer(answer.kind === "told" ? leavingLabel(answer.leaving) : answer.kind);
+        if (answer.kind === "told") return deps.onAnswer(endpoint, answer);
         log.debug({ endpoint: incarnation, detail: answer.detail }, "stay_not_told");
     }
     catch (err) {
-        metrics.countStay("notTold");
+        metrics.countStayAnswer("notTold");
         log.debug({ endpoint: incarnation, detail: errText(err) }, "stay_not_told");
     }
 }
--- a/packages/host/src/endpoints/placement.ts
+++ b/packages/host/src/endpoints/placement.ts
@@ -5,21 +5,21 @@
  * @module
  */
 import {
-    canGoOn,
+    type AnnouncedLimit,
+    canContinue,
     createScheduler,
     decide,
     DEFAULT_VARIANT,
     type EndpointCfg,
+    endpointSlowness,
     isLimited,
     isResting,
     type Job,
     type JobOutcome,
-    knownSpeed,
     type LeavingSource,
     type LoadReport,
     maySend,
     type RefuseReason,
-    type Said,
     type SchedulerAction,
     type SchedulerEvent,
     type SchedulerOptions,
@@ -29,7 +29,7 @@
 import type { Clock } from "@drumpaddle/protocol";
 
 /** Receives the decision on one request. */
-export interface Placed {
+export interface PlacementListener {
     /** @param backUp Endpoint that is to keep a copy of the request, if there is one. */
     onDispatch(endpoint: string, priority: number, backUp: string | undefined): void;
     onRefuse(reason: RefuseReason, detail: string, retryAfterMs: number): void;
@@ -48,7 +48,7 @@
 export class Placement {
     private state: SchedulerState;
     /** Listeners of the jobs that await a decision, by job. */
-    private readonly listeners = new Map<string, Placed>();
+    private readonly listeners = new Map<string, PlacementListener>();
     private readonly timer: NodeJS.Timeout;
     /** Resolvers of the evacuations that await a plan, by job. */
     private readonly pendingEvacuations = new Map<string, (plan: CopyAction | undefined) => void>();
@@ -107,7 +107,7 @@
      * @param avoid Endpoints that must not be chosen.
      * @param retry Whether an earlier attempt of the job has failed.
      */
-    submit(job: Job, avoid: readonly string[], retry: boolean, placed: Placed): void {
+    submit(job: Job, avoid: readonly string[], retry: boolean, placed: PlacementListener): void {
         this.listeners.set(job.id, placed);
         this.handle({ kind: "arrive", job, avoid, retry });
     }
@@ -117,7 +117,7 @@
      *
      * @param failed Whether the loss of the running attempt is held against its endpoint.
      */
-    continueOn(job: string, failed: boolean, placed: Placed): void {
+    continueOnStandby(job: string, failed: boolean, placed: PlacementListener): void {
         // Its endpoint is gone, so there is nothing left to copy from.
         this.resolveEvacuation(job, undefined);
         this.listeners.set(job, placed);
@@ -133,15 +133,15 @@
     }
 
     /** Whether a running request could continue from a copy now. */
-    canGoOn(job: string): boolean {
-        return canGoOn(this.state, job, this.clock.now());
+    canContinue(job: string): boolean {
+        return canContinue(this.state, job, this.clock.now());
     }
 
     /**
      * Whether this host may send a control call to an endpoint now: not while the endpoint asks for a pause. If the endpoint states
      * a limit, the call counts against it, because the limit covers everything that it is sent.
      */
-    mayAsk(endpoint: string): boolean {
+    admitsControlCall(endpoint: string): boolean {
         const view = this.state.endpoints.get(endpoint);
         const now = this.clock.now();
         if (!view) return true;
@@ -154,12 +154,12 @@
     /** Estimated slowness of an endpoint, as a factor of the mean of its kind; undefined if it is not known to differ from it. */
     slownessOf(endpoint: string): number | undefined {
         const view = this.state.endpoints.get(endpoint);
-        const log = view ? knownSpeed(this.state, view, this.clock.now()).log : 0;
+        const log = view ? endpointSlowness(this.state, view, this.clock.now()).logRatio : 0;
         return log === 0 ? undefined : Number(Math.exp(log).toFixed(2));
     }
 
     /** The copy of a request failed. */
-    copyLost(job: string): void {
+    copyFailed(job: string): void {
         this.handle({ kind: "copyLost", job });
     }
 
@@ -169,7 +169,7 @@
     }
 
     /** An endpoint has stated its limit, or that it has none. */
-    said(endpoint: string, said: Said): void {
+    said(endpoint: string, said: AnnouncedLimit): void {
         this.handle({ kind: "said", endpoint, said });
     }
 
@@ -194,7 +194,7 @@
     }
 
     /** An endpoint's incarnation has ended, and its copies with it. */
-    endLife(endpoint: string): void {
+    endIncarnation(endpoint: string): void {
         this.handle({ kind: "lifeOver", endpoint });
     }
 
--- a/packages/host/src/endpoints/request-guard.ts
+++ b/packages/host/src/endpoints/request-guard.ts
@@ -5,22 +5,22 @@
  * @module
  */
 import {
-    allNews,
-    type Asked,
-    type Charge,
-    clear,
+    allEndingNews,
+    type Assessment,
+    clearRequest,
+    dropExpired,
     EMPTY_QUARANTINE,
+    ENDING_SPREAD_MS,
     type EndingNews,
     ENDINGS_TO_QUARANTINE,
-    forgetOld,
     isSuspect,
-    joinNews,
-    nameOfEnded,
-    NEWS_MS,
+    mergeNews,
+    nameOfEndedLife,
     type Quarantine,
     type QuarantineNews,
     type QuarantineStep,
     type Verdict,
+    type VerdictContext,
     verdictOf,
 } from "@drumpaddle/hall";
 import type { Clock } from "@drumpaddle/protocol";
@@ -28,7 +28,7 @@
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
 import { repeat } from "../runtime/repeat.js";
-import type { EndpointCrash, InterruptedRun, WatchedEndpoint } from "./crash-detector.js";
+import type { EndpointCrash, EndpointIncarnation, InterruptedRun } from "./crash-detector.js";
 
 /** Why an attempt may not start. */
 export interface Withheld {
@@ -36,7 +36,7 @@
     readonly detail: string;
     readonly retryAfterMs?: number;
     /** Set if the refusal is provisional: asked again after this time, the guard gives a final answer. */
-    readonly sureMs?: number;
+    readonly evidencePendingMs?: number;
 }
 
 /** Dependencies of {@link RequestGuard}. */
@@ -46,12 +46,12 @@
     readonly clock: Clock;
     readonly signal: AbortSignal;
     /** Shares news with the peers. */
-    tell(news: QuarantineNews): void;
+    share(news: QuarantineNews): void;
     /**
-     * Finds out whether the endpoint of an interrupted run crashed, and reports by {@link RequestGuard.ended} or
-     * {@link RequestGuard.notEnded}.
+     * Finds out whether the endpoint of an interrupted run crashed, and reports by {@link RequestGuard.endpointCrashed} or
+     * {@link RequestGuard.noCrashFound}.
      */
-    broke(endpoint: WatchedEndpoint, run: InterruptedRun): void;
+    investigate(endpoint: EndpointIncarnation, run: InterruptedRun): void;
 }
 
 /** A suspected or quarantined request, as operators see it. */
@@ -109,16 +109,16 @@
 
     /** Everything that this host knows, for a peer. */
     all(): QuarantineNews {
-        return allNews(this.state, this.deps.clock.now());
+        return allEndingNews(this.state, this.deps.clock.now());
     }
 
     /** All quarantined and suspected requests, for operators. */
     list(): readonly ListedRequest[] {
-        const charges = [...this.state.charges.values()].filter(({ endings }) => endings.length > 0);
+        const charges = [...this.state.assessments.values()].filter(({ endings }) => endings.length > 0);
         return charges.map(charge => this.describe(charge));
     }
 
-    private describe({ fingerprint, endings }: Charge): ListedRequest {
+    private describe({ fingerprint, endings }: Assessment): ListedRequest {
         const now = this.deps.clock.now();
         const crashed = endings.map(({ life }) => this.crashedCalls.get(`${life} ${fingerprint}`));
         const first = crashed.find(sighting => sighting !== undefined);
@@ -144,12 +144,12 @@
      * if (withheld) refuse(withheld.code);
      * ```
      */
-    withhold(fingerprint: string, asked: Asked = {}): Withheld | undefined {
+    withhold(fingerprint: string, asked: VerdictContext = {}): Withheld | undefined {
         const verdict = verdictOf(this.state, fingerprint, this.deps.clock.now(), asked);
         const probedEndpoints = new Set(this.unresolved.get(fingerprint)?.values()).size;
         // Count crashes that are still under investigation: otherwise the request reaches the next endpoint before they are confirmed.
         if (probedEndpoints > 0 && crashCountOf(verdict) + probedEndpoints >= ENDINGS_TO_QUARANTINE) {
-            return withheldAsQuarantined(ENDINGS_TO_QUARANTINE, NEWS_MS);
+            return withheldAsQuarantined(ENDINGS_TO_QUARANTINE, ENDING_SPREAD_MS);
         }
         return WITHHELD_BY_VERDICT[verdict.kind](verdict as never);
     }
@@ -160,26 +160,26 @@
     }
 
     /** Called when an attempt is being sent; returns whether its request is suspected. */
-    begun(fingerprint: string, attempt: string): boolean {
+    attemptStarted(fingerprint: string, attempt: string): boolean {
         const suspect = this.isSuspect(fingerprint);
         if (suspect) this.publishTrial(fingerprint, attempt, false);
         return suspect;
     }
 
     /** Called when an attempt is over, whatever its outcome. */
-    over(fingerprint: string, attempt: string): void {
+    attemptEnded(fingerprint: string, attempt: string): void {
         if (this.state.trials.has(attempt)) this.publishTrial(fingerprint, attempt, true);
     }
 
     /** Called when an attempt was interrupted while it ran. */
-    broke(endpoint: WatchedEndpoint, run: InterruptedRun): void {
+    attemptInterrupted(endpoint: EndpointIncarnation, run: InterruptedRun): void {
         const runs = this.unresolved.get(run.fingerprint) ?? new Map<InterruptedRun, string>();
         this.unresolved.set(run.fingerprint, runs.set(run, endpoint.incarnation));
-        this.deps.broke(endpoint, run);
+        this.deps.investigate(endpoint, run);
     }
 
     /** Called when an attempt completed. As its endpoint survived it, the request is cleared. */
-    ranWhole(fingerprint: string): void {
+    attemptCompleted(fingerprint: string): void {
         const now = this.deps.clock.now();
         this.completedAt.delete(fingerprint);
         this.completedAt.set(fingerprint, now);
@@ -189,18 +189,18 @@
 
     /** Drops all evidence against a request. */
     clear(fingerprint: string, reason: "whole" | "operator"): void {
-        const charge = this.state.charges.get(fingerprint);
-        if (charge && (charge.isGuilty || reason === "operator")) {
+        const charge = this.state.assessments.get(fingerprint);
+        if (charge && (charge.isCulprit || reason === "operator")) {
             this.deps.log.warn({ fingerprint, reason }, "request_quarantine_lifted");
         }
-        this.applyStep(clear(this.state, fingerprint, this.deps.clock.now()));
+        this.applyStep(clearRequest(this.state, fingerprint, this.deps.clock.now()));
     }
 
     /** Called when an endpoint crashed while it ran calls of this host. */
-    ended({ endpoint, at, runs, sign }: EndpointCrash): void {
+    endpointCrashed({ endpoint, at, runs, sign }: EndpointCrash): void {
         this.removeUnresolved(runs);
         const { incarnation } = endpoint;
-        this.deps.metrics.countEnding(sign);
+        this.deps.metrics.countEndpointEnd(sign);
         this.deps.log.warn({ endpoint: incarnation, sign, runs: runs.length }, "endpoint_ended_under_calls");
         for (const { req, fingerprint, ranMs, wasSuspect } of runs) {
             this.deps.log.info(
@@ -215,32 +215,32 @@
             cleared: false,
         }));
         const beganAt = at - Math.max(...runs.map(({ ranMs }) => ranMs));
-        const life = nameOfEnded(this.state.endings, incarnation, beganAt);
+        const life = nameOfEndedLife(this.state.endings, incarnation, beganAt);
         const ending = { life, agoMs: this.deps.clock.now() - at, software: endpoint.software, requests };
         for (const { req, route, workspace, fingerprint } of runs) {
             this.crashedCalls.set(`${life} ${fingerprint}`, { req, route, workspace });
             if (this.crashedCalls.size > MAX_CALLS) this.crashedCalls.delete(this.crashedCalls.keys().next().value!);
         }
-        this.applyStep(joinNews(this.state, { endings: [ending], trials: [] }, this.deps.clock.now()));
+        this.applyStep(mergeNews(this.state, { endings: [ending], trials: [] }, this.deps.clock.now()));
         this.clearCompleted([ending]);
     }
 
     /**
-     * Called when the endpoint of interrupted runs is alive, or cannot be probed; in the latter case {@link RequestGuard.ended} may
+     * Called when the endpoint of interrupted runs is alive, or cannot be probed; in the latter case {@link RequestGuard.endpointCrashed} may
      * still follow.
      */
-    notEnded(runs: readonly InterruptedRun[]): void {
+    noCrashFound(runs: readonly InterruptedRun[]): void {
         this.removeUnresolved(runs);
     }
 
     /** Merges news from a peer, and passes on what is new. */
     receive(told: QuarantineNews): void {
-        this.applyStep(joinNews(this.state, told, this.deps.clock.now()));
+        this.applyStep(mergeNews(this.state, told, this.deps.clock.now()));
         this.clearCompleted(told.endings);
     }
 
     /** Counts a refusal, and logs it at a limited rate. */
-    refused(req: string, fingerprint: string, { code, detail }: Withheld): void {
+    recordRefusal(req: string, fingerprint: string, { code, detail }: Withheld): void {
         this.deps.metrics.countWithheld(code);
         const now = this.deps.clock.now();
         if (now - (this.refusalLoggedAt.get(fingerprint) ?? -Infinity) < REFUSAL_LOG_MS) return;
@@ -268,23 +268,25 @@
 
     private publishTrial(fingerprint: string, attempt: string, isOver: boolean): void {
         const trials = [{ attempt, fingerprint, agoMs: 0, isOver }];
-        this.applyStep(joinNews(this.state, { endings: [], trials }, this.deps.clock.now()));
+        this.applyStep(mergeNews(this.state, { endings: [], trials }, this.deps.clock.now()));
     }
 
     private applyStep({ state, news }: QuarantineStep): void {
-        const before = this.state.charges;
+        const before = this.state.assessments;
         this.state = state;
         if (!news) return;
-        for (const charge of state.charges.values()) {
-            if (charge.isGuilty && before.get(charge.fingerprint)?.endings.length !== charge.endings.length) {
+        for (const charge of state.assessments.values()) {
+            if (charge.isCulprit && before.get(charge.fingerprint)?.endings.length !== charge.endings.length) {
                 this.logQuarantine(charge);
             }
         }
-        this.deps.metrics.quarantined.set([...state.charges.values()].filter(({ isGuilty }) => isGuilty).length);
-        this.deps.tell(news);
+        this.deps.metrics.quarantined.set(
+            [...state.assessments.values()].filter(({ isCulprit: isGuilty }) => isGuilty).length,
+        );
+        this.deps.share(news);
     }
 
-    private logQuarantine({ fingerprint, endings }: Charge): void {
+    private logQuarantine({ fingerprint, endings }: Assessment): void {
         const now = this.deps.clock.now();
         this.deps.log.warn({
             fingerprint,
@@ -296,7 +298,7 @@
 
     private forgetExpired(): void {
         const now = this.deps.clock.now();
-        this.state = forgetOld(this.state, now);
+        this.state = dropExpired(this.state, now);
         for (const [fingerprint, at] of this.completedAt) {
             if (now - at < COMPLETED_KEPT_MS) break;
             this.completedAt.delete(fingerprint);
@@ -311,9 +313,9 @@
     return "endings" in verdict ? verdict.endings : 0;
 }
 
-function withheldAsQuarantined(endings: number, sureMs: number): Withheld {
+function withheldAsQuarantined(endings: number, evidencePendingMs: number): Withheld {
     const detail = `this request was running at ${endings} endpoints when they crashed; do not send it again`;
-    return { code: FailCode.Quarantined, detail, sureMs };
+    return { code: FailCode.Quarantined, detail, evidencePendingMs };
 }
 
 const WITHHELD_BY_VERDICT: {
@@ -321,10 +323,10 @@
 } = {
     free: () => undefined,
     suspect: () => undefined,
-    onTrial: ({ againMs }) => ({
+    onTrial: ({ trialEndsInMs }) => ({
         code: FailCode.OnTrial,
         detail: "this request was running at an endpoint that crashed, and another attempt of it is running now",
-        retryAfterMs: againMs,
+        retryAfterMs: trialEndsInMs,
     }),
-    quarantined: ({ endings, sureMs }) => withheldAsQuarantined(endings, sureMs),
+    quarantined: ({ endings, evidencePendingMs }) => withheldAsQuarantined(endings, evidencePendingMs),
 };
--- a/packages/host/src/endpoints/speed-watch.ts
+++ b/packages/host/src/endpoints/speed-watch.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { type KnownSpeed, knownSpeed, type SchedulerState } from "@drumpaddle/policy";
+import { type EndpointSlowness, endpointSlowness, type SchedulerState } from "@drumpaddle/policy";
 import type { Clock } from "@drumpaddle/protocol";
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
@@ -33,7 +33,7 @@
             metrics.speedSpread.set(spreadOf(state));
             const outliers = speedOutliers(state, now);
             for (const { endpoint, speed } of outliers.filter(({ endpoint }) => !reported.has(endpoint))) {
-                log.info({ endpoint, ...speedFields(speed) }, speed.log > 0 ? "endpoint_slow" : "endpoint_fast");
+                log.info({ endpoint, ...speedFields(speed) }, speed.logRatio > 0 ? "endpoint_slow" : "endpoint_fast");
             }
             reported = stillDeclared(state, reported, outliers.map(({ endpoint }) => endpoint));
         },
@@ -54,11 +54,11 @@
 export function speedOutliers(
     state: SchedulerState,
     now: number,
-): readonly { readonly endpoint: string; readonly speed: KnownSpeed }[] {
+): readonly { readonly endpoint: string; readonly speed: EndpointSlowness }[] {
     return state.endpoints.values()
         .filter(({ cfg }) => state.hosts <= 1 || state.owned.has(cfg.id))
-        .map(view => ({ endpoint: view.cfg.id, speed: knownSpeed(state, view, now) }))
-        .filter(({ speed }) => speed.log !== 0 && Math.abs(speed.log) > OUTLIER_DEVIATIONS * speed.deviation);
+        .map(view => ({ endpoint: view.cfg.id, speed: endpointSlowness(state, view, now) }))
+        .filter(({ speed }) => speed.logRatio !== 0 && Math.abs(speed.logRatio) > OUTLIER_DEVIATIONS * speed.deviation);
 }
 
 /** Endpoints that have been reported and are still declared; they are not reported again. */
@@ -71,7 +71,7 @@
 }
 
 /** Log fields of a speed: the factor on the mean endpoint's time, its relative error, and the age of the last observation. */
-function speedFields({ log, deviation, ageMs }: KnownSpeed): object {
+function speedFields({ logRatio: log, deviation, ageMs }: EndpointSlowness): object {
     return {
         slowness: Number(Math.exp(log).toFixed(2)),
         error: Number(deviation.toFixed(2)),
