--- a/packages/host/src/gateway.ts
+++ b/packages/host/src/gateway.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { createPlatformStore, platformWire } from "@drumpaddle/platform";
-import { createFleetBudget, DEFAULT_VARIANT, type EndpointView } from "@drumpaddle/policy";
+import { createFleetRetryBudget, DEFAULT_VARIANT, type EndpointView } from "@drumpaddle/policy";
 import { type Clock, createClock } from "@drumpaddle/protocol";
 import {
     compareLives,
@@ -18,24 +18,24 @@
 import Fastify, { type FastifyInstance } from "fastify";
 import { setMaxListeners } from "node:events";
 import type { AddressInfo, Socket } from "node:net";
-import type { Forwarding } from "./calls/forward-call.js";
-import { applyLimits, createForwardServer } from "./calls/forward-server.js";
-import { forward } from "./calls/forward.js";
-import { Copies } from "./calls/generation-copies.js";
-import { OpenRuns } from "./calls/host.js";
-import { EndingWatch, type WatchedEndpoint } from "./endpoints/crash-detector.js";
+import type { GatewayContext } from "./calls/forward-call.js";
+import { applyCallerLimits, createForwardServer } from "./calls/forward-server.js";
+import { serveForwardedCall } from "./calls/forward.js";
+import { GenerationCopies } from "./calls/generation-copies.js";
+import { OpenRequests } from "./calls/host.js";
+import { CrashDetector, type EndpointIncarnation } from "./endpoints/crash-detector.js";
 import { declareEndpoints } from "./endpoints/declare-endpoints.js";
 import { EndpointConnections } from "./endpoints/endpoint-connections.js";
-import { EndpointWords } from "./endpoints/endpoint-notices.js";
-import { type LifeSign, probeByReport } from "./endpoints/endpoint-probe.js";
-import { LifeSignals } from "./endpoints/incarnation-signals.js";
-import { watchStays } from "./endpoints/leaving-poll.js";
+import { EndpointNotices } from "./endpoints/endpoint-notices.js";
+import { probeByStatusCall, type ProbeResult } from "./endpoints/endpoint-probe.js";
+import { IncarnationSignals } from "./endpoints/incarnation-signals.js";
+import { pollLeaving } from "./endpoints/leaving-poll.js";
 import { isLeaving, Placement } from "./endpoints/placement.js";
 import { RequestGuard } from "./endpoints/request-guard.js";
-import { LifeDoubts } from "./endpoints/restart-suspicions.js";
+import { RestartSuspicions } from "./endpoints/restart-suspicions.js";
 import { watchSpeeds } from "./endpoints/speed-watch.js";
 import { addEndpointRoutes } from "./operators/endpoints-api.js";
-import { allowSecrets, serveQuarantine } from "./operators/quarantine-api.js";
+import { addQuarantineRoutes, allowSecrets } from "./operators/quarantine-api.js";
 import { Peers } from "./peers/peers.js";
 import { type HostCfg, memoryBudgetBytes } from "./runtime/config.js";
 import { DescriptorLimit } from "./runtime/descriptors.js";
@@ -106,9 +106,9 @@
         onCall: call => metrics.countStoreCall(call, feed.callReason),
     });
     const feed: DeploymentFeed = new DeploymentFeed({ kv, clock, wire: platformWire, log, metrics, signal });
-    const runs = new OpenRuns();
+    const runs = new OpenRequests();
     const seed = Math.floor(Math.random() * SEED_RANGE);
-    const retries = createFleetBudget({
+    const retries = createFleetRetryBudget({
         windowMs: cfg["forward.retry-window"],
         ratio: cfg["forward.retry-ratio"],
         slack: cfg["forward.retry-slack"],
@@ -117,7 +117,7 @@
     const engines = new Placement(signal, clock, ENGINE_VARIANT, seed, options);
     const plain = new Placement(signal, clock, PLAIN_VARIANT, seed, options);
     const memory = new HostMemory({ budgetBytes: memoryBudgetBytes(cfg), clock, log, metrics });
-    const copies = new Copies({
+    const copies = new GenerationCopies({
         clock,
         engines,
         wire: platformWire,
@@ -126,15 +126,15 @@
         signal,
         endpoint: incarnation => feed.endpoint(incarnation),
     });
-    const lives = new LifeSignals();
+    const lives = new IncarnationSignals();
     const connections = new EndpointConnections(
         signal,
         clock,
         () => metrics.countConnection(),
         {
-            onAnswered: address => peers.reach.answered(address),
-            onUnreachable: address => peers.reach.failed(address),
-            onEndedAtRest: address => {
+            onAnswered: address => peers.reach.endpointAnswered(address),
+            onUnreachable: address => peers.reach.connectionFailed(address),
+            onClosedWhileIdle: address => {
                 for (const endpoint of endpointsAt(address, latestRegistry)) doubts.raise(endpoint);
             },
         },
@@ -144,37 +144,37 @@
         log,
         metrics,
         signal,
-        tell: news => peers.tellQuarantine(news),
-        broke: (endpoint, run) => {
+        share: news => peers.shareQuarantine(news),
+        investigate: (endpoint, run) => {
             doubts.raise(endpoint);
-            endings.broke(endpoint, run);
+            endings.investigate(endpoint, run);
         },
     });
     let latestRegistry: Registry | undefined;
-    const endings = new EndingWatch({
+    const endings = new CrashDetector({
         clock,
         log,
         probe: endpoint => probeWithinLimit(endpoint, [engines, plain], signal),
         isLeaving: incarnation => isLeaving(incarnation, engines, plain),
         // An endpoint that had reported that it leaves has ended as planned.
-        isOver: incarnation => hasRestarted(incarnation, latestRegistry) && !words.hasSaidLeaving(incarnation),
-        isDeaf: () => feed.isStoreAway,
-        onEnded: ending => guard.ended(ending),
-        onNotEnded: runs => guard.notEnded(runs),
-        meetLife: life => peers.meetLife(life),
+        isOver: incarnation => hasRestarted(incarnation, latestRegistry) && !words.hasAnnouncedLeaving(incarnation),
+        isRegistryStale: () => feed.isStoreAway,
+        onCrash: ending => guard.endpointCrashed(ending),
+        onNoCrash: runs => guard.noCrashFound(runs),
+        learnIncarnation: life => peers.learnIncarnation(life),
     });
-    const doubts = new LifeDoubts({
+    const doubts = new RestartSuspicions({
         log,
         placements: [engines, plain],
         probe: endpoint => probeWithinLimit(endpoint, [engines, plain], signal),
-        meetLife: life => peers.meetLife(life),
+        learnIncarnation: life => peers.learnIncarnation(life),
     });
-    const words = new EndpointWords({
+    const words = new EndpointNotices({
         clock,
         log,
         metrics,
         placements: [engines, plain],
-        tell: news => peers.tellWords(news),
+        share: news => peers.shareNotices(news),
     });
     let endsAt: number | undefined;
     let openCallerSockets = 0;
@@ -182,9 +182,9 @@
         maxDescriptors: cfg["host.descriptors"],
         log,
         countSockets: () => ({ callers: openCallerSockets, endpoints: connections.size, peers: peers.connections }),
-        closeIdle: () => connections.forgetAll(),
+        closeIdle: () => connections.closeAllIdle(),
     });
-    const deps: Forwarding = {
+    const deps: GatewayContext = {
         wire: platformWire,
         clock,
         log,
@@ -199,28 +199,28 @@
         memory,
         words,
         signal,
-        bodyMs: cfg["callers.body-timeout"],
+        bodyTimeoutMs: cfg["callers.body-timeout"],
         logCalls: cfg["log.requests"],
-        endsAt: () => endsAt,
+        exitsAt: () => endsAt,
         hasDescriptors: () => descriptorLimit.hasRoom(),
         isStale: () => feed.isStale,
         table: () => feed.table,
         endpoint: incarnation => feed.endpoint(incarnation),
         isEvacuated: hall => latestRegistry?.halls.evacuated.has(hall) === true,
-        hallsIn: homes => hallsIn(cfg["forward.regions"], homes),
-        softwareOf: service => softwareOf(service, latestRegistry),
-        onOtherIncarnation: incarnation => {
+        hallsInRegions: homes => hallsIn(cfg["forward.regions"], homes),
+        softwareVersionsOf: service => softwareOf(service, latestRegistry),
+        onMisdirected: incarnation => {
             // A separate source, so that an owner that does not know of the new incarnation cannot reset it to staying.
             if (engines.setLeaving(incarnation, "address", true) || plain.setLeaving(incarnation, "address", true)) {
                 log.warn({ endpoint: incarnation }, "endpoint_is_another_one");
             }
         },
-        meetLife: life => peers.meetLife(life),
+        meetLife: life => peers.learnIncarnation(life),
     };
     const callers = createForwardServer({
-        requestMs: cfg["callers.body-timeout"],
+        requestTimeoutMs: cfg["callers.body-timeout"],
         signal,
-        onCall: (req, target, out) => forward(deps, req, target, out),
+        onCall: (req, target, out) => serveForwardedCall(deps, req, target, out),
     });
     callers.server.on("connection", (socket: Socket) => {
         openCallerSockets += 1;
@@ -242,53 +242,53 @@
     });
     clock.onWake(({ suspendedMs, jumpMs }) => {
         log.warn({ suspended_ms: Math.round(suspendedMs), jump_ms: Math.round(jumpMs) }, "host_woke");
-        connections.forgetAll();
+        connections.closeAllIdle();
         feed.onWake(suspendedMs);
         runs.woke();
-        peers.woke();
+        peers.onWake();
     });
     // Reading the clock detects a suspension; without calls nothing else does.
     repeat(() => void clock.now(), () => CLOCK_POLL_MS, signal);
     watchSpeeds({ clock, log, metrics, view: () => engines.view, signal });
-    const operatorsServer = createOperatorsServer(() => feed.isReady && peers.isInformed && !runs.stopping, metrics);
+    const operatorsServer = createOperatorsServer(() => feed.isReady && peers.hasCaughtUp && !runs.stopping, metrics);
     const allow = allowSecrets(cfg["peers.secrets"]);
-    serveQuarantine(operatorsServer, guard, allow);
+    addQuarantineRoutes(operatorsServer, guard, allow);
     addEndpointRoutes(operatorsServer, [engines, plain], () => clock.now(), allow);
     const coldBounds = { over: cfg["forward.cold-over"], slack: cfg["forward.cold-slack"] };
     const declare = (): void => {
         if (latestRegistry && feed.table) declareEndpoints(feed.table, latestRegistry, coldBounds, engines, plain);
     };
     feed.onDeployment(table => {
-        applyLimits(callers, table.deployment.limits);
+        applyCallerLimits(callers, table.deployment.limits);
         declare();
     });
     feed.onEndpoints(registry => {
         latestRegistry = registry;
         peers.reach.setEndpoints([...registry.endpoints.values()].map(({ entry }) => entry));
         declare();
-        endings.take(registry);
+        endings.applyRegistry(registry);
         endFinishedLives(registry, { lives, connections, engines, plain, log });
-        words.count();
-        copies.evacuate();
+        words.updateLimitedGauge();
+        copies.copyFromLeaving();
     });
-    engines.setLeavingListener(() => copies.evacuate());
-    watchStays({
+    engines.setLeavingListener(() => copies.copyFromLeaving());
+    pollLeaving({
         wire: platformWire,
         log,
         metrics,
         signal,
-        isDeaf: () => feed.isStoreAway,
+        isRegistryStale: () => feed.isStoreAway,
         owned: () => ownedEnginesInUse(engines, feed, peers),
-        mayAsk: incarnation => engines.mayAsk(incarnation),
-        onStay: (endpoint, { leaving, born }) => {
+        mayPoll: incarnation => engines.admitsControlCall(incarnation),
+        onAnswer: (endpoint, { leaving, born }) => {
             const life = { id: endpoint.id, born };
             const order = compareLives(life, endpoint);
             if (order === LifeOrder.Earlier) return;
-            peers.meetLife(life);
+            peers.learnIncarnation(life);
             const incarnation = order === LifeOrder.Later ? nameOfLife(life) : endpoint.incarnation;
             if (!engines.setLeaving(incarnation, "endpoint", leaving)) return;
             log.info({ endpoint: incarnation, leaving, source: "endpoint" }, "endpoint_stay_changed");
-            peers.tellNow();
+            peers.shareLoadNow();
         },
     });
     const metricsServer = createMetricsServer(metrics);
@@ -348,17 +348,17 @@
 function endFinishedLives(
     registry: Registry,
     { lives, connections, engines, plain, log }: Pick<
-        Forwarding,
+        GatewayContext,
         "lives" | "connections" | "engines" | "plain" | "log"
     >,
 ): void {
-    for (const incarnation of lives.take(registry)) {
+    for (const incarnation of lives.applyRegistry(registry)) {
         const address = registry.departed.get(incarnation)?.entry.address;
         log.info({ endpoint: incarnation }, "endpoint_life_over");
-        engines.endLife(incarnation);
-        plain.endLife(incarnation);
-        if (address !== undefined) connections.forget(address);
-        lives.end(incarnation);
+        engines.endIncarnation(incarnation);
+        plain.endIncarnation(incarnation);
+        if (address !== undefined) connections.closeIdle(address);
+        lives.abort(incarnation);
     }
 }
 
@@ -389,13 +389,13 @@
 
 /** Asks an endpoint whether its life still runs, unless that request would exceed the endpoint's limit. */
 async function probeWithinLimit(
-    { incarnation, address, id, born }: WatchedEndpoint,
+    { incarnation, address, id, born }: EndpointIncarnation,
     placements: readonly Placement[],
     signal: AbortSignal,
-): Promise<LifeSign> {
-    const isAllowed = placements.every(placement => placement.mayAsk(incarnation));
+): Promise<ProbeResult> {
+    const isAllowed = placements.every(placement => placement.admitsControlCall(incarnation));
     if (!isAllowed) return { kind: "unknown", detail: "not asked, as the endpoint's limit allows no request" };
-    return probeByReport(platformWire, address, { id, born }, signal);
+    return probeByStatusCall(platformWire, address, { id, born }, signal);
 }
 
 function holdsStreams({ streams, backups, others }: EndpointView): boolean {
--- a/packages/host/src/index.ts
+++ b/packages/host/src/index.ts
@@ -1,4 +1,4 @@
-export { isOnce } from "./calls/plain-service.js";
+export { runsAtMostOnce } from "./calls/plain-service.js";
 export { type Daemon, startDaemon } from "./daemon.js";
 export { plainModel } from "./endpoints/plain-model.js";
 export { type Gateway, startGateway } from "./gateway.js";
@@ -12,7 +12,7 @@
     readConfig,
 } from "./runtime/config.js";
 export { createLog, formatRecord, type Log } from "./runtime/log.js";
-export { Metrics, Timing } from "./runtime/metrics.js";
+export { Metrics, TimeHistogram } from "./runtime/metrics.js";
 export { Directory, hashSecret } from "./store/directory.js";
-export { type FeedDeps, SettingsFeed } from "./store/settings-feed.js";
+export { SettingsFeed, type SettingsFeedDeps } from "./store/settings-feed.js";
 export { type EditRequest, type EditResult, SettingsStore } from "./store/settings-store.js";
--- a/packages/host/src/operators/endpoints-api.ts
+++ b/packages/host/src/operators/endpoints-api.ts
@@ -6,10 +6,10 @@
  */
 import {
     coldUntil,
+    endpointSlowness,
     type EndpointView,
     isCold,
     isResting,
-    knownSpeed,
     type SchedulerState,
     takesNew,
 } from "@drumpaddle/policy";
@@ -49,9 +49,9 @@
  * toListedEndpoint(view, placement.view, clock.now()).coldForMs;
  * ```
  */
-export function listed(view: EndpointView, state: SchedulerState, now: number): ListedEndpoint {
+export function toListedEndpoint(view: EndpointView, state: SchedulerState, now: number): ListedEndpoint {
     const { id, hall, isEvacuated = false } = view.cfg;
-    const { log, deviation, ageMs } = knownSpeed(state, view, now);
+    const { logRatio: log, deviation, ageMs } = endpointSlowness(state, view, now);
     return {
         endpoint: id,
         hall,
@@ -79,7 +79,7 @@
         if (!allow(req, reply, "read")) return reply;
         const at = now();
         const endpoints = placements.flatMap(({ view: state }) =>
-            state.endpoints.values().map(view => listed(view, state, at))
+            state.endpoints.values().map(view => toListedEndpoint(view, state, at))
         );
         return reply.send({ endpoints });
     });
--- a/packages/host/src/operators/operators.ts
+++ b/packages/host/src/operators/operators.ts
@@ -20,7 +20,7 @@
 import type { Host } from "../calls/host.js";
 import { hashSecret, type Role } from "../store/directory.js";
 import type { EditResult } from "../store/settings-store.js";
-import { serveQuarantine } from "./quarantine-api.js";
+import { addQuarantineRoutes } from "./quarantine-api.js";
 
 const EditBody = Type.Object({
     editId: Type.String({ pattern: "^[A-Za-z0-9-]{8,64}$" }),
@@ -64,7 +64,7 @@
         ...(tls ? { https: tls } as object : {}),
     });
     addHealthRoutes(host, app);
-    serveQuarantine(app, host.guard, (req, reply, role) => allow(host, req, reply, role) !== undefined);
+    addQuarantineRoutes(app, host.guard, (req, reply, role) => allow(host, req, reply, role) !== undefined);
     addSettingsRoutes(host, app);
     addAuditRoutes(host, app);
     return app;
@@ -203,7 +203,7 @@
     reply: FastifyReply,
 ): Promise<readonly AuditEntry[] | undefined> {
     if (!allow(host, req, reply, "read")) return undefined;
-    const found = await host.store.trail(host.signal);
+    const found = await host.store.auditTrail(host.signal);
     if (found.ok) return found.value;
     await reply.code(503).send({ kind: "away" });
     return undefined;
--- a/packages/host/src/operators/quarantine-api.ts
+++ b/packages/host/src/operators/quarantine-api.ts
@@ -36,7 +36,7 @@
 }
 
 /** Adds the routes under `/quarantine` to a server. */
-export function serveQuarantine(
+export function addQuarantineRoutes(
     app: FastifyInstance,
     guard: Pick<RequestGuard, "list" | "clear" | "isSuspect">,
     allow: Allow,
--- a/packages/host/src/peers/notice-sharing.ts
+++ b/packages/host/src/peers/notice-sharing.ts
@@ -5,9 +5,9 @@
  *
  * @module
  */
-import type { EndpointWord } from "@drumpaddle/hall";
+import type { EndpointNotice } from "@drumpaddle/hall";
 import type { Clock } from "@drumpaddle/protocol";
-import { someOf } from "../runtime/random-sample.js";
+import { randomSample } from "../runtime/random-sample.js";
 import { repeat } from "../runtime/repeat.js";
 import { MAX_ITEMS, type NoticePeerMessage } from "./peer-messages.js";
 import { StartupQuery } from "./startup-query.js";
@@ -21,9 +21,9 @@
     live(): readonly string[];
     send(names: readonly string[], message: NoticePeerMessage): void;
     /** Applies notices from a peer; returns those that are new here. */
-    learn(words: readonly EndpointWord[]): readonly EndpointWord[];
+    learn(words: readonly EndpointNotice[]): readonly EndpointNotice[];
     /** All notices worth sharing. */
-    all(): readonly EndpointWord[];
+    all(): readonly EndpointNotice[];
 }
 
 /**
@@ -51,7 +51,7 @@
     }
 
     /** Sends changed notices to a few hosts. */
-    share(words: readonly EndpointWord[]): void {
+    share(words: readonly EndpointNotice[]): void {
         this.sendToSome(FANOUT, words);
     }
 
@@ -66,11 +66,11 @@
         this.deps.send(this.someOthers(1), { kind: "saidAsk" });
     }
 
-    private sendToSome(most: number, words: readonly EndpointWord[]): void {
+    private sendToSome(most: number, words: readonly EndpointNotice[]): void {
         if (words.length > 0) this.send(this.someOthers(most), words, false);
     }
 
-    private send(to: readonly string[], words: readonly EndpointWord[], isAll: boolean): void {
+    private send(to: readonly string[], words: readonly EndpointNotice[], isAll: boolean): void {
         for (let at = 0; at === 0 || at < words.length; at += MAX_ITEMS) {
             this.deps.send(to, { kind: "said", words: words.slice(at, at + MAX_ITEMS), isAll });
         }
@@ -78,6 +78,6 @@
 
     private someOthers(most: number): readonly string[] {
         const { name } = this.deps;
-        return someOf(this.deps.live().filter(other => other !== name), most);
+        return randomSample(this.deps.live().filter(other => other !== name), most);
     }
 }
--- a/packages/host/src/peers/peer-messages.ts
+++ b/packages/host/src/peers/peer-messages.ts
@@ -5,13 +5,13 @@
  */
 import {
     type DetectorMessage,
-    type EndpointWord,
-    MOST_REQUESTS,
+    ENCODED_SAMPLES_LENGTH,
+    type EndpointNotice,
+    type LoadMessage,
+    MAX_REQUESTS_PER_ENDING,
     type QuarantineNews,
-    type SettingsAsk,
-    type SettingsGive,
-    type ShareMessage,
-    SHOWN_WORDS,
+    type SettingsRequest,
+    type SettingsResponse,
     type VersionNews,
 } from "@drumpaddle/hall";
 import type { FrameMessage } from "@drumpaddle/protocol";
@@ -59,7 +59,7 @@
     ...Progress,
 });
 const NonNegative = Type.Number({ minimum: 0 });
-const ShownShape = Type.Array(NonNegative, { minItems: SHOWN_WORDS, maxItems: SHOWN_WORDS });
+const ShownShape = Type.Array(NonNegative, { minItems: ENCODED_SAMPLES_LENGTH, maxItems: ENCODED_SAMPLES_LENGTH });
 const SpeedShape = Type.Tuple([Type.Number(), NonNegative, NonNegative]);
 const LoadShape = Type.Object({
     endpoint: Type.String(),
@@ -86,7 +86,7 @@
     software: Type.Optional(Name),
     requests: Type.Array(
         Type.Object({ fingerprint: Name, ranMs: Age, wasSuspect: Type.Boolean(), cleared: Type.Boolean() }),
-        { maxItems: MOST_REQUESTS },
+        { maxItems: MAX_REQUESTS_PER_ENDING },
     ),
 });
 const TrialShape = Type.Object({ attempt: Name, fingerprint: Name, agoMs: Age, isOver: Type.Boolean() });
@@ -198,13 +198,13 @@
 /** Messages between hosts. */
 export type PeerMessage =
     | DetectorMessage & Progress
-    | { readonly kind: "ask" } & SettingsAsk
-    | { readonly kind: "give" } & SettingsGive
+    | { readonly kind: "ask" } & SettingsRequest
+    | { readonly kind: "give" } & SettingsResponse
     | StorePeerMessage
     | QuarantinePeerMessage
     | NoticePeerMessage
     | ReachPeerMessage
-    | ShareMessage;
+    | LoadMessage;
 
 /** Sent within a hall: a connection to an endpoint of another hall could not be established. */
 export interface ReachPeerMessage {
@@ -216,7 +216,7 @@
 /** Messages by which hosts share the notices of endpoints. */
 export type NoticePeerMessage =
     /** `isAll`: the answer to `saidAsk`, with all notices that the sender knows. */
-    | { readonly kind: "said"; readonly words: readonly EndpointWord[]; readonly isAll: boolean }
+    | { readonly kind: "said"; readonly words: readonly EndpointNotice[]; readonly isAll: boolean }
     /** Asks a peer for all notices that it knows. */
     | { readonly kind: "saidAsk" };
 
--- a/packages/host/src/peers/peers.ts
+++ b/packages/host/src/peers/peers.ts
@@ -7,46 +7,46 @@
  */
 import {
     aliveMembers,
+    announceLeaving,
+    askOwner,
     capacityOf,
     createDetector,
-    createShare,
+    createLoadExchange,
     type Detector,
     type DetectorEnv,
     type DetectorMessage,
     type DetectorStep,
+    type EndpointNotice,
     endpointOwner,
-    type EndpointWord,
+    HOLDER_REPORT_INTERVAL_MS,
     hostsEvent,
     isAlive,
-    leaveHall,
-    listHosts,
+    isWatcher,
     liveHosts,
-    liveInHall,
+    liveHostsInHall,
+    type LoadExchange,
+    type LoadExchangeStep,
+    type LoadMessage,
     type Membership,
     otherHalls,
+    ownerReportIntervalMs,
     type QuarantineNews,
-    ratedHosts,
-    receive,
-    shareAsk,
-    shareHear,
-    type ShareMessage,
-    shareRound,
-    type ShareState,
-    type ShareStep,
-    TELL_OWNERS_MS,
-    tellEvery,
-    tick,
-    unheardCandidates,
-    watches,
+    receiveDetectorMessage,
+    receiveLoadMessage,
+    runLoadRound,
+    selfAndAliveMembers,
+    setCandidates,
+    tickDetector,
+    unknownCandidates,
     type Weights,
     weightsOf,
-    withWeights,
+    withOwnerWeights,
 } from "@drumpaddle/hall";
 import type { EndpointTable } from "@drumpaddle/policy";
 import { type Clock, type FrameMessage, type PeerError, PeerMesh, type PeerName } from "@drumpaddle/protocol";
 import type { Life } from "@drumpaddle/routes";
 import { randomInt } from "node:crypto";
-import type { EndpointWords } from "../endpoints/endpoint-notices.js";
+import type { EndpointNotices } from "../endpoints/endpoint-notices.js";
 import type { Placement } from "../endpoints/placement.js";
 import type { RequestGuard } from "../endpoints/request-guard.js";
 import type { HostCfg } from "../runtime/config.js";
@@ -56,7 +56,7 @@
 import { repeat } from "../runtime/repeat.js";
 import type { StorePeerMessage } from "../store/store-messages.js";
 import { type StoreFollower, StoreSharing } from "../store/store-sharing.js";
-import type { Spread } from "../store/version-exchange.js";
+import type { VersionExchange } from "../store/version-exchange.js";
 import { NoticeSharing } from "./notice-sharing.js";
 import { OwnershipLog } from "./ownership-log.js";
 import { isPeerMessage, type PeerMessage, type Progress } from "./peer-messages.js";
@@ -76,13 +76,13 @@
     readonly engines: Placement;
     /** The scheduler of plain services: hosts share no load for it, but it depends on the number of hosts. */
     readonly plain: Placement;
-    readonly spread: Spread;
+    readonly spread: VersionExchange;
     /** If given, two hosts of each hall watch the store on behalf of all. */
     readonly follower?: StoreFollower;
     /** If given, hosts share which requests crash endpoints. */
     readonly guard?: Pick<RequestGuard, "all" | "digest" | "receive">;
     /** If given, hosts share the notices of endpoints. */
-    readonly words?: Pick<EndpointWords, "all" | "receive">;
+    readonly words?: Pick<EndpointNotices, "all" | "receive">;
     /** If given, messages that wait to be sent to peers count against its budget. */
     readonly memory?: HostMemory;
     readonly signal: AbortSignal;
@@ -96,7 +96,7 @@
 /** This host as a member of its hall. */
 export class Peers {
     private detector: Detector;
-    private loadShare: ShareState;
+    private loadShare: LoadExchange;
     private readonly storeSharing: StoreSharing | undefined;
     private readonly quarantineSharing: QuarantineSharing | undefined;
     private readonly noticeSharing: NoticeSharing | undefined;
@@ -110,7 +110,7 @@
 
     private constructor(private readonly deps: PeersDeps, private readonly mesh: PeerMesh, seeds: readonly string[]) {
         const { "host.name": name, "host.hall": hall, "peers.scope": scope = hall } = deps.cfg;
-        this.loadShare = createShare(name);
+        this.loadShare = createLoadExchange(name);
         this.ownershipLog = new OwnershipLog(deps.log, deps.metrics);
         const start = randomInt(START_RANGE);
         const capacity = ownCapacity(deps.cfg);
@@ -121,10 +121,10 @@
             clock: deps.clock,
             signal: deps.signal,
             follower: deps.follower,
-            inHall: () => liveInHall(this.membership, this.deps.clock.now()),
+            inHall: () => liveHostsInHall(this.membership, this.deps.clock.now()),
             weights: () => this.weights,
             live: () => this.live,
-            seeking: () => unheardCandidates(this.membership).length > 0,
+            seeking: () => unknownCandidates(this.membership).length > 0,
             send: (names, message) => this.sendAll(names, message),
         });
         this.reach = new ReachSharing({
@@ -133,7 +133,7 @@
             clock: deps.clock,
             log: deps.log,
             metrics: deps.metrics,
-            inHall: () => liveInHall(this.membership, this.deps.clock.now()),
+            inHall: () => liveHostsInHall(this.membership, this.deps.clock.now()),
             otherHalls: () => otherHalls(this.membership, this.deps.clock.now()),
             send: (names, message) => this.sendAll(names, message),
             applyEvent: event => {
@@ -168,7 +168,7 @@
     }
 
     private get detectorEnv(): DetectorEnv {
-        return { now: this.deps.clock.now(), everyMs: this.deps.cfg["control.heartbeat"], random: Math.random };
+        return { now: this.deps.clock.now(), intervalMs: this.deps.cfg["control.heartbeat"], random: Math.random };
     }
 
     /** Listens for peers and starts probing them; stops when the signal aborts. */
@@ -188,13 +188,13 @@
                 log.debug({ peer, err: err.kind, detail: "detail" in err ? err.detail : undefined }, "peer_error"),
             onBytes: (direction, bytes) => metrics.countPeerBytes(direction, bytes),
             waiting: {
-                most: () => memory?.linkBytes(),
-                onChange: (link, bytes) => memory?.setLink(link, bytes),
-                onDrop: () => metrics.countDroppedForPeer(),
+                most: () => memory?.maxLinkBytes(),
+                onChange: (link, bytes) => memory?.setLinkBytes(link, bytes),
+                onDrop: () => metrics.countDroppedPeerMessage(),
             },
             signal,
         });
-        if (memory) memory.onCutLink = link => mesh.cutOff(link);
+        if (memory) memory.onCloseLink = link => mesh.cutOff(link);
         const peers = new Peers(deps, mesh, cfg["peers.seeds"]);
         started.peers = peers;
         peers.activate();
@@ -204,10 +204,14 @@
     private activate(): void {
         const { cfg, signal } = this.deps;
         this.deps.engines.setOwnerQuery(action =>
-            this.applyLoadStep(shareAsk(this.loadShare, action, this.endpoints, this.live, this.deps.clock.now()))
+            this.applyLoadStep(askOwner(this.loadShare, action, this.endpoints, this.live, this.deps.clock.now()))
         );
         repeat(() => this.heartbeat(), () => cfg["control.heartbeat"], signal);
-        repeat(() => this.sendDueLoadRound(), () => Math.min(tellEvery(this.live.length), TELL_OWNERS_MS), signal);
+        repeat(
+            () => this.sendDueLoadRound(),
+            () => Math.min(ownerReportIntervalMs(this.live.length), HOLDER_REPORT_INTERVAL_MS),
+            signal,
+        );
     }
 
     /** The address at which peers reach this host. */
@@ -232,12 +236,12 @@
 
     /** Weights of the hosts in rendezvous hashing, by their capacities. */
     private get weights(): Weights {
-        return weightsOf(ratedHosts(this.membership, this.deps.clock.now()));
+        return weightsOf(selfAndAliveMembers(this.membership, this.deps.clock.now()));
     }
 
     /** Sets the peer addresses from the platform's host list. */
-    setListed(addresses: readonly string[]): void {
-        const membership = listHosts(this.membership, [...addresses, ...this.deps.cfg["peers.seeds"]]);
+    setListedHosts(addresses: readonly string[]): void {
+        const membership = setCandidates(this.membership, [...addresses, ...this.deps.cfg["peers.seeds"]]);
         this.detector = { ...this.detector, membership };
     }
 
@@ -248,38 +252,38 @@
     }
 
     /** Whether this host has received its peers' notices and quarantines since it started, or has waited long enough for them. */
-    get isInformed(): boolean {
+    get hasCaughtUp(): boolean {
         return (this.quarantineSharing?.isReady ?? true) && (this.noticeSharing?.isReady ?? true);
     }
 
     /** Shares news of requests that crash endpoints. */
-    tellQuarantine(news: QuarantineNews): void {
+    shareQuarantine(news: QuarantineNews): void {
         this.quarantineSharing?.share(news);
     }
 
     /** Shares changed notices of endpoints. */
-    tellWords(words: readonly EndpointWord[]): void {
+    shareNotices(words: readonly EndpointNotice[]): void {
         this.noticeSharing?.share(words);
     }
 
     /** Records, and shares, which incarnation of an endpoint has answered this host. */
-    meetLife(life: Life): void {
+    learnIncarnation(life: Life): void {
         this.storeSharing?.meetLife(life);
     }
 
     /** Called when the host may have been suspended: probes peers at once, to learn whether they took it for dead, and shares its load. */
-    woke(): void {
+    onWake(): void {
         this.heartbeat();
-        this.tellNow();
+        this.shareLoadNow();
     }
 
     /** Tells peers at once that this host is leaving. */
     leave(): void {
-        this.applyDetectorStep(leaveHall(this.detector, this.detectorEnv));
+        this.applyDetectorStep(announceLeaving(this.detector, this.detectorEnv));
     }
 
     /** Announces the settings version in force to all live peers at once; called when this host has a new one. */
-    announce(): void {
+    announceSettings(): void {
         const message: PeerMessage = { kind: "gossip", news: [], ...this.progress };
         for (const { address } of aliveMembers(this.membership, this.deps.clock.now())) this.send(address, message);
     }
@@ -295,13 +299,13 @@
     }
 
     private heartbeat(): void {
-        this.applyDetectorStep(tick(this.detector, this.detectorEnv));
+        this.applyDetectorStep(tickDetector(this.detector, this.detectorEnv));
         const { metrics, follower, spread, cfg } = this.deps;
         const { live } = this;
         metrics.liveHosts.set(live.length);
         this.logHostChanges(live);
-        this.reach.look();
-        if (!follower) spread.setWatching(watches(cfg["host.name"], live, this.weights));
+        this.reach.update();
+        if (!follower) spread.setWatching(isWatcher(cfg["host.name"], live, this.weights));
     }
 
     private applyDetectorStep({ state, send }: DetectorStep): void {
@@ -334,7 +338,7 @@
             return;
         }
         const hall = this.membership.members.get(from.name)?.hall;
-        if (hall !== undefined) this.reach.heardHost(hall);
+        if (hall !== undefined) this.reach.hostHeard(hall);
         const handler = this.handlers[message.kind] as (
             from: PeerName,
             message: FrameMessage,
@@ -354,7 +358,7 @@
             const given = this.deps.spread.give(ask);
             if (given) this.send(from.address, { kind: "give", ...given });
         },
-        give: (_from, given) => this.deps.spread.take(given),
+        give: (_from, given) => this.deps.spread.accept(given),
         held: (from, message) => this.receiveLoad(from, message),
         others: (from, message) => this.receiveLoad(from, message),
         question: (from, message) => this.receiveLoad(from, message),
@@ -371,9 +375,9 @@
     };
 
     private receiveDetector(from: PeerName, message: DetectorMessage & Progress): void {
-        this.applyDetectorStep(receive(this.detector, from.address, message, this.detectorEnv));
+        this.applyDetectorStep(receiveDetectorMessage(this.detector, from.address, message, this.detectorEnv));
         const { settings, store, quarantine } = message;
-        if (store) this.storeSharing?.hearStamp(from.name, store);
+        if (store) this.storeSharing?.receiveStamp(from.name, store);
         if (quarantine !== undefined) this.quarantineSharing?.receiveDigest(from.name, quarantine);
         const ask = settings && this.deps.spread.ask(settings);
         if (ask && this.shouldRequestSettings(settings.version)) this.send(from.address, { kind: "ask", ...ask });
@@ -396,37 +400,37 @@
         return this.deps.engines.view.endpoints;
     }
 
-    private receiveLoad(from: PeerName, message: ShareMessage): void {
+    private receiveLoad(from: PeerName, message: LoadMessage): void {
         this.applyLoadStep(
-            shareHear(this.loadShare, from.name, message, this.deps.engines.view, this.deps.clock.now()),
+            receiveLoadMessage(this.loadShare, from.name, message, this.deps.engines.view, this.deps.clock.now()),
         );
     }
 
     /** Applies a step of the load sharing: stores its state, sends its messages, passes its events to the scheduler. */
-    private applyLoadStep({ state, send, events }: ShareStep): void {
+    private applyLoadStep({ state, send, events }: LoadExchangeStep): void {
         this.loadShare = state;
         for (const { to, message } of send) this.sendTo(to, message);
         this.deps.engines.applyEvents(events);
     }
 
     /** Shares this host's load at once, for urgent news such as a leaving endpoint, instead of in the next due round. */
-    tellNow(): void {
+    shareLoadNow(): void {
         this.sendLoadRound(0);
     }
 
     /** Runs a due round: this host reports its load to owners every time, and as an owner informs the other hosts less often. */
     private sendDueLoadRound(): void {
-        const every = tellEvery(this.live.length);
-        this.sendLoadRound(every <= TELL_OWNERS_MS ? 0 : every);
+        const every = ownerReportIntervalMs(this.live.length);
+        this.sendLoadRound(every <= HOLDER_REPORT_INTERVAL_MS ? 0 : every);
     }
 
     /** @param othersEveryMs How often this host, as an owner, informs the other hosts; 0 to do so now. */
     private sendLoadRound(othersEveryMs: number): void {
         const { live } = this;
-        const unheard = unheardCandidates(this.membership).length;
+        const unheard = unknownCandidates(this.membership).length;
         this.deps.plain.applyEvents([hostsEvent(this.deps.cfg["host.name"], live, unheard)]);
-        this.loadShare = withWeights(this.loadShare, this.weights);
-        const step = shareRound(this.loadShare, this.endpoints, live, this.deps.clock.now(), othersEveryMs, unheard);
+        this.loadShare = withOwnerWeights(this.loadShare, this.weights);
+        const step = runLoadRound(this.loadShare, this.endpoints, live, this.deps.clock.now(), othersEveryMs, unheard);
         this.ownershipLog.update(step.events);
         this.applyLoadStep(step);
     }
--- a/packages/host/src/peers/quarantine-sharing.ts
+++ b/packages/host/src/peers/quarantine-sharing.ts
@@ -6,7 +6,7 @@
  */
 import type { QuarantineNews } from "@drumpaddle/hall";
 import type { Clock } from "@drumpaddle/protocol";
-import { someOf } from "../runtime/random-sample.js";
+import { randomSample } from "../runtime/random-sample.js";
 import { MAX_ITEMS, type QuarantinePeerMessage } from "./peer-messages.js";
 import { StartupQuery } from "./startup-query.js";
 
@@ -96,6 +96,6 @@
     }
 
     private someOthers(most: number): readonly string[] {
-        return someOf(this.deps.live().filter(name => name !== this.deps.name), most);
+        return randomSample(this.deps.live().filter(name => name !== this.deps.name), most);
     }
 }
--- a/packages/host/src/peers/reach-sharing.ts
+++ b/packages/host/src/peers/reach-sharing.ts
@@ -6,21 +6,21 @@
  * @module
  */
 import {
-    type DoubtedHall,
     type Doubts,
     doubtsOf,
+    EMPTY_REACHABILITY,
     type HallHosts,
+    type HallInDoubt,
     type HallMembers,
-    hearHall,
-    loseEndpoint,
-    NOTHING_FOUND,
-    type Reach,
+    type Reachability,
+    recordFailedConnection,
+    recordHeard,
 } from "@drumpaddle/hall";
 import type { SchedulerEvent } from "@drumpaddle/policy";
 import type { Clock } from "@drumpaddle/protocol";
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
-import { someOf } from "../runtime/random-sample.js";
+import { randomSample } from "../runtime/random-sample.js";
 import type { ReachPeerMessage } from "./peer-messages.js";
 
 /** An endpoint and the hall where it runs. */
@@ -56,7 +56,7 @@
 
 /** Tracks which other halls and endpoints this host can reach. */
 export class ReachSharing {
-    private reach: Reach = NOTHING_FOUND;
+    private reach: Reachability = EMPTY_REACHABILITY;
     private byAddress: ReadonlyMap<string, HallEndpoint> = new Map();
     private byIncarnation: ReadonlyMap<string, HallEndpoint> = new Map();
     private doubts: Doubts = NO_DOUBTS;
@@ -73,18 +73,18 @@
     }
 
     /** Called when a message arrived from a host of the given hall. */
-    heardHost(hall: string): void {
+    hostHeard(hall: string): void {
         if (hall !== this.deps.hall) this.markHeard(hall);
     }
 
     /** Called when the endpoint at this address answered, or a connection to it was established. */
-    answered(address: string): void {
+    endpointAnswered(address: string): void {
         const endpoint = this.byAddress.get(address);
         if (endpoint) this.markHeard(endpoint.hall);
     }
 
     /** Called when a connection to the endpoint at this address failed. */
-    failed(address: string): void {
+    connectionFailed(address: string): void {
         const endpoint = this.byAddress.get(address);
         if (endpoint) this.recordFailure(endpoint, 0);
     }
@@ -96,7 +96,7 @@
     }
 
     /** Evaluates again what is in doubt. Called periodically: silence puts a hall in doubt as time passes, and doubts expire. */
-    look(): void {
+    update(): void {
         this.updateAfter([]);
     }
 
@@ -132,8 +132,8 @@
     }
 
     private markHeard(hall: string): void {
-        const hadLost = [...this.reach.lost.values()].some(lost => lost.hall === hall);
-        this.reach = hearHall(this.reach, hall, this.deps.clock.now());
+        const hadLost = [...this.reach.failedEndpoints.values()].some(lost => lost.hall === hall);
+        this.reach = recordHeard(this.reach, hall, this.deps.clock.now());
         const isRestored = this.awaitingContact.delete(hall);
         if (hadLost || isRestored) this.updateAfter(isRestored ? [hall] : []);
     }
@@ -141,20 +141,20 @@
     private recordFailure(endpoint: HallEndpoint, agoMs: number): void {
         const { incarnation, hall } = endpoint;
         const now = this.deps.clock.now();
-        const { state, isNews } = loseEndpoint(this.reach, incarnation, hall, now - agoMs, now);
+        const { state, isNews } = recordFailedConnection(this.reach, incarnation, hall, now - agoMs, now);
         this.reach = state;
         if (!isNews) return;
         // Once the hall is in doubt, further failures tell the other hosts nothing.
         if (!isHallInDoubt(this.doubts, hall)) this.passOn({ kind: "unreached", endpoint: incarnation, agoMs });
-        this.look();
+        this.update();
     }
 
     private passOn(message: ReachPeerMessage): void {
         const others = this.deps.inHall().filter(name => name !== this.deps.name);
-        this.deps.send(someOf(others, FANOUT, this.deps.random), message);
+        this.deps.send(randomSample(others, FANOUT, this.deps.random), message);
     }
 
-    private logDoubt({ hall, lost, hasHosts, silentMs }: DoubtedHall): void {
+    private logDoubt({ hall, failedEndpoints: lost, hasAliveMajority: hasHosts, silentMs }: HallInDoubt): void {
         const silent = Number.isFinite(silentMs) ? Math.round(silentMs) : undefined;
         this.deps.log.info(
             { hall, lost_endpoints: lost, hosts_relied_on: hasHosts, silent_ms: silent },
--- a/packages/host/src/runtime/call-memory.ts
+++ b/packages/host/src/runtime/call-memory.ts
@@ -10,7 +10,7 @@
 export type SlowReader = "caller" | "endpoint";
 
 /** Why a call is ended to free the memory that it holds. */
-export interface GivenUp {
+export interface GiveUpReason {
     /** The side whose reading the call waited for; undefined if it waited for neither. */
     readonly unreadBy: SlowReader | undefined;
     readonly detail: string;
@@ -45,9 +45,9 @@
     /** For how long the endpoint has read nothing of the body, in milliseconds; 0 if nothing waits for it. */
     bodyStuckMs: () => number = () => 0;
     /** Called when the answer's source is resumed. */
-    onRead: () => void = () => undefined;
+    onResume: () => void = () => undefined;
     /** Ends the call, with an error answer or, if its answer has begun, by cutting the connection. */
-    onGiveUp: (givenUp: GivenUp) => void = () => undefined;
+    onGiveUp: (givenUp: GiveUpReason) => void = () => undefined;
 
     constructor(readonly req: string, private readonly clock: Clock, private readonly host: HostAccount) {
         this.openedAt = clock.now();
@@ -58,7 +58,7 @@
     }
 
     /** Counts so much more of the caller's body; returns false if the budget has no room for it. */
-    takeIn(bytes: number): boolean {
+    reserveBody(bytes: number): boolean {
         if (this.host.isBounded && !this.host.mayReserveBody(bytes)) return false;
         this.hold(HeldKind.Body, this.held.body + bytes);
         return true;
@@ -79,11 +79,11 @@
         else if (hasRead) this.callerStalledSince = this.clock.now();
         else this.callerStalledSince ??= this.clock.now();
         this.hold(HeldKind.Unread, bytes);
-        if (hasRead) this.readOn();
+        if (hasRead) this.resumeIfRoom();
     }
 
     /** Maximum number of bytes of an answer that may be held until it is complete; unlimited if the host has no budget. */
-    get holdLimit(): number {
+    get maxHeldAnswerBytes(): number {
         return this.host.isBounded ? this.host.readAheadBytes() : Infinity;
     }
 
@@ -94,7 +94,7 @@
     }
 
     /** Returns whether the answer's source may be read now; if not, pauses it and calls `resume` as soon as it may. */
-    whenRoom(resume: () => void): boolean {
+    whenReadable(resume: () => void): boolean {
         if (this.mayReadAhead) return true;
         this.resumeSource = resume;
         this.host.setPaused(true);
@@ -102,12 +102,12 @@
     }
 
     /** Resumes the answer's source, if it is paused and may be read now. */
-    readOn(): void {
+    resumeIfRoom(): void {
         const { resumeSource } = this;
         if (!resumeSource || !this.mayReadAhead) return;
         this.resumeSource = undefined;
         this.host.setPaused(false);
-        this.onRead();
+        this.onResume();
         resumeSource();
     }
 
--- a/packages/host/src/runtime/descriptors.ts
+++ b/packages/host/src/runtime/descriptors.ts
@@ -30,7 +30,7 @@
  * hasEnoughDescriptors(4_100, { callers: 900, endpoints: 300, peers: 90 }); // true
  * ```
  */
-export function hasDescriptors(
+export function hasEnoughDescriptors(
     maxDescriptors: number | undefined,
     { callers, endpoints, peers }: OpenSockets,
 ): boolean {
@@ -68,11 +68,11 @@
     /** Whether there are descriptors for one more call; closes idle connections first if there are not. */
     hasRoom(): boolean {
         const { maxDescriptors, countSockets, closeIdle } = this.deps;
-        if (!hasDescriptors(maxDescriptors, countSockets())) closeIdle();
+        if (!hasEnoughDescriptors(maxDescriptors, countSockets())) closeIdle();
         const sockets = countSockets();
-        const hasRoom = hasDescriptors(maxDescriptors, sockets);
+        const hasRoom = hasEnoughDescriptors(maxDescriptors, sockets);
         const hasRecovered = maxDescriptors === undefined
-            || hasDescriptors(maxDescriptors - RECOVERY_SHARE * maxSockets(maxDescriptors), sockets);
+            || hasEnoughDescriptors(maxDescriptors - RECOVERY_SHARE * maxSockets(maxDescriptors), sockets);
         if (this.isShort ? hasRecovered : !hasRoom) this.setShort(!hasRoom, sockets);
         return hasRoom;
     }
--- a/packages/host/src/runtime/host-memory.ts
+++ b/packages/host/src/runtime/host-memory.ts
@@ -5,16 +5,16 @@
  * @module
  */
 import {
+    acceptsBody,
+    adjustHeld,
+    callToGiveUp,
     createAccount,
-    firstToGiveUp,
     type HeldBytes,
     HeldKind,
-    holdMore,
     isFull,
     isOverBudget,
-    linkBytes,
-    mayTakeIn,
     type MemoryAccount,
+    peerQueueBytes,
     readAheadBytes,
     totalHeld,
 } from "@drumpaddle/policy";
@@ -54,11 +54,11 @@
     private lastLoggedAt = -Infinity;
     private suppressedLogs = 0;
     /** Closes the link to a peer and drops what waits for it. */
-    onCutLink: (link: number) => void = () => undefined;
+    onCloseLink: (link: number) => void = () => undefined;
 
     constructor(private readonly deps: HostMemoryDeps) {
         this.account = createAccount(deps.budgetBytes ?? Infinity);
-        deps.metrics.watchHeld(() => this.held, deps.budgetBytes);
+        deps.metrics.exportHeldBytes(() => this.held, deps.budgetBytes);
     }
 
     /** Whether the host has a memory budget. */
@@ -102,12 +102,12 @@
     }
 
     /** Maximum number of bytes that may wait for one peer; undefined if the host has no budget. */
-    linkBytes(): number | undefined {
-        return this.isBounded ? linkBytes(this.account) : undefined;
+    maxLinkBytes(): number | undefined {
+        return this.isBounded ? peerQueueBytes(this.account) : undefined;
     }
 
     /** Sets how many bytes wait on a link to a peer. */
-    setLink(link: number, bytes: number): void {
+    setLinkBytes(link: number, bytes: number): void {
         const before = this.links.get(link) ?? 0;
         if (bytes === 0) this.links.delete(link);
         else this.links.set(link, bytes);
@@ -115,14 +115,14 @@
     }
 
     private mayReserveBody(bytes: number): boolean {
-        if (mayTakeIn(this.account, bytes)) return true;
+        if (acceptsBody(this.account, bytes)) return true;
         this.deps.metrics.countMemoryRefusal();
         return false;
     }
 
     private changeHeld(kind: HeldKind, bytes: number): void {
         if (bytes === 0) return;
-        this.account = holdMore(this.account, kind, bytes);
+        this.account = adjustHeld(this.account, kind, bytes);
         if (!this.isBounded) return;
         this.updateFull();
         if (bytes < 0) this.scheduleResume();
@@ -155,11 +155,11 @@
         while (isOverBudget(this.account)) {
             const link = largestLink(this.links);
             if (link !== undefined) {
-                this.setLink(link, 0);
-                this.onCutLink(link);
+                this.setLinkBytes(link, 0);
+                this.onCloseLink(link);
                 continue;
             }
-            const call = firstToGiveUp([...this.calls].map(each => [each, each.holder] as const));
+            const call = callToGiveUp([...this.calls].map(each => [each, each.holder] as const));
             if (!call) return;
             this.giveUp(call);
         }
@@ -205,7 +205,7 @@
         if (this.resumeTimer || this.pausedCalls.size === 0) return;
         this.resumeTimer = setTimeout(() => {
             this.resumeTimer = undefined;
-            for (const call of [...this.pausedCalls]) call.readOn();
+            for (const call of [...this.pausedCalls]) call.resumeIfRoom();
         }, RESUME_DELAY_MS);
         this.resumeTimer.unref();
     }
--- a/packages/host/src/runtime/metrics.ts
+++ b/packages/host/src/runtime/metrics.ts
@@ -13,7 +13,7 @@
 const MAX_TIME_MS = 3_600_000;
 
 /** A histogram of times in milliseconds. */
-export class Timing {
+export class TimeHistogram {
     private readonly histogram: Histogram = build({
         lowestDiscernibleValue: 1,
         highestTrackableValue: MAX_TIME_MS * UNITS_PER_MS,
@@ -51,9 +51,9 @@
 
 /** All metrics of one daemon. */
 export class Metrics {
-    readonly firstToken = new Timing();
-    readonly betweenTokens = new Timing();
-    readonly stall = new Timing();
+    readonly firstToken = new TimeHistogram();
+    readonly betweenTokens = new TimeHistogram();
+    readonly stall = new TimeHistogram();
     private readonly registry = new Registry();
     private readonly outcomes = this.counter("drumpaddle_requests_total", "Requests, by outcome.", [
         "outcome",
@@ -155,7 +155,7 @@
         "drumpaddle_halls_in_doubt",
         "Other halls that this host probably cannot reach.",
     );
-    readonly limited = this.gauge(
+    readonly limitedEndpoints = this.gauge(
         "drumpaddle_limited_endpoints",
         "Endpoints that report a limit of requests per second.",
     );
@@ -187,7 +187,7 @@
         this.dispatches.inc({ kind });
     }
 
-    countDiscards(discards: Readonly<Record<string, number>>): void {
+    countDiscardedTokens(discards: Readonly<Record<string, number>>): void {
         for (const [reason, number] of Object.entries(discards)) if (number > 0) this.discards.inc({ reason }, number);
     }
 
@@ -217,11 +217,11 @@
         this.copies.inc({ result });
     }
 
-    countStay(answer: string): void {
+    countStayAnswer(answer: string): void {
         this.stayAnswers.inc({ answer });
     }
 
-    countEnding(sign: string): void {
+    countEndpointEnd(sign: string): void {
         this.endings.inc({ sign });
     }
 
@@ -238,12 +238,12 @@
         this.memoryRefusals.inc();
     }
 
-    countDroppedForPeer(): void {
+    countDroppedPeerMessage(): void {
         this.droppedPeerMessages.inc();
     }
 
     /** Exports the bytes held for others by kind, and the budget for them; undefined if there is none. */
-    watchHeld(held: () => Readonly<Record<string, number>>, budgetBytes: number | undefined): void {
+    exportHeldBytes(held: () => Readonly<Record<string, number>>, budgetBytes: number | undefined): void {
         new Gauge({
             name: "drumpaddle_held_bytes",
             help: "Bytes held for callers, endpoints and peers, by kind.",
@@ -275,7 +275,7 @@
         return new Gauge({ name, help, registers: [this.registry] });
     }
 
-    private summary(name: string, help: string, timing: Timing): void {
+    private summary(name: string, help: string, timing: TimeHistogram): void {
         new Gauge({
             name,
             help,
--- a/packages/host/src/runtime/random-sample.ts
+++ b/packages/host/src/runtime/random-sample.ts
@@ -14,7 +14,11 @@
  * randomSample(["a", "b", "c"], 2).length; // 2
  * ```
  */
-export function someOf(names: readonly string[], count: number, random: () => number = Math.random): readonly string[] {
+export function randomSample(
+    names: readonly string[],
+    count: number,
+    random: () => number = Math.random,
+): readonly string[] {
     const shuffled = [...names];
     for (let at = 0; at < Math.min(count, shuffled.length); at++) {
         const other = at + Math.floor(random() * (shuffled.length - at));
--- a/packages/host/src/store/deployment-feed.ts
+++ b/packages/host/src/store/deployment-feed.ts
@@ -10,11 +10,11 @@
     isAfter,
     isFurther,
     NO_POSITION,
-    type SettingsGive,
+    type SettingsResponse,
     type StorePosition,
     type StoreProgress,
+    WATCHER_REPORT_TTL_MS,
     type WatchReason,
-    WORD_VALID_MS,
 } from "@drumpaddle/hall";
 import type { Clock, KeyValue, KvChange, KvEntry, KvError, PlatformWire, WatchTiming } from "@drumpaddle/protocol";
 import {
@@ -41,7 +41,7 @@
 import { RegistrationReader } from "./registrations.js";
 import type { StoreState, StoreUpdate } from "./store-messages.js";
 import type { StoreFollower } from "./store-sharing.js";
-import type { Spread } from "./version-exchange.js";
+import type { VersionExchange } from "./version-exchange.js";
 
 /** What a {@link DeploymentFeed} depends on. */
 export interface DeploymentFeedDeps {
@@ -123,23 +123,23 @@
     }
 
     /** Exchanges deployments with peers, so that a host that the store does not answer gets them too. */
-    get versionExchange(): Spread {
+    get versionExchange(): VersionExchange {
         return {
             news: () => ({ version: this.table?.version ?? NO_VERSION, hash: "" }),
             ask: ({ version }) => version > (this.table?.version ?? NO_VERSION) ? { have: {} } : undefined,
             give: () => this.currentDeployment(),
-            take: given => this.offerFromPeer(given),
+            accept: given => this.offerFromPeer(given),
             setWatching: () => undefined,
         };
     }
 
-    private currentDeployment(): SettingsGive | undefined {
+    private currentDeployment(): SettingsResponse | undefined {
         if (!this.current) return undefined;
         const { table, text } = this.current;
         return { head: { version: table.version, parts: {}, hash: "" }, parts: { deployment: text } };
     }
 
-    private offerFromPeer({ parts }: SettingsGive): void {
+    private offerFromPeer({ parts }: SettingsResponse): void {
         if (parts.deployment !== undefined) this.offer(parts.deployment, "peer");
     }
 
@@ -166,7 +166,7 @@
             noteStoreAnswered: freshAt => this.noteStoreAnswered(freshAt),
             progress: () => this.progress,
             state: asker => this.stateNewerThan(asker),
-            take: state => this.adoptState(state),
+            adoptState: state => this.adoptState(state),
             meetLife: (life, source) => this.meetLife(life, source),
         };
     }
@@ -187,7 +187,7 @@
         const known = this.position ?? NO_POSITION;
         if (!hears) {
             // Getting no updates does not show that the store is away; a watcher whose calls it does not answer does.
-            if (now - this.freshAt > WORD_VALID_MS) this.setRegistry(storeFailed(this.registry));
+            if (now - this.freshAt > WATCHER_REPORT_TTL_MS) this.setRegistry(storeFailed(this.registry));
             return isAfter({ epoch, revision }, known);
         }
         this.peersAnsweredAt = now;
@@ -200,7 +200,7 @@
     private noteStoreAnswered(freshAt: number): void {
         this.peersAnsweredAt = Math.max(this.peersAnsweredAt, freshAt);
         const now = this.deps.clock.now();
-        if (now - freshAt < WORD_VALID_MS) this.setRegistry(storeAnswered(this.registry, now));
+        if (now - freshAt < WATCHER_REPORT_TTL_MS) this.setRegistry(storeAnswered(this.registry, now));
     }
 
     /** This host's whole state for a peer that is behind it; the deployment only where the peer's version is older. */
@@ -432,7 +432,9 @@
 
     /** Handles a call that the store did not answer. The store counts as away only if it has lately answered no peer either. */
     private onStoreUnanswered(): void {
-        if (this.deps.clock.now() - this.peersAnsweredAt > WORD_VALID_MS) this.setRegistry(storeFailed(this.registry));
+        if (this.deps.clock.now() - this.peersAnsweredAt > WATCHER_REPORT_TTL_MS) {
+            this.setRegistry(storeFailed(this.registry));
+        }
         this.setLastCallAnswered(false);
     }
 
--- a/packages/host/src/store/settings-feed.ts
+++ b/packages/host/src/store/settings-feed.ts
@@ -12,7 +12,7 @@
 import type { SettingsStore } from "./settings-store.js";
 
 /** What a {@link SettingsFeed} depends on. */
-export interface FeedDeps {
+export interface SettingsFeedDeps {
     readonly kv: KeyValue;
     readonly store: SettingsStore;
     readonly hall: string;
@@ -37,7 +37,7 @@
     private watchGeneration = 0;
     private isWatching = false;
 
-    constructor(private readonly deps: FeedDeps) {}
+    constructor(private readonly deps: SettingsFeedDeps) {}
 
     /** The version in force; undefined before the first one. */
     get inForce(): InForce | undefined {
--- a/packages/host/src/store/settings-store.ts
+++ b/packages/host/src/store/settings-store.ts
@@ -181,7 +181,7 @@
     }
 
     /** The whole audit trail, oldest entry first. */
-    async trail(signal: AbortSignal): Promise<StoreResult<readonly AuditEntry[]>> {
+    async auditTrail(signal: AbortSignal): Promise<StoreResult<readonly AuditEntry[]>> {
         const found = await this.kv.list(`${this.prefix}/audit/`, signal);
         return found.ok
             ? { ok: true, value: found.value.entries.map(entry => JSON.parse(entry.value) as AuditEntry) }
--- a/packages/host/src/store/store-sharing.ts
+++ b/packages/host/src/store/store-sharing.ts
@@ -5,17 +5,17 @@
  * @module
  */
 import {
-    createFollowing,
-    type Following,
-    type FollowPlan,
-    hearProgress,
-    hearWatcher,
-    planFollowing,
-    type StoreHeard,
+    createWatcherView,
+    planWatching,
+    recordPeerProgress,
+    recordWatcherReport,
+    type StoreContact,
     type StoreProgress,
+    WATCHER_REPORT_INTERVAL_MS,
+    type WatcherView,
+    type WatchPlan,
     type WatchReason,
     type Weights,
-    WORD_EVERY_MS,
 } from "@drumpaddle/hall";
 import type { Clock } from "@drumpaddle/protocol";
 import type { Life } from "@drumpaddle/routes";
@@ -25,7 +25,7 @@
 /** What a host knows from the store, and its own watch of the store, as {@link StoreSharing} uses them. */
 export interface StoreFollower {
     /** Whether the store answers this host's watch, and when it last answered this host or one that it follows. */
-    heard(): Omit<StoreHeard, "seeking">;
+    heard(): Omit<StoreContact, "seeking">;
     /** Whether this host knows enough to serve. */
     isReady(): boolean;
     /** This host's position as an update without changes; undefined before it has one. */
@@ -45,7 +45,7 @@
     /** The whole state for a peer, the deployment only if it is newer than the peer's; undefined if the peer lacks nothing. */
     state(asker: StoreProgress): StoreState | undefined;
     /** Replaces this host's state with a peer's, if that is further ahead. */
-    take(state: StoreState): void;
+    adoptState(state: StoreState): void;
     /** Records that an endpoint has begun a later life; returns whether this host did not know that life. */
     meetLife(life: Life, source: "endpoint" | "peer"): boolean;
 }
@@ -69,33 +69,33 @@
 
 /** Decides whether this host watches the store, and exchanges the store's changes with its peers. */
 export class StoreSharing {
-    private following: Following;
+    private following: WatcherView;
     /** Counts the requests of {@link StoreSharing.requestFromNextPeer}, which choose the peer in turn. */
     private askCount = 0;
 
     constructor(private readonly deps: StoreSharingDeps) {
-        this.following = createFollowing(deps.name, deps.clock.now());
+        this.following = createWatcherView(deps.name, deps.clock.now());
         const { follower, signal } = deps;
         follower.onChanges(update => this.relay(update));
         follower.onAnswer(() => this.reviewWatch());
-        repeat(() => this.reviewWatch(), () => WORD_EVERY_MS, signal);
+        repeat(() => this.reviewWatch(), () => WATCHER_REPORT_INTERVAL_MS, signal);
     }
 
     /** Starts or stops the watch as planned, tells the hall if due, and asks a peer if the store does not answer this host. */
     private reviewWatch(): void {
         const { follower } = this.deps;
         const { hears } = follower.heard();
-        const { reason, says } = this.planWatch();
+        const { reason, shouldReport: says } = this.planWatch();
         follower.setWatching(reason);
         const update = follower.currentUpdate();
         if (says && update) this.tellHall(update);
         if (hears === false || !follower.isReady()) this.requestFromNextPeer();
     }
 
-    private planWatch(): FollowPlan {
+    private planWatch(): WatchPlan {
         const { deps } = this;
         const heard = { ...deps.follower.heard(), seeking: deps.seeking() };
-        const plan = planFollowing(this.following, deps.inHall(), heard, deps.clock.now(), deps.weights());
+        const plan = planWatching(this.following, deps.inHall(), heard, deps.clock.now(), deps.weights());
         this.following = plan.state;
         return plan;
     }
@@ -139,11 +139,16 @@
     }
 
     /** Handles a peer's stamp; a host that has been behind the peer for a while asks it for its state. */
-    hearStamp(from: string, [epoch, revision, version, ageMs]: StoreStamp): void {
+    receiveStamp(from: string, [epoch, revision, version, ageMs]: StoreStamp): void {
         const { follower } = this.deps;
         const now = this.deps.clock.now();
         follower.noteStoreAnswered(now - ageMs);
-        const { state, asks } = hearProgress(this.following, { epoch, revision, version }, follower.progress(), now);
+        const { state, asks } = recordPeerProgress(
+            this.following,
+            { epoch, revision, version },
+            follower.progress(),
+            now,
+        );
         this.following = state;
         if (asks) this.requestState(from);
     }
@@ -161,14 +166,14 @@
         ) => void;
     } = {
         storeWord: (from, update) => {
-            this.following = hearWatcher(this.following, from, update.hears, this.deps.clock.now());
+            this.following = recordWatcherReport(this.following, from, update.hears, this.deps.clock.now());
             if (this.deps.follower.receiveUpdate(update)) this.requestState(from);
         },
         storeAsk: (from, asker) => {
             const state = this.deps.follower.state(asker);
             if (state) this.deps.send([from], { kind: "storeState", ...state });
         },
-        storeState: (_from, state) => this.deps.follower.take(state),
+        storeState: (_from, state) => this.deps.follower.adoptState(state),
         lifeMet: (_from, { id, born }) => void this.deps.follower.meetLife({ id, born }, "peer"),
     };
 }
--- a/packages/host/src/watch-endpoints.ts
+++ b/packages/host/src/watch-endpoints.ts
@@ -84,7 +84,7 @@
     const timeout = host.cfg["control.load-interval"] * TIMEOUT_INTERVALS;
     const load = await fetchLoad(host.dispatcher, endpoint.url, timeout, host.signal);
     if (!load || host.signal.aborted) return;
-    if (host.engines.setLeaving(endpoint.id, "endpoint", load.leaving)) host.peers?.tellNow();
+    if (host.engines.setLeaving(endpoint.id, "endpoint", load.leaving)) host.peers?.shareLoadNow();
     host.engines.report(endpoint.id, { ...load, at: host.clock.now() - load.ageMs });
     const before = preemptions.get(endpoint.id) ?? load.preemptions;
     preemptions.set(endpoint.id, load.preemptions);
@@ -98,7 +98,7 @@
     const response = await fetchHosts(url, host.cfg["host.hall"], host.cfg["platform.timeout"], host.signal);
     if (!response) return undefined;
     const peers = response.hosts.filter(machine => machine.peer !== undefined && machine.state === "live");
-    host.peers?.setListed(peers.map(machine => machine.peer!));
+    host.peers?.setListedHosts(peers.map(machine => machine.peer!));
     for (const machine of response.hosts) {
         const endpoint = machine.endpoint === undefined
             ? undefined
--- a/packages/policy/src/advise.ts
+++ b/packages/policy/src/advise.ts
@@ -10,7 +10,7 @@
 import { mayAdmit } from "./endpoint-admission.js";
 import { isLimited } from "./endpoint-limit.js";
 import type { EndpointView } from "./endpoint.js";
-import type { PlacementAdvice, Question } from "./placement-question.js";
+import type { PlacementAdvice, PlacementQuestion } from "./placement-question.js";
 import type { SchedulerState } from "./scheduler-state.js";
 
 /**
@@ -21,7 +21,11 @@
  * advisePlacement(state, question, now)?.endpoint;
  * ```
  */
-export function advise(state: SchedulerState, question: Question, now: number): PlacementAdvice | undefined {
+export function advisePlacement(
+    state: SchedulerState,
+    question: PlacementQuestion,
+    now: number,
+): PlacementAdvice | undefined {
     const { hall, backUp } = question;
     const profile: RequestProfile = question;
     const views = eligibleViews(state, question, now);
@@ -45,7 +49,11 @@
  * Owned endpoints that the asking host can use. Those with an open circuit breaker at this host are left out unless no
  * others remain.
  */
-function eligibleViews(state: SchedulerState, { demand, exclude }: Question, now: number): readonly EndpointView[] {
+function eligibleViews(
+    state: SchedulerState,
+    { demand, exclude }: PlacementQuestion,
+    now: number,
+): readonly EndpointView[] {
     const known = state.endpoints.values();
     // Hosts may briefly disagree on who owns an endpoint. A host that is asked but owns none answers from all endpoints
     // that it knows.
--- a/packages/policy/src/choose.ts
+++ b/packages/policy/src/choose.ts
@@ -9,16 +9,16 @@
 import {
     type EndpointView,
     isHallAllowed,
+    pendingPrefill,
     plannedShare,
     stalledStreams,
     streamCount,
     takesNew,
-    unreadAt,
 } from "./endpoint.js";
 import { startsInTime } from "./forecast.js";
 import type { Variant } from "./job.js";
 import { outlookAt } from "./lateness.js";
-import { peakOf } from "./memory-curve.js";
+import { peakMemory } from "./memory-curve.js";
 import { batchWithin } from "./pace.js";
 import { prefillMs, type PrefillRate } from "./prefill-rate.js";
 import type { SpeedPools } from "./speed-pool.js";
@@ -173,7 +173,7 @@
     let chosen: { readonly id: string; readonly cost: number } | undefined;
     for (const view of usableEndpoints(known, demand, [primary], now)) {
         if (view.cfg.id === primary) continue;
-        const used = peakOf([view.curve, view.others.curve, curve], z) / view.cfg.memoryTokens;
+        const used = peakMemory([view.curve, view.others.curve, curve], z) / view.cfg.memoryTokens;
         const isRemote = hall !== undefined && hall !== view.cfg.hall;
         const cost = used + (isRemote ? REMOTE_HALL_COST : 0) + (isLimited(view) ? LIMITED_STANDBY_COST : 0);
         const maxUsed = runsRemotely && !isRemote ? Math.max(roomShare, EVACUATION_MEMORY_SHARE) : roomShare;
@@ -215,7 +215,7 @@
     const memoryLimit = share * view.cfg.memoryTokens * (1 - MEMORY_RESERVE);
     const peak = variant.admission === "free"
         ? view.curve.mean[0]! + view.others.curve.mean[0]! + demand.promptTokens
-        : peakOf([view.curve, view.others.curve, curve], z);
+        : peakMemory([view.curve, view.others.curve, curve], z);
     // A request that is too large for any plan still runs, alone.
     if (peak > memoryLimit && streams > 1) return undefined;
     return { streams, streamLimit: limit, peak, memoryLimit };
@@ -245,7 +245,7 @@
     const fit = fitOf(view, profile, context, now);
     if (!fit) return undefined;
     const outlook = variant.speeds ? outlookAt(view, demand, poolOf(speeds, view), now) : undefined;
-    const firstTokenMs = outlook?.firstTokenMs ?? prefillMs(prefillRate, unreadAt(view) + promptTokens);
+    const firstTokenMs = outlook?.firstTokenMs ?? prefillMs(prefillRate, pendingPrefill(view) + promptTokens);
     if (variant.forecast && !startsInTime(view, firstTokenMs, demand.leftMs)) return undefined;
     const { streams, streamLimit: limit, peak, memoryLimit } = fit;
     const cachedShare = variant.prefix && view.prefixes.has(demand.prefix)
@@ -253,7 +253,7 @@
         : 0;
     const remoteCost = hall !== undefined && hall !== view.cfg.hall ? REMOTE_HALL_COST : 0;
     // If the endpoints do not differ, prefilling the request's own prompt takes equally long at each.
-    const waitMs = outlook?.firstTokenMs ?? prefillMs(prefillRate, unreadAt(view));
+    const waitMs = outlook?.firstTokenMs ?? prefillMs(prefillRate, pendingPrefill(view));
     const lateness = outlook?.lateness ?? 0;
     const wait = waitMs / (WAIT_SCALE * demand.objectiveMs);
     const stalled = stalledStreams(view, now) + view.others.stalled > 0 ? STALLED_COST : 0;
--- a/packages/policy/src/demand.ts
+++ b/packages/policy/src/demand.ts
@@ -6,7 +6,7 @@
 import { probit } from "simple-statistics";
 import type { Job } from "./job.js";
 import { meanLength, type Survival } from "./length-estimate.js";
-import { type Curve, streamCurve } from "./memory-curve.js";
+import { type MemoryCurve, streamCurve } from "./memory-curve.js";
 
 /** What a request needs from an endpoint. Hosts send it to owners with their questions. */
 export interface Demand {
@@ -30,7 +30,7 @@
 /** What is needed to judge a request at any endpoint, computed once. */
 export interface RequestProfile {
     readonly demand: Demand;
-    readonly curve: Curve;
+    readonly curve: MemoryCurve;
     /** Standard deviations above the mean at which the memory peak must still fit. */
     readonly z: number;
 }
--- a/packages/policy/src/departed-endpoints.ts
+++ b/packages/policy/src/departed-endpoints.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import { type EndpointView, type KnownLimit, saysLeaving, setLeaving } from "./endpoint.js";
+import { announcedLeaving, type EndpointView, type KnownLimit, setLeaving } from "./endpoint.js";
 
 /** What one endpoint had announced. */
 interface RetainedState {
@@ -29,13 +29,13 @@
  */
 export function retainDeparted(before: RetainedStates, gone: readonly EndpointView[], now: number): RetainedStates {
     const worthKeeping = gone.filter(view =>
-        view.said !== undefined || view.restUntil !== undefined || saysLeaving(view)
+        view.said !== undefined || view.restUntil !== undefined || announcedLeaving(view)
     );
     if (before.size + worthKeeping.length === 0) return before;
     const kept = [...before].filter(([, { goneAt }]) => now - goneAt < RETAIN_MS);
     const added = worthKeeping.map(view => {
         const { cfg, said, restUntil } = view;
-        return [cfg.id, { said, restUntil, leaves: saysLeaving(view), goneAt: now }] as const;
+        return [cfg.id, { said, restUntil, leaves: announcedLeaving(view), goneAt: now }] as const;
     });
     return new Map([...kept, ...added]);
 }
--- a/packages/policy/src/endpoint-limit.ts
+++ b/packages/policy/src/endpoint-limit.ts
@@ -13,7 +13,7 @@
  *
  * @module
  */
-import type { EndpointView, Said } from "./endpoint.js";
+import type { AnnouncedLimit, EndpointView } from "./endpoint.js";
 import type { Fleet } from "./fleet.js";
 
 /**
@@ -114,7 +114,7 @@
  * Whether it is this host's turn to probe a limit that no host has heard of for a while. Hosts that do not hear each
  * other cannot take turns in order: each takes one by its mark, and so rarely that few of them coincide.
  */
-function isProbeTurn(endpoint: string, said: Said, fleet: Fleet, now: number): boolean {
+function isProbeTurn(endpoint: string, said: AnnouncedLimit, fleet: Fleet, now: number): boolean {
     const staleMs = now - said.at - STALE_MS;
     if (staleMs < 0) return false;
     const turn = Math.floor(staleMs / PROBE_TURN_MS);
--- a/packages/policy/src/endpoint.ts
+++ b/packages/policy/src/endpoint.ts
@@ -7,10 +7,10 @@
 import { type Breaker, CLOSED } from "./breaker.js";
 import type { Job } from "./job.js";
 import type { Survival } from "./length-estimate.js";
-import { addCurve, type Curve, HORIZON_TOKENS, streamCurve, zeroCurve } from "./memory-curve.js";
+import { addCurve, HORIZON_TOKENS, type MemoryCurve, streamCurve, zeroCurve } from "./memory-curve.js";
 import { createPace, type PaceFit } from "./pace.js";
 import { type SpeedEvidence, UNKNOWN_SPEED } from "./speed-estimate.js";
-import { NOTHING_SHOWN, type Shown } from "./speed-samples.js";
+import { NO_SPEED_SUMS, type SpeedSums } from "./speed-samples.js";
 
 /**
  * Sources that may report that an endpoint is leaving; each can take back only its own report. `endpoint`: it said so
@@ -51,7 +51,7 @@
     readonly started: boolean;
     /** Whether it has just continued from a copy: the pause until the next progress says nothing about its endpoint. */
     readonly resumedFromCopy?: boolean;
-    readonly curve: Curve;
+    readonly curve: MemoryCurve;
 }
 
 /** A load report of an endpoint. It was made at `at` on this host's clock and may be seconds old. */
@@ -71,17 +71,17 @@
 }
 
 /** What other hosts hold at an endpoint. */
-export interface Others {
+export interface OthersLoad {
     readonly streams: number;
     /** Prompt tokens of streams that have not started, which a new stream's prefill must wait for. */
     readonly unread: number;
     /** Streams that have waited for their first token for longer than their objective. */
     readonly stalled: number;
-    readonly curve: Curve;
+    readonly curve: MemoryCurve;
 }
 
 /** The limit that an endpoint last announced, in an answer to any host. */
-export interface Said {
+export interface AnnouncedLimit {
     /** Requests per second that it takes from all hosts together; undefined if it announces no limit. */
     readonly limitPerS: number | undefined;
     /** When it announced this, in milliseconds on the scheduler's clock. */
@@ -89,7 +89,7 @@
 }
 
 /** An announced limit with the time since which this host knows it. */
-export interface KnownLimit extends Said {
+export interface KnownLimit extends AnnouncedLimit {
     /** When this host first heard the limit that is known now. */
     readonly since: number;
 }
@@ -105,15 +105,15 @@
     /** Copies that it keeps of this host's streams at other endpoints: they use memory but no compute. */
     readonly backups: ReadonlyMap<string, RunningStream>;
     /** Projected memory of this host's streams and backups. */
-    readonly curve: Curve;
-    readonly others: Others;
+    readonly curve: MemoryCurve;
+    readonly others: OthersLoad;
     /** When its owner last sent what others hold; undefined before that. */
-    readonly toldAt: number | undefined;
+    readonly othersReceivedAt: number | undefined;
     readonly pace: PaceFit;
     /** Evidence of its speed from the streams of all hosts, as far as this host knows it. */
     readonly speed: SpeedEvidence;
     /** Sums of the speed samples of this host's own streams. */
-    readonly shown: Shown;
+    readonly shown: SpeedSums;
     readonly breaker: Breaker;
     /** Whether it can probably not be reached from this host; it is then tried only if nothing else is left. */
     readonly isInDoubt: boolean;
@@ -131,7 +131,7 @@
     readonly restartDoubtUntil: number | undefined;
 }
 
-const NO_OTHERS: Others = { streams: 0, unread: 0, stalled: 0, curve: zeroCurve() };
+const NO_OTHERS: OthersLoad = { streams: 0, unread: 0, stalled: 0, curve: zeroCurve() };
 /** Maximum age of a load report: the users' engines lag by 0.5 to 5 s. */
 const MAX_REPORT_LAG_MS = 6_000;
 const MAX_PREFIXES = 64;
@@ -151,10 +151,10 @@
         backups: new Map(),
         curve: zeroCurve(),
         others: NO_OTHERS,
-        toldAt: undefined,
+        othersReceivedAt: undefined,
         pace: createPace(),
         speed: UNKNOWN_SPEED,
-        shown: NOTHING_SHOWN,
+        shown: NO_SPEED_SUMS,
         breaker: CLOSED,
         isInDoubt: false,
         recentlyEnded: [],
@@ -166,15 +166,15 @@
 }
 
 /** Prompt tokens of this host's streams that have not started. */
-export function unreadTokens(view: EndpointView): number {
+export function ownPendingPrefill(view: EndpointView): number {
     let unread = 0;
     for (const { started, job } of view.streams.values()) if (!started) unread += job.promptTokens;
     return unread;
 }
 
 /** Prompt tokens that an endpoint still has to prefill, as far as this host knows. */
-export function unreadAt(view: EndpointView): number {
-    return unreadTokens(view) + view.others.unread;
+export function pendingPrefill(view: EndpointView): number {
+    return ownPendingPrefill(view) + view.others.unread;
 }
 
 /**
@@ -209,7 +209,7 @@
     job: Job,
     survival: Survival,
     now: number,
-    unread = unreadAt(view),
+    unread = pendingPrefill(view),
 ): EndpointView {
     const curve = streamCurve(survival, job.promptTokens, 0);
     const prefillAhead = unread + job.promptTokens;
@@ -329,7 +329,7 @@
 }
 
 /** Projects memory of unknown streams with the growth of this host's own streams. */
-function projectLikeOwn(view: EndpointView, held: number): Curve {
+function projectLikeOwn(view: EndpointView, held: number): MemoryCurve {
     const curve = zeroCurve();
     const own = view.curve.mean[0]!;
     const [least, most] = GROWTH_BOUNDS;
@@ -351,8 +351,8 @@
 export const OTHERS_VALID_MS = 15_000;
 
 /** Applies what the owner sent about other hosts' load. */
-export function applyOthers(view: EndpointView, others: Others, now: number): EndpointView {
-    return { ...view, others, toldAt: now };
+export function applyOthers(view: EndpointView, others: OthersLoad, now: number): EndpointView {
+    return { ...view, others, othersReceivedAt: now };
 }
 
 /**
@@ -367,7 +367,7 @@
  * ```
  */
 export function plannedShare(view: EndpointView, hosts: number, now: number): number {
-    const isOthersLoadKnown = view.toldAt !== undefined && now - view.toldAt <= OTHERS_VALID_MS;
+    const isOthersLoadKnown = view.othersReceivedAt !== undefined && now - view.othersReceivedAt <= OTHERS_VALID_MS;
     return hosts <= 1 || isOthersLoadKnown ? 1 : 1 / hosts;
 }
 
@@ -379,7 +379,7 @@
  * applyAnnouncedLimit(view, { limitPerS: 2.3, at: now }, now).said?.limitPerS; // 2.3
  * ```
  */
-export function applyAnnouncedLimit(view: EndpointView, said: Said, now: number): EndpointView {
+export function applyAnnouncedLimit(view: EndpointView, said: AnnouncedLimit, now: number): EndpointView {
     const known = view.said;
     if (known && known.at >= said.at) return view;
     const since = known?.limitPerS === said.limitPerS ? known?.since ?? now : now;
@@ -425,7 +425,7 @@
 }
 
 /** Whether an endpoint has announced in an answer that it is leaving. */
-export function saysLeaving({ leavingBy }: EndpointView): boolean {
+export function announcedLeaving({ leavingBy }: EndpointView): boolean {
     return leavingBy.includes("answer");
 }
 
--- a/packages/policy/src/forecast.ts
+++ b/packages/policy/src/forecast.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { type EndpointView, unreadAt } from "./endpoint.js";
+import { type EndpointView, pendingPrefill } from "./endpoint.js";
 import type { DrainRate } from "./queue-order.js";
 
 /** The drain rate is ignored if the last start of a waiting request is longer ago than this, in milliseconds. */
@@ -23,7 +23,7 @@
  * ```
  */
 export function startsInTime(view: EndpointView, firstTokenMs: number, leftMs: number): boolean {
-    return unreadAt(view) === 0 || firstTokenMs <= leftMs;
+    return pendingPrefill(view) === 0 || firstTokenMs <= leftMs;
 }
 
 /**
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,4 +1,4 @@
-export { advise } from "./advise.js";
+export { advisePlacement } from "./advise.js";
 export { jobsToEvacuate, keepsCopy } from "./backups.js";
 export { allowsRequest, type Breaker, CLOSED, onInconclusive, onResult, onSent, onUnreachable } from "./breaker.js";
 export { assess, type Candidate, usableEndpoints } from "./choose.js";
@@ -8,6 +8,8 @@
 export { isLimited, limitShare } from "./endpoint-limit.js";
 export { EndpointTable } from "./endpoint-table.js";
 export {
+    announcedLeaving,
+    type AnnouncedLimit,
     applyOthers,
     applyReport,
     type ColdCfg,
@@ -17,17 +19,15 @@
     isResting,
     type LeavingSource,
     type LoadReport,
-    type Others,
     OTHERS_VALID_MS,
+    type OthersLoad,
+    ownPendingPrefill,
+    pendingPrefill,
     plannedShare,
     type RunningStream,
-    type Said,
-    saysLeaving,
     stalledStreams,
     streamCount,
     takesNew,
-    unreadAt,
-    unreadTokens,
 } from "./endpoint.js";
 export { ALONE, type Fleet } from "./fleet.js";
 export { expectedWaitMs, nextRetryTime, NO_RETRY_TIMES, type RetryTimes, startsInTime } from "./forecast.js";
@@ -35,10 +35,10 @@
 export {
     BUCKET_EDGES,
     chanceToReach,
-    createEstimates,
+    createLengthEstimates,
     type LengthEstimates,
     meanLength,
-    observe,
+    observeLength,
     quantileLength,
     type RequestGroup,
     type Survival,
@@ -46,29 +46,29 @@
     survivalOfKnownLength,
 } from "./length-estimate.js";
 export {
+    acceptsBody,
+    adjustHeld,
     budgetOf,
+    callToGiveUp,
     createAccount,
-    firstToGiveUp,
     type HeldBytes,
     HeldKind,
-    holdMore,
     isFull,
     isOverBudget,
-    linkBytes,
-    mayTakeIn,
     type MemoryAccount,
     type MemoryHolder,
+    peerQueueBytes,
     readAheadBytes,
     totalHeld,
 } from "./memory-account.js";
-export { addCurve, type Curve, HORIZON_TOKENS, peakOf, streamCurve, zeroCurve } from "./memory-curve.js";
+export { addCurve, HORIZON_TOKENS, type MemoryCurve, peakMemory, streamCurve, zeroCurve } from "./memory-curve.js";
 export { batchWithin, createPace, observePace, type PaceFit, type PaceLine, paceLine } from "./pace.js";
 export { NO_PAUSES, observePauses, pauseChance, type PauseTable } from "./pause-risk.js";
-export type { PlacementAdvice, Question } from "./placement-question.js";
+export type { PlacementAdvice, PlacementQuestion } from "./placement-question.js";
 export { createPrefillRate, observePrefill, prefillMs, type PrefillRate } from "./prefill-rate.js";
 export {
     countRequest,
-    createFleetBudget,
+    createFleetRetryBudget,
     createRetryBudget,
     earnRetry,
     type FleetRetryBudget,
@@ -77,27 +77,27 @@
     spendRetry,
 } from "./retry-budget.js";
 export {
-    type Asked,
     createScheduler,
     type Decision,
     type JobOutcome,
+    type PendingAsk,
     type RefuseReason,
     type SchedulerAction,
     type SchedulerEvent,
     type SchedulerOptions,
     type SchedulerState,
 } from "./scheduler-state.js";
-export { canGoOn, decide, isProgressDue, PROGRESS_EVERY } from "./scheduler.js";
+export { canContinue, decide, isProgressDue, PROGRESS_EVERY } from "./scheduler.js";
 export {
-    estimateOf,
     observeSpeed,
+    type OwnerSpeed,
+    ownerSpeedOf,
     type Residual,
     speedAgeMs,
     type SpeedEstimate,
+    speedEstimateOf,
     type SpeedEvidence,
     speedFromOwner,
-    type ToldSpeed,
-    toldSpeedOf,
     UNKNOWN_SPEED,
 } from "./speed-estimate.js";
 export {
@@ -114,13 +114,13 @@
 } from "./speed-pool.js";
 export {
     addSpeedSample,
-    NOTHING_SHOWN,
+    NO_SPEED_SUMS,
     samplesFromSums,
-    type Shown,
-    shownSince,
     type SpeedSample,
+    type SpeedSums,
+    speedSumsSince,
 } from "./speed-samples.js";
-export { type KnownSpeed, knownSpeed, poolKeyOf, poolOf } from "./speed-tracking.js";
+export { type EndpointSlowness, endpointSlowness, poolKeyOf, poolOf } from "./speed-tracking.js";
 export {
     createLimits,
     type LimitRefusal,
--- a/packages/policy/src/lateness.ts
+++ b/packages/policy/src/lateness.ts
@@ -6,7 +6,7 @@
  */
 import { cumulativeStdNormalProbability } from "simple-statistics";
 import type { Demand } from "./demand.js";
-import { type EndpointView, streamCount, unreadAt } from "./endpoint.js";
+import { type EndpointView, pendingPrefill, streamCount } from "./endpoint.js";
 import { pauseChance } from "./pause-risk.js";
 import {
     expectedFirstTokenMs,
@@ -36,7 +36,7 @@
 export function outlookAt(view: EndpointView, demand: Demand, pool: SpeedPool, now: number): Outlook | undefined {
     if (pool.variance === 0) return undefined;
     const slowness = slownessOf(pool, view.speed, now);
-    const firstTokenMs = expectedFirstTokenMs(pool, slowness.log, unreadAt(view) + demand.promptTokens);
+    const firstTokenMs = expectedFirstTokenMs(pool, slowness.logRatio, pendingPrefill(view) + demand.promptTokens);
     if (firstTokenMs === undefined) return undefined;
     const deviation = Math.sqrt(noiseOf(pool, "first") + slowness.deviation ** 2);
     const startsInTime = chanceWithin(demand.leftMs, firstTokenMs, deviation);
@@ -62,7 +62,7 @@
     view: EndpointView,
     { gapTargetMs, expectedPieces }: Demand,
     pool: SpeedPool,
-    { log, deviation }: Slowness,
+    { logRatio: log, deviation }: Slowness,
 ): number {
     let chance = 0;
     for (const { deviations, share } of QUADRATURE_POINTS) {
--- a/packages/policy/src/length-estimate.ts
+++ b/packages/policy/src/length-estimate.ts
@@ -53,7 +53,7 @@
 }
 
 /** Creates estimates without evidence. */
-export function createEstimates(): LengthEstimates {
+export function createLengthEstimates(): LengthEstimates {
     return { tables: emptyMap() };
 }
 
@@ -86,7 +86,7 @@
  * estimates = observeLength(estimates, group, 64, 90, true);
  * ```
  */
-export function observe(
+export function observeLength(
     estimates: LengthEstimates,
     group: RequestGroup,
     from: number,
--- a/packages/policy/src/memory-account.ts
+++ b/packages/policy/src/memory-account.ts
@@ -87,7 +87,7 @@
 }
 
 /** Adds to the bytes held of a kind; a negative number releases bytes. */
-export function holdMore(account: MemoryAccount, kind: HeldKind, bytes: number): MemoryAccount {
+export function adjustHeld(account: MemoryAccount, kind: HeldKind, bytes: number): MemoryAccount {
     return { ...account, held: { ...account.held, [kind]: account.held[kind] + bytes } };
 }
 
@@ -97,7 +97,7 @@
 }
 
 /** Whether so many more bytes of a request body may be accepted. */
-export function mayTakeIn(account: MemoryAccount, bytes: number): boolean {
+export function acceptsBody(account: MemoryAccount, bytes: number): boolean {
     return totalHeld(account) + bytes <= account.budgetBytes * BODIES_SHARE;
 }
 
@@ -119,7 +119,7 @@
 }
 
 /** How many bytes may queue for one peer before messages to it are dropped: what is left of the links' share. */
-export function linkBytes(account: MemoryAccount): number {
+export function peerQueueBytes(account: MemoryAccount): number {
     const { budgetBytes, held } = account;
     const left = budgetBytes * LINKS_SHARE - held.link;
     return Math.max(0, Math.min(left, budgetBytes - totalHeld(account)));
@@ -145,7 +145,7 @@
  * callToGiveUp([["quick", { bytes: 9_000, stuckMs: 0 }], ["slow", { bytes: 9_000, stuckMs: 5_000 }]]); // "slow"
  * ```
  */
-export function firstToGiveUp<K>(holders: Iterable<readonly [K, MemoryHolder]>): K | undefined {
+export function callToGiveUp<K>(holders: Iterable<readonly [K, MemoryHolder]>): K | undefined {
     let first: K | undefined;
     let most = 0;
     for (const [key, { bytes, stuckMs }] of holders) {
--- a/packages/policy/src/memory-curve.ts
+++ b/packages/policy/src/memory-curve.ts
@@ -12,13 +12,13 @@
 export const HORIZON_TOKENS: readonly number[] = [0, 32, 96, 224, 480, 992, 2_016, 4_064, 8_160];
 
 /** Mean and variance of the tokens held at each point of {@link HORIZON_TOKENS}. */
-export interface Curve {
+export interface MemoryCurve {
     readonly mean: Float64Array;
     readonly variance: Float64Array;
 }
 
 /** A curve without any memory. */
-export function zeroCurve(): Curve {
+export function zeroCurve(): MemoryCurve {
     return { mean: new Float64Array(HORIZON_TOKENS.length), variance: new Float64Array(HORIZON_TOKENS.length) };
 }
 
@@ -33,7 +33,7 @@
  * streamCurve(lengths, 1200, 40).mean[0]; // 1200
  * ```
  */
-export function streamCurve(survival: Survival, held: number, produced: number): Curve {
+export function streamCurve(survival: Survival, held: number, produced: number): MemoryCurve {
     const curve = zeroCurve();
     for (const [at, ahead] of HORIZON_TOKENS.entries()) {
         const alive = chanceToReach(survival, produced, produced + ahead);
@@ -52,7 +52,7 @@
  * addCurve(total, streamCurve(lengths, 100, 0), 1);
  * ```
  */
-export function addCurve(a: Curve, b: Curve, weight: number): Curve {
+export function addCurve(a: MemoryCurve, b: MemoryCurve, weight: number): MemoryCurve {
     const sum = zeroCurve();
     for (let at = 0; at < HORIZON_TOKENS.length; at++) {
         sum.mean[at] = a.mean[at]! + weight * b.mean[at]!;
@@ -69,7 +69,7 @@
  * peakMemory([running, candidate], 1.28) <= memoryTokens;
  * ```
  */
-export function peakOf(curves: readonly Curve[], z: number): number {
+export function peakMemory(curves: readonly MemoryCurve[], z: number): number {
     let peak = 0;
     for (let at = 0; at < HORIZON_TOKENS.length; at++) {
         let mean = 0;
--- a/packages/policy/src/placement-question.ts
+++ b/packages/policy/src/placement-question.ts
@@ -5,13 +5,13 @@
  * @module
  */
 import type { Demand } from "./demand.js";
-import type { Curve } from "./memory-curve.js";
+import type { MemoryCurve } from "./memory-curve.js";
 
 /** A host asks an owner where one of its requests, or the copy of a running one, should go. */
-export interface Question {
+export interface PlacementQuestion {
     readonly demand: Demand;
     /** Memory that the stream is expected to hold. */
-    readonly curve: Curve;
+    readonly curve: MemoryCurve;
     /** Standard deviations above the mean at which the memory peak must still fit. */
     readonly z: number;
     /** Hall of the host that asks. */
--- a/packages/policy/src/retry-budget.ts
+++ b/packages/policy/src/retry-budget.ts
@@ -86,7 +86,9 @@
  * createFleetRetryBudget({ windowMs: 10_000, ratio: 0.2, slack: 50 });
  * ```
  */
-export function createFleetBudget(bounds: Pick<FleetRetryBudget, "windowMs" | "ratio" | "slack">): FleetRetryBudget {
+export function createFleetRetryBudget(
+    bounds: Pick<FleetRetryBudget, "windowMs" | "ratio" | "slack">,
+): FleetRetryBudget {
     return { ...bounds, maxHosts: ASSUMED_HOSTS, slices: [] };
 }
 
--- a/packages/policy/src/scheduler-state.ts
+++ b/packages/policy/src/scheduler-state.ts
@@ -5,19 +5,19 @@
  */
 import type { RetainedStates } from "./departed-endpoints.js";
 import { EndpointTable } from "./endpoint-table.js";
-import type { EndpointCfg, EndpointView, LeavingSource, LoadReport, Others, Said } from "./endpoint.js";
+import type { AnnouncedLimit, EndpointCfg, EndpointView, LeavingSource, LoadReport, OthersLoad } from "./endpoint.js";
 import { type AdmissionBounds, ALONE } from "./fleet.js";
 import { NO_RETRY_TIMES, type RetryTimes } from "./forecast.js";
 import { DEFAULT_VARIANT, type Job, type Variant } from "./job.js";
-import { createEstimates, type LengthEstimates } from "./length-estimate.js";
-import type { Question } from "./placement-question.js";
+import { createLengthEstimates, type LengthEstimates } from "./length-estimate.js";
+import type { PlacementQuestion } from "./placement-question.js";
 import { createPrefillRate, type PrefillRate } from "./prefill-rate.js";
 import type { DrainRate, WaitingRequest } from "./queue-order.js";
 import { createRetryBudget, type FleetRetryBudget, type RetryBudget } from "./retry-budget.js";
 import { emptyMap, type ShardMap } from "./shard-map.js";
-import type { ToldSpeed } from "./speed-estimate.js";
+import type { OwnerSpeed } from "./speed-estimate.js";
 import type { SpeedPools } from "./speed-pool.js";
-import type { Shown } from "./speed-samples.js";
+import type { SpeedSums } from "./speed-samples.js";
 
 /** Everything that one host knows for its decisions. */
 export interface SchedulerState extends AdmissionBounds {
@@ -45,7 +45,7 @@
     /** Endpoints that this host owns. */
     readonly owned: ReadonlySet<string>;
     /** Requests for which an owner was asked and has not answered yet. */
-    readonly asked: ReadonlyMap<string, Asked>;
+    readonly asked: ReadonlyMap<string, PendingAsk>;
     /** Running requests for which an owner was asked for a standby. */
     readonly askedStandby: ReadonlyMap<string, PendingStandbyAsk>;
     /** Counter of choices: the turn of round robin and the seed of two random choices. */
@@ -53,7 +53,7 @@
 }
 
 /** A request that waits for an owner's answer. Its stream is already counted at the endpoint that was asked for. */
-export interface Asked {
+export interface PendingAsk {
     readonly waiting: WaitingRequest;
     readonly endpoint: string;
     readonly at: number;
@@ -106,11 +106,11 @@
     | {
         readonly kind: "others";
         readonly endpoint: string;
-        readonly others: Others;
-        readonly speed?: ToldSpeed | undefined;
+        readonly others: OthersLoad;
+        readonly speed?: OwnerSpeed | undefined;
     }
     /** Sent to this host as the owner: the speed samples of another host's streams since its last message. */
-    | { readonly kind: "shown"; readonly host: string; readonly endpoint: string; readonly shown: Shown }
+    | { readonly kind: "shown"; readonly host: string; readonly endpoint: string; readonly shown: SpeedSums }
     | { readonly kind: "arrive"; readonly job: Job; readonly avoid: readonly string[]; readonly retry: boolean }
     /**
      * A stream has progressed: tokens so far, and the mean and largest gap since the last such event, in milliseconds.
@@ -131,7 +131,7 @@
     /** A request's endpoint is leaving: another endpoint should take a copy if there is capacity. */
     | { readonly kind: "evacuate"; readonly job: string }
     /** An endpoint has announced a limit, or that it has none. */
-    | { readonly kind: "said"; readonly endpoint: string; readonly said: Said }
+    | { readonly kind: "said"; readonly endpoint: string; readonly said: AnnouncedLimit }
     /** An endpoint asked this host to send it nothing until then. */
     | { readonly kind: "rest"; readonly endpoint: string; readonly until: number }
     /** An endpoint may have restarted: it counts as cold until this time; undefined once the doubt is resolved. */
@@ -175,7 +175,7 @@
         readonly kind: "ask";
         readonly job: string;
         readonly endpoint: string;
-        readonly question: Question;
+        readonly question: PlacementQuestion;
     }
     /** No endpoint has capacity for the requested copy. */
     | { readonly kind: "noCopy"; readonly job: string }
@@ -222,7 +222,7 @@
         endpoints: EndpointTable.of([]),
         remembered: new Map(),
         waiting: [],
-        estimates: createEstimates(),
+        estimates: createLengthEstimates(),
         retryBudget: createRetryBudget(),
         drainRate: undefined,
         prefillRate: createPrefillRate(),
--- a/packages/policy/src/scheduler.ts
+++ b/packages/policy/src/scheduler.ts
@@ -230,7 +230,7 @@
  * if (!canContinue(state, "r1", now)) wait();
  * ```
  */
-export function canGoOn(state: SchedulerState, job: string, now: number): boolean {
+export function canContinue(state: SchedulerState, job: string, now: number): boolean {
     return usableCopy(state, job, now) !== undefined;
 }
 
--- a/packages/policy/src/speed-estimate.ts
+++ b/packages/policy/src/speed-estimate.ts
@@ -68,7 +68,7 @@
 }
 
 /** An owner's estimate of an endpoint's speed, as sent to other hosts. */
-export interface ToldSpeed {
+export interface OwnerSpeed {
     /** Natural logarithm of its time for the same work relative to others'. */
     readonly value: number;
     /** Inverse variance of the value when the endpoint was last sampled. */
@@ -135,16 +135,16 @@
 }
 
 /** Current estimate of an endpoint's speed. */
-export function estimateOf(speed: SpeedEvidence, now: number): SpeedEstimate {
+export function speedEstimateOf(speed: SpeedEvidence, now: number): SpeedEstimate {
     const { weight, sum } = closedSums(speed, now);
     return { mean: weight > 0 ? sum / weight : 0, weight };
 }
 
 /** Returns the estimate that an owner sends to other hosts; undefined without samples. */
-export function toldSpeedOf(speed: SpeedEvidence, now: number): ToldSpeed | undefined {
+export function ownerSpeedOf(speed: SpeedEvidence, now: number): OwnerSpeed | undefined {
     const ageMs = speedAgeMs(speed, now);
     if (ageMs === undefined) return undefined;
-    const { mean, weight } = estimateOf(speed, now - ageMs);
+    const { mean, weight } = speedEstimateOf(speed, now - ageMs);
     return { value: mean, weight, ageMs };
 }
 
@@ -156,7 +156,7 @@
  * speedFromOwner({ value: 0.5, weight: 40, ageMs: 200 }, now);
  * ```
  */
-export function speedFromOwner({ value, weight, ageMs }: ToldSpeed, now: number): SpeedEvidence {
+export function speedFromOwner({ value, weight, ageMs }: OwnerSpeed, now: number): SpeedEvidence {
     const mean = Math.min(MAX_OWNER_LOG_RATIO, Math.max(-MAX_OWNER_LOG_RATIO, value));
     const known = Math.min(MAX_OWNER_WEIGHT, Math.max(0, weight));
     return { weight: known, sum: known * mean, at: now - Math.max(0, ageMs), window: undefined };
--- a/packages/policy/src/speed-pool.ts
+++ b/packages/policy/src/speed-pool.ts
@@ -10,7 +10,7 @@
  */
 import { observePace, type PaceFit, paceLine, paceOfSample } from "./pace.js";
 import { BUCKET_LOG, NO_PAUSES, observePauses, type PauseTable } from "./pause-risk.js";
-import { estimateOf, type Residual, type SpeedEstimate, type SpeedEvidence } from "./speed-estimate.js";
+import { type Residual, type SpeedEstimate, speedEstimateOf, type SpeedEvidence } from "./speed-estimate.js";
 import type { SpeedSample, StretchSample } from "./speed-samples.js";
 
 /** After 500 more samples a sample still weighs a third. */
@@ -72,7 +72,7 @@
 /** An endpoint's slowness relative to the mean of its pool. */
 export interface Slowness {
     /** Natural logarithm of its relative time for the same work; 0 if it is not known to differ. */
-    readonly log: number;
+    readonly logRatio: number;
     /** Standard deviation of the logarithm. */
     readonly deviation: number;
 }
@@ -91,7 +91,7 @@
     comparedAt: -Infinity,
 };
 
-const NO_DIFFERENCE: Slowness = { log: 0, deviation: 0 };
+const NO_DIFFERENCE: Slowness = { logRatio: 0, deviation: 0 };
 
 function addValue({ weight, sum }: DecayedMean, value: number): DecayedMean {
     return { weight: weight * DECAY + 1, sum: sum * DECAY + value };
@@ -117,10 +117,10 @@
  */
 export function slownessOf({ mean, variance }: SpeedPool, speed: SpeedEvidence, now: number): Slowness {
     if (variance === 0) return NO_DIFFERENCE;
-    const known = estimateOf(speed, now);
-    if (known.weight === 0) return { log: 0, deviation: Math.sqrt(variance) };
+    const known = speedEstimateOf(speed, now);
+    if (known.weight === 0) return { logRatio: 0, deviation: Math.sqrt(variance) };
     const share = known.weight * variance / (known.weight * variance + 1);
-    return { log: share * (known.mean - mean), deviation: Math.sqrt(variance * (1 - share)) };
+    return { logRatio: share * (known.mean - mean), deviation: Math.sqrt(variance * (1 - share)) };
 }
 
 /**
@@ -157,7 +157,7 @@
 ): Residual | undefined {
     const observed = logTimeOf(pool, batch, sample);
     if (observed === undefined) return undefined;
-    const known = estimateOf(speed, now);
+    const known = speedEstimateOf(speed, now);
     const noise = noiseOf(pool, sample.kind);
     const centre = known.weight > 0 ? known.mean : pool.mean;
     const uncertainty = known.weight > 0 ? 1 / known.weight : Math.max(noise, pool.variance);
@@ -196,13 +196,13 @@
     const { kind } = sample;
     const slowness = slownessOf(pool, speed, now);
     const level = meanOf(pool.levels[kind]);
-    const adjusted = level + residual.value - slowness.log;
+    const adjusted = level + residual.value - slowness.logRatio;
     return {
         ...pool,
         levels: { ...pool.levels, [kind]: addValue(pool.levels[kind], adjusted) },
         noise: { ...pool.noise, [kind]: observeNoise(pool, speed, kind, residual, now) },
         ...(sample.kind === "stretch" ? observeGap(pool, batch, sample, adjusted) : {}),
-        pauses: observePausesOf(pool, estimateOf(speed, now), batch, sample),
+        pauses: observePausesOf(pool, speedEstimateOf(speed, now), batch, sample),
     };
 }
 
@@ -227,7 +227,7 @@
     { deviation }: Residual,
     now: number,
 ): DecayedMean {
-    const { weight } = estimateOf(speed, now);
+    const { weight } = speedEstimateOf(speed, now);
     const noise = pool.noise[kind];
     if (weight === 0) return noise;
     const samples = weight * noiseOf(pool, kind);
--- a/packages/policy/src/speed-samples.ts
+++ b/packages/policy/src/speed-samples.ts
@@ -26,7 +26,7 @@
 export type SpeedSample = FirstTokenSample | StretchSample;
 
 /** Sums of samples. They only grow, so what is new since the last message is a difference. Times are milliseconds. */
-export interface Shown {
+export interface SpeedSums {
     readonly firsts: number;
     readonly unread: number;
     readonly firstMs: number;
@@ -39,7 +39,7 @@
 }
 
 /** Sums without samples. */
-export const NOTHING_SHOWN: Shown = {
+export const NO_SPEED_SUMS: SpeedSums = {
     firsts: 0,
     unread: 0,
     firstMs: 0,
@@ -50,7 +50,7 @@
 };
 
 /** Adds one sample. */
-export function addSpeedSample(shown: Shown, sample: SpeedSample): Shown {
+export function addSpeedSample(shown: SpeedSums, sample: SpeedSample): SpeedSums {
     if (sample.kind === "first") {
         return {
             ...shown,
@@ -77,9 +77,9 @@
  * speedSumsSince(addSpeedSample(told, sample), told)?.firsts; // 1
  * ```
  */
-export function shownSince(shown: Shown, told: Shown): Shown | undefined {
+export function speedSumsSince(shown: SpeedSums, told: SpeedSums): SpeedSums | undefined {
     const wasReset = shown.firsts < told.firsts || shown.stretches < told.stretches;
-    const base = wasReset ? NOTHING_SHOWN : told;
+    const base = wasReset ? NO_SPEED_SUMS : told;
     if (shown.firsts === base.firsts && shown.stretches === base.stretches) return undefined;
     return {
         firsts: shown.firsts - base.firsts,
@@ -100,7 +100,7 @@
  * host may send a wrong number.
  */
 export function samplesFromSums(
-    { firsts, unread, firstMs, stretches, pieces, gapMs, longestMs }: Shown,
+    { firsts, unread, firstMs, stretches, pieces, gapMs, longestMs }: SpeedSums,
 ): readonly SpeedSample[] {
     const samples: SpeedSample[] = [];
     if (firsts > 0) samples.push({ kind: "first", unread: unread / firsts, ms: firstMs / firsts });
--- a/packages/policy/src/speed-tracking.ts
+++ b/packages/policy/src/speed-tracking.ts
@@ -6,7 +6,7 @@
  */
 import { type EndpointView, streamCount } from "./endpoint.js";
 import { type SchedulerState, updateEndpoint } from "./scheduler-state.js";
-import { estimateOf, observeSpeed, speedAgeMs, speedFromOwner, type ToldSpeed } from "./speed-estimate.js";
+import { observeSpeed, type OwnerSpeed, speedAgeMs, speedEstimateOf, speedFromOwner } from "./speed-estimate.js";
 import {
     comparePool,
     EMPTY_POOL,
@@ -17,7 +17,7 @@
     type SpeedPool,
     type SpeedPools,
 } from "./speed-pool.js";
-import { addSpeedSample, samplesFromSums, type Shown, type SpeedSample } from "./speed-samples.js";
+import { addSpeedSample, samplesFromSums, type SpeedSample, type SpeedSums } from "./speed-samples.js";
 
 /** Key of this host among the hosts that contribute samples. */
 const OWN_HOST = "";
@@ -54,14 +54,19 @@
     state: SchedulerState,
     host: string,
     endpoint: string,
-    shown: Shown,
+    shown: SpeedSums,
     now: number,
 ): SchedulerState {
     return recordSamples(state, endpoint, samplesFromSums(shown), host, now);
 }
 
 /** Takes the speed estimate that the endpoint's owner sent. */
-export function applyOwnerSpeed(state: SchedulerState, endpoint: string, told: ToldSpeed, now: number): SchedulerState {
+export function applyOwnerSpeed(
+    state: SchedulerState,
+    endpoint: string,
+    told: OwnerSpeed,
+    now: number,
+): SchedulerState {
     if (state.owned.has(endpoint)) return state;
     return refreshPool(
         updateEndpoint(state, endpoint, view => ({ ...view, speed: speedFromOwner(told, now) })),
@@ -107,13 +112,13 @@
     if (now - known.comparedAt < COMPARE_INTERVAL_MS) return state;
     const estimates = state.endpoints.values()
         .filter(other => poolKeyOf(other) === key)
-        .map(({ speed }) => estimateOf(speed, now));
+        .map(({ speed }) => speedEstimateOf(speed, now));
     const pool = { ...comparePool(known, estimates), comparedAt: now };
     return { ...state, speeds: new Map(state.speeds).set(key, pool) };
 }
 
 /** An endpoint's slowness as shown to operators. */
-export interface KnownSpeed extends Slowness {
+export interface EndpointSlowness extends Slowness {
     /** Time since its last sample, in milliseconds; undefined if there was none. */
     readonly ageMs: number | undefined;
 }
@@ -126,6 +131,10 @@
  * Math.exp(endpointSlowness(state, view, now).logRatio); // 0.6 if it takes six tenths of the time
  * ```
  */
-export function knownSpeed({ speeds }: Pick<SchedulerState, "speeds">, view: EndpointView, now: number): KnownSpeed {
+export function endpointSlowness(
+    { speeds }: Pick<SchedulerState, "speeds">,
+    view: EndpointView,
+    now: number,
+): EndpointSlowness {
     return { ...slownessOf(poolOf(speeds, view), view.speed, now), ageMs: speedAgeMs(view.speed, now) };
 }
--- a/packages/policy/src/stream-events.ts
+++ b/packages/policy/src/stream-events.ts
@@ -8,7 +8,7 @@
 import { type Breaker, onInconclusive, onResult, onUnreachable } from "./breaker.js";
 import { survivalFor, withoutKey } from "./dispatch.js";
 import { advanceStream, removeStream, type RunningStream, streamCount } from "./endpoint.js";
-import { observe } from "./length-estimate.js";
+import { observeLength } from "./length-estimate.js";
 import { observePace } from "./pace.js";
 import { observePrefill } from "./prefill-rate.js";
 import { type JobOutcome, type SchedulerEvent, type SchedulerState, updateEndpoint } from "./scheduler-state.js";
@@ -25,7 +25,7 @@
     const id = getIn(state.placed, event.job);
     const running = id === undefined ? undefined : state.endpoints.get(id)?.streams.get(event.job);
     if (id === undefined || !running || event.produced <= running.produced) return state;
-    const estimates = observe(state.estimates, running.job.group, running.produced, event.produced, false);
+    const estimates = observeLength(state.estimates, running.job.group, running.produced, event.produced, false);
     const survival = survivalFor({ ...state, estimates }, running.job);
     const prefillRate = running.started
         ? state.prefillRate
@@ -79,7 +79,13 @@
     const placed = deleteIn(state.placed, job);
     const isWhole = outcome === "whole";
     const estimates = produced > running.produced || isWhole
-        ? observe(state.estimates, running.job.group, running.produced, Math.max(produced, running.produced), isWhole)
+        ? observeLength(
+            state.estimates,
+            running.job.group,
+            running.produced,
+            Math.max(produced, running.produced),
+            isWhole,
+        )
         : state.estimates;
     return updateEndpoint(dropBackup({ ...state, placed, estimates }, job), id, view => {
         return { ...removeStream(view, job, now), breaker: breakerAfter(view.breaker, outcome, now) };
--- a/packages/standins/src/bench-path.ts
+++ b/packages/standins/src/bench-path.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import { Timing } from "@drumpaddle/host";
+import { TimeHistogram } from "@drumpaddle/host";
 import Table from "cli-table3";
 import { type ChildProcess, fork } from "node:child_process";
 import { fileURLToPath } from "node:url";
@@ -34,14 +34,14 @@
 }
 
 interface Side {
-    readonly gaps: Timing;
-    readonly firstToken: Timing;
+    readonly gaps: TimeHistogram;
+    readonly firstToken: TimeHistogram;
     tokens: number;
     failures: number;
 }
 
 async function measure(urls: readonly string[], key: string, options: Options): Promise<Side> {
-    const side: Side = { gaps: new Timing(), firstToken: new Timing(), tokens: 0, failures: 0 };
+    const side: Side = { gaps: new TimeHistogram(), firstToken: new TimeHistogram(), tokens: 0, failures: 0 };
     const dispatcher = new Agent({ connections: options.streams * 2 });
     const output = Math.round(options.seconds * options.rate / options.streams);
     const results: CallerResult[] = await Promise.all(Array.from({ length: options.streams }, async (_, at) => {
--- a/packages/standins/src/bench-spread.ts
+++ b/packages/standins/src/bench-spread.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { Timing } from "@drumpaddle/host";
+import { TimeHistogram } from "@drumpaddle/host";
 import Table from "cli-table3";
 import { randomUUID } from "node:crypto";
 import sade from "sade";
@@ -22,7 +22,7 @@
 interface Point {
     readonly hosts: number;
     readonly readyMs: number;
-    readonly delays: Timing;
+    readonly delays: TimeHistogram;
     readonly readsPerEdit: number;
     readonly idleReadsPerMinute: number;
     readonly idleCores: number;
@@ -50,7 +50,7 @@
 }
 
 /** Delays of one edit at each host, from the moment that its operator was told that it is accepted. */
-async function measureEdit(stage: Stage, at: number, delays: Timing): Promise<void> {
+async function measureEdit(stage: Stage, at: number, delays: TimeHistogram): Promise<void> {
     const seen = new Map<string, number>();
     let listening = true;
     for (const host of stage.hosts) {
@@ -79,7 +79,7 @@
     const stage = await startStage({ halls: HALLS, hostsPerHall, enginesPerHall: 3, log: () => undefined });
     const readyMs = (performance.now() - startedAt) / stage.hosts.length;
     await waitUntil(() => stage.hosts.every(host => host.daemon.host.peers?.live.length === hostsPerHall));
-    const delays = new Timing();
+    const delays = new TimeHistogram();
     const before = stage.kv.calls.reads;
     for (let at = 0; at < options.edits; at++) await measureEdit(stage, at, delays);
     const readsPerEdit = (stage.kv.calls.reads - before) / options.edits;
--- a/packages/standins/src/demo.ts
+++ b/packages/standins/src/demo.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import { Timing } from "@drumpaddle/host";
+import { TimeHistogram } from "@drumpaddle/host";
 import Table from "cli-table3";
 import { Agent } from "undici";
 import { type CallerResult, callOnce } from "./caller.js";
@@ -23,15 +23,15 @@
 const FIRST_PORT = { callers: 8080, operators: 9080 };
 
 interface Measures {
-    readonly gaps: Timing;
-    readonly firstToken: Timing;
+    readonly gaps: TimeHistogram;
+    readonly firstToken: TimeHistogram;
     stallMs: number;
     answers: number;
     readonly failures: CallerResult[];
 }
 
 function createMeasures(): Measures {
-    return { gaps: new Timing(), firstToken: new Timing(), stallMs: 0, answers: 0, failures: [] };
+    return { gaps: new TimeHistogram(), firstToken: new TimeHistogram(), stallMs: 0, answers: 0, failures: [] };
 }
 
 function count(measures: Measures, result: CallerResult): void {
--- a/packages/standins/src/experiment.ts
+++ b/packages/standins/src/experiment.ts
@@ -5,17 +5,17 @@
  * @module
  */
 import {
-    createShare,
-    shareAsk,
-    shareHear,
-    type ShareMessage,
-    shareRound,
-    type ShareState,
-    type ShareStep,
-    TELL_OWNERS_MS,
-    tellEvery,
+    askOwner,
+    createLoadExchange,
+    HOLDER_REPORT_INTERVAL_MS,
+    type LoadExchange,
+    type LoadExchangeStep,
+    type LoadMessage,
+    ownerReportIntervalMs,
+    receiveLoadMessage,
+    runLoadRound,
 } from "@drumpaddle/hall";
-import { Timing } from "@drumpaddle/host";
+import { TimeHistogram } from "@drumpaddle/host";
 import {
     createScheduler,
     decide,
@@ -67,12 +67,12 @@
     readonly preemptions: number;
     /** Sum of what gaps lie above the target, over all streams, in seconds. */
     readonly stallS: number;
-    readonly gaps: Timing;
+    readonly gaps: TimeHistogram;
     /** The 99.9 % quantile of gaps of each stream that has at least {@link STREAM_TAIL_GAPS}, over streams. */
-    readonly streamTails: Timing;
-    readonly firstToken: Timing;
+    readonly streamTails: TimeHistogram;
+    readonly firstToken: TimeHistogram;
     /** First tokens of live requests alone. */
-    readonly liveFirstToken: Timing;
+    readonly liveFirstToken: TimeHistogram;
     /** Share of lengths that stayed within the 90 % quantile stated at dispatch: the estimates' calibration. */
     readonly within90: number;
     readonly decisions: number;
@@ -108,7 +108,7 @@
 interface HostSim {
     state: SchedulerState;
     ticking: boolean;
-    share: ShareState;
+    share: LoadExchange;
 }
 
 interface EngineSim {
@@ -141,10 +141,10 @@
     private readonly engines: EngineSim[];
     private readonly streams = new Map<string, StreamSim>();
     private readonly random: RandomGenerator;
-    private readonly gaps = new Timing();
-    private readonly streamTails = new Timing();
-    private readonly firstToken = new Timing();
-    private readonly liveFirstToken = new Timing();
+    private readonly gaps = new TimeHistogram();
+    private readonly streamTails = new TimeHistogram();
+    private readonly firstToken = new TimeHistogram();
+    private readonly liveFirstToken = new TimeHistogram();
     private open = 0;
     private peerBytes = 0;
     private readonly hostNames: readonly string[];
@@ -174,36 +174,36 @@
             (_, at) => ({
                 state: createScheduler(cfg.variant, at + 1),
                 ticking: false,
-                share: createShare(`host-${at}`),
+                share: createLoadExchange(`host-${at}`),
             }),
         );
     }
 
-    private follow(host: number, { state, send, events }: ShareStep, now: number): void {
+    private follow(host: number, { state, send, events }: LoadExchangeStep, now: number): void {
         this.hosts[host]!.share = state;
         for (const { to, message } of send) this.message(host, this.hostNames.indexOf(to), message, now);
         for (const event of events) this.tell(host, event, now);
     }
 
     /** Hands a message over after its delay, unless it is lost. */
-    private message(from: number, to: number, message: ShareMessage, now: number): void {
+    private message(from: number, to: number, message: LoadMessage, now: number): void {
         this.peerBytes += encodeFrame(message).length;
         if (uniformFloat64(this.random) < (this.cfg.messageLoss ?? 0)) return;
         this.at(now + TO_PEER_MS, later => {
             const sim = this.hosts[to]!;
-            this.follow(to, shareHear(sim.share, this.hostNames[from]!, message, sim.state, later), later);
+            this.follow(to, receiveLoadMessage(sim.share, this.hostNames[from]!, message, sim.state, later), later);
         });
     }
 
     private round(host: number, now: number): void {
-        this.at(now + Math.min(this.tellMs, TELL_OWNERS_MS), later => this.round(host, later));
+        this.at(now + Math.min(this.tellMs, HOLDER_REPORT_INTERVAL_MS), later => this.round(host, later));
         const sim = this.hosts[host]!;
-        const othersEveryMs = this.tellMs <= TELL_OWNERS_MS ? 0 : this.tellMs;
-        this.follow(host, shareRound(sim.share, sim.state.endpoints, this.hostNames, now, othersEveryMs), now);
+        const othersEveryMs = this.tellMs <= HOLDER_REPORT_INTERVAL_MS ? 0 : this.tellMs;
+        this.follow(host, runLoadRound(sim.share, sim.state.endpoints, this.hostNames, now, othersEveryMs), now);
     }
 
     private get tellMs(): number {
-        return this.cfg.tellMs ?? tellEvery(this.cfg.hosts);
+        return this.cfg.tellMs ?? ownerReportIntervalMs(this.cfg.hosts);
     }
 
     run(): Measured {
@@ -303,7 +303,7 @@
         const stream = this.streams.get(action.job)!;
         if (action.kind === "ask") {
             const sim = this.hosts[stream.host]!;
-            this.follow(stream.host, shareAsk(sim.share, action, sim.state.endpoints, this.hostNames, now), now);
+            this.follow(stream.host, askOwner(sim.share, action, sim.state.endpoints, this.hostNames, now), now);
             return;
         }
         if (action.kind === "noCopy") return;
--- a/packages/standins/src/speed-mutations.ts
+++ b/packages/standins/src/speed-mutations.ts
@@ -97,7 +97,7 @@
     {
         promise: "only what is new is told",
         file: LOAD_SHARE,
-        find: "previous?.load.allShown ?? NOTHING_SHOWN",
+        find: "previous?.load.allShown ?? NO_SPEED_SUMS",
         replace: "NOTHING_SHOWN",
         tests: [WORDS],
     },
