--- a/packages/hall/test/reachability.test.ts
+++ b/packages/hall/test/reachability.test.ts
@@ -129,10 +129,10 @@
     fleet.run(2_500);
     const [observer] = fleet.hosts;
     const counts = () => otherHalls(observer!.state.membership, fleet.now).toSorted((a, b) => a.hall < b.hall ? -1 : 1);
-    t.deepEqual(counts(), [{ hall: "h1", hosts: 4, relied: 4 }, { hall: "h2", hosts: 4, relied: 4 }]);
+    t.deepEqual(counts(), [{ hall: "h1", hosts: 4, aliveHosts: 4 }, { hall: "h2", hosts: 4, aliveHosts: 4 }]);
     for (const host of fleet.hosts) if (host.hall === "h1") fleet.kill(host);
     const [leaving] = fleet.hosts.filter(({ hall }) => hall === "h2");
     fleet.leave(leaving!);
     fleet.run(4_000);
-    t.deepEqual(counts(), [{ hall: "h1", hosts: 4, relied: 0 }, { hall: "h2", hosts: 3, relied: 3 }]);
+    t.deepEqual(counts(), [{ hall: "h1", hosts: 4, aliveHosts: 0 }, { hall: "h2", hosts: 3, aliveHosts: 3 }]);
 });
