--- a/packages/host/src/calls/engine-runner.ts
+++ b/packages/host/src/calls/engine-runner.ts
@@ -117,7 +117,7 @@
     end: EngineEnd,
     resuming: boolean,
 ): { cause: "connect" | "reset" | "idle" | "firstToken" | "invalid" | "resumeRefused"; detail: string } {
-    if (end.kind === "closed") return { cause: "reset", detail: "the stream ended before its answer was complete" };
+    if (end.kind === "closed") return { cause: "reset", detail: "the stream ended before its answer was whole" };
     if (end.kind === "refused") return { cause: "resumeRefused", detail: end.detail };
     // A failed connection of a resume does not mean that the generation is lost: the resume may be retried.
     return { cause: resuming && end.cause === "connect" ? "reset" : end.cause, detail: end.detail };
--- a/packages/host/src/calls/forward-attempt.ts
+++ b/packages/host/src/calls/forward-attempt.ts
@@ -176,10 +176,10 @@
 
     onEnd(orderly: boolean): void {
         if (this.hasEnded) return;
-        if (!this.head) return this.reportLoss("reset", "the connection ended before the head of an answer");
+        if (!this.head) return this.reportLoss("reset", "the answer had no head");
         if (this.verdict?.kind === "refused") return this.reportRefusal();
         const isCutOff = !this.head.framed && !orderly && !NO_BODY_STATUSES.has(this.status);
-        if (isCutOff) return this.reportLoss("reset", "the connection was reset before the end of the answer");
+        if (isCutOff) return this.reportLoss("reset", "the connection was reset before the answer's end was told");
         if (this.endsWithinEvent) return this.reportLoss("reset", "the answer ended within an event");
         this.hasEnded = true;
         this.releaseConnection();
@@ -191,7 +191,7 @@
     }
 
     private readonly onLifeOver = (): void => {
-        if (!this.hasEnded) this.onConnectionLost("the endpoint has restarted");
+        if (!this.hasEnded) this.onConnectionLost("the endpoint has begun another life");
     };
 
     /** Reports the loss of the connection. If no byte was sent the request cannot have run, whatever the reason. */
@@ -241,7 +241,7 @@
             return this.reportLoss("invalid", `an event of more than ${unfinishedBytes} bytes`);
         }
         for (const { bytes, id, hasData } of events) {
-            if (!this.mayStartWith(id)) return this.reportLoss("invalid", `event ${id} is out of order`);
+            if (!this.mayStartWith(id)) return this.reportLoss("invalid", `event ${id} where the next one was to come`);
             this.lastDataHasNoId = id === undefined && (hasData || this.lastDataHasNoId);
             this.reportPiece(bytes, id);
         }
--- a/packages/host/src/calls/forward.ts
+++ b/packages/host/src/calls/forward.ts
@@ -33,14 +33,14 @@
     notReady: {
         status: 503,
         code: "host_not_ready",
-        message: "this host does not have the current deployment yet",
+        message: "this host does not know the newest deployment yet",
         ran: "no",
         retryAfterMs: NOT_READY_RETRY_MS,
     },
     full: {
         status: 503,
         code: FailCode.Overloaded,
-        message: "this host has no file descriptors left for another call",
+        message: "this host has no descriptors left for another call",
         ran: "no",
         retryAfterMs: NO_DESCRIPTORS_RETRY_MS,
     },
@@ -62,7 +62,7 @@
         ran: "no",
         retryAfterMs: MEMORY_RETRY_MS,
     },
-    bodyTimeout: { status: 408, code: "body_timeout", message: "the body did not arrive in time", ran: "no" },
+    bodyTimeout: { status: 408, code: "body_timeout", message: "the body did not come in time", ran: "no" },
 } as const satisfies Record<string, ApiError>;
 
 /** Serves a call. Every call gets an answer or an aborted connection. */
--- a/packages/host/src/calls/idempotency-claims.ts
+++ b/packages/host/src/calls/idempotency-claims.ts
@@ -100,7 +100,7 @@
     private async readClaim(key: string, mine: Claim): Promise<ClaimResult> {
         const found = await this.kv.get(key, this.signal);
         if (!found.ok) return { kind: "away", detail: found.err.detail };
-        if (!found.value) return { kind: "away", detail: "the claim disappeared before it was read" };
+        if (!found.value) return { kind: "away", detail: "the claim went away while it was read" };
         const claim = JSON.parse(found.value.value) as Claim;
         if (claim.request === mine.request) return { kind: "mine" };
         if (claim.call !== mine.call) return { kind: "otherCall" };
--- a/packages/host/src/calls/judge-answer.ts
+++ b/packages/host/src/calls/judge-answer.ts
@@ -55,12 +55,12 @@
  * ```
  */
 export function judgeAnswer(call: string, status: number, head: AnswerHead, before: SentBefore | undefined): Verdict {
-    if (head.id !== undefined && head.id !== call) return invalid(`an answer to call ${head.id}`);
+    if (head.id !== undefined && head.id !== call) return invalid(`an answer to ${head.id}`);
     if (head.notRun || status === MISDIRECTED) return { kind: "refused" };
-    if (NOT_RUN_STATUSES.has(status)) return invalid(`${status} that does not state whether the call ran`);
-    if (head.encoded) return invalid("an answer with an encoded body");
+    if (NOT_RUN_STATUSES.has(status)) return invalid(`${status} without a word on whether it ran`);
+    if (head.encoded) return invalid("an encoded body");
     if (status >= 200 && status < 300) {
-        if (head.id === undefined) return invalid("a success without a call id");
+        if (head.id === undefined) return invalid("a success that names no call");
         if (!head.sealed) return invalid("a success without a seal");
     }
     return before ? judgeContinuation(status, head, before) : { kind: "accept" };
@@ -69,9 +69,9 @@
 function judgeContinuation(status: number, head: AnswerHead, { framed }: SentBefore): Verdict {
     // Only events can follow events: the caller would take the end of any other answer, such as a 500, for the end of
     // the stream.
-    if (!isStream(status, head)) return invalid(`${status} instead of the continuation of a stream`);
+    if (!isStream(status, head)) return invalid(`${status} where a stream was to go on`);
     // The continuation may be cut off unnoticed, and the final chunk to the caller would then mark it as complete.
-    if (framed && !head.framed) return invalid("a continuation without a length or chunks");
+    if (framed && !head.framed) return invalid("a continuation whose end is not told");
     return { kind: "accept" };
 }
 
--- a/packages/host/src/calls/plain-service.ts
+++ b/packages/host/src/calls/plain-service.ts
@@ -170,7 +170,7 @@
     taken: {
         status: 409,
         code: FailCode.AlreadyClaimed,
-        message: "a call with this key was started before; it is not known whether it ran",
+        message: "a call with this key was begun; it is not known whether it ran",
         ran: "unknown",
     },
     otherCall: { status: 422, code: "key_reused", message: "this key was used for another call", ran: "no" },
--- a/packages/host/src/calls/silence-watch.ts
+++ b/packages/host/src/calls/silence-watch.ts
@@ -106,11 +106,11 @@
         if (!cfg.canContinue()) return this.probeLater();
         this.schedule(
             Math.max(0, cfg.lostAfterMs - this.silentMs),
-            () => this.reportLost("though its endpoint is alive"),
+            () => this.reportLost("its endpoint lives"),
         );
         void cfg.isAlive().then(isAlive => {
             if (!isAlive && this.lastEventAt === lastEventAt && this.timers.size + this.immediates.size > 0) {
-                this.reportLost("and its endpoint did not answer");
+                this.reportLost("no sign of life");
             }
         });
     }
--- a/packages/host/src/endpoints/request-guard.ts
+++ b/packages/host/src/endpoints/request-guard.ts
@@ -314,7 +314,7 @@
 }
 
 function withheldAsQuarantined(endings: number, evidencePendingMs: number): Withheld {
-    const detail = `this request was running at ${endings} endpoints when they crashed; do not send it again`;
+    const detail = `this request was running at ${endings} endpoints when they ended; do not send it again`;
     return { code: FailCode.Quarantined, detail, evidencePendingMs };
 }
 
@@ -325,7 +325,7 @@
     suspect: () => undefined,
     onTrial: ({ trialEndsInMs }) => ({
         code: FailCode.OnTrial,
-        detail: "this request was running at an endpoint that crashed, and another attempt of it is running now",
+        detail: "this request was running at an endpoint when that ended, and runs once more now",
         retryAfterMs: trialEndsInMs,
     }),
     quarantined: ({ endings, evidencePendingMs }) => withheldAsQuarantined(endings, evidencePendingMs),
--- a/packages/host/src/runtime/metrics.ts
+++ b/packages/host/src/runtime/metrics.ts
@@ -55,31 +55,31 @@
     readonly betweenTokens = new TimeHistogram();
     readonly stall = new TimeHistogram();
     private readonly registry = new Registry();
-    private readonly outcomes = this.counter("drumpaddle_requests_total", "Requests, by outcome.", [
+    private readonly outcomes = this.counter("drumpaddle_requests_total", "Requests by how they ended.", [
         "outcome",
         "ran",
     ]);
     private readonly discards = this.counter(
         "drumpaddle_discarded_tokens_total",
-        "Tokens from endpoints that were discarded.",
+        "Tokens that did not fit.",
         ["reason"],
     );
     private readonly dispatches = this.counter(
         "drumpaddle_dispatches_total",
-        "Requests sent to endpoints, first and repeated.",
+        "Attempts, first and repeated.",
         ["kind"],
     );
-    private readonly preemptions = this.counter("drumpaddle_preemptions_total", "Preemptions reported by engines.", [
+    private readonly preemptions = this.counter("drumpaddle_preemptions_total", "Preemptions that engines reported.", [
         "endpoint",
     ]);
     private readonly settingsOffers = this.counter(
         "drumpaddle_settings_offers_total",
-        "Offered versions of the settings or the deployment, by result.",
+        "Versions of settings offered, by what became of them.",
         ["result"],
     );
     private readonly unreadableRegistrations = this.counter(
         "drumpaddle_unreadable_registrations_total",
-        "Registrations of endpoints that could not be decoded, by source.",
+        "Registrations of endpoints that could not be read, by where they came from.",
         ["source"],
     );
     private readonly storeCalls = this.counter("drumpaddle_store_calls_total", "Calls to the platform's store.", [
@@ -88,93 +88,93 @@
     ]);
     private readonly copies = this.counter(
         "drumpaddle_copies_total",
-        "Copies of running generations requested, by result.",
+        "Copies of running generations ordered.",
         ["result"],
     );
     private readonly stayAnswers = this.counter(
         "drumpaddle_stay_answers_total",
-        "Answers of engines asked whether they leave.",
+        "What engines said of leaving when asked.",
         ["answer"],
     );
     private readonly connections = this.counter("drumpaddle_connections_total", "Connections opened to endpoints.", []);
     private readonly givenUpCalls = this.counter(
         "drumpaddle_memory_given_up_total",
-        "Calls ended to free the memory that they held, by the side that did not read.",
+        "Calls given up for the memory that they held, by whose reading they waited for.",
         ["unread_by"],
     );
     private readonly memoryRefusals = this.counter(
         "drumpaddle_memory_refused_total",
-        "Calls refused as the memory budget had no room for their bodies.",
+        "Calls refused as there was no memory left for their bodies.",
         [],
     );
     private readonly droppedPeerMessages = this.counter(
         "drumpaddle_peer_messages_dropped_total",
-        "Messages dropped as their peer read too slowly.",
+        "Messages to peers that read too slowly.",
         [],
     );
-    private readonly peerBytes = this.counter("drumpaddle_peer_bytes_total", "Bytes sent to and received from peers.", [
+    private readonly peerBytes = this.counter("drumpaddle_peer_bytes_total", "Bytes to and from peers.", [
         "direction",
     ]);
     private readonly endings = this.counter(
         "drumpaddle_endings_total",
-        "Endpoints that ended while calls of this host ran there, by how the end was detected.",
+        "Endpoints that ended under calls of this host, by how that was found out.",
         ["sign"],
     );
     private readonly withheldCalls = this.counter(
         "drumpaddle_withheld_total",
-        "Calls that were withheld, as endpoints had ended while running the same request.",
+        "Calls that were not begun, as they were running where endpoints ended.",
         ["code"],
     );
     readonly quarantined = this.gauge(
         "drumpaddle_quarantined_requests",
-        "Requests in quarantine, which are sent to no endpoint.",
+        "Requests that are begun nowhere.",
     );
     readonly open = this.gauge("drumpaddle_open_requests", "Requests being served.");
-    readonly waiting = this.gauge("drumpaddle_waiting_requests", "Requests waiting for an endpoint with capacity.");
+    readonly waiting = this.gauge("drumpaddle_waiting_requests", "Requests that wait for room.");
     readonly liveHosts = this.gauge(
         "drumpaddle_live_hosts",
-        "Hosts of the scope that this host counts as live, itself included.",
+        "Hosts of the scope that this one relies on, itself included.",
     );
     readonly capacity = this.gauge(
         "drumpaddle_capacity_cores",
-        "Capacity that this host reports to others; 0 if none is set.",
+        "What this host tells others that it can carry; 0 where it does not say.",
     );
     readonly ownedEndpoints = this.gauge(
         "drumpaddle_owned_endpoints",
-        "Endpoints that this host owns: others ask it where to send requests.",
+        "Endpoints of which this host advises others where requests go.",
     );
     readonly storeEpoch = this.gauge(
         "drumpaddle_store_epoch",
-        "How often the platform's store has been restored from an older copy, as the store counts it.",
+        "How often the platform's store has come back from an older copy, by its own count.",
     );
     readonly evacuated = this.gauge(
         "drumpaddle_evacuated_halls",
-        "Halls that an operator has evacuated; they take no new requests.",
+        "Halls that take nothing new by the operator's order.",
     );
     readonly doubtedHalls = this.gauge(
         "drumpaddle_halls_in_doubt",
-        "Other halls that this host probably cannot reach.",
+        "Other halls that this host can probably not reach.",
     );
     readonly limitedEndpoints = this.gauge(
         "drumpaddle_limited_endpoints",
-        "Endpoints that report a limit of requests per second.",
+        "Endpoints that name a limit of requests a second.",
     );
     readonly speedSpread = this.gauge(
         "drumpaddle_endpoint_speed_spread",
-        "How far endpoints of one kind differ in speed: standard deviation of the logarithm of their times, 0 if they may be equal.",
+        "How far endpoints of one kind differ in speed: standard deviation of the logarithm of their times, 0 where they may be alike.",
     );
-    readonly version = this.gauge("drumpaddle_settings_version", "Version of the settings or the deployment in force.");
+    readonly version = this.gauge("drumpaddle_settings_version", "Version of settings in force.");
 
     constructor() {
         this.summary(
             "drumpaddle_first_token_ms",
-            "Time from the acceptance of a request to its first token.",
+            "Time from acceptance to the first token.",
             this.firstToken,
         );
         this.summary("drumpaddle_between_tokens_ms", "Time between tokens.", this.betweenTokens);
         this.summary(
             "drumpaddle_stall_ms",
-            "Stall time of a request: the sum by which gaps between its tokens exceed the target.",
+            "Stall time of a request: what its gaps lie above the target.",
             this.stall,
         );
     }
@@ -246,7 +246,7 @@
     exportHeldBytes(held: () => Readonly<Record<string, number>>, budgetBytes: number | undefined): void {
         new Gauge({
             name: "drumpaddle_held_bytes",
-            help: "Bytes held for callers, endpoints and peers, by kind.",
+            help: "Bytes held for callers, endpoints and peers, by what they are.",
             labelNames: ["kind"],
             registers: [this.registry],
             collect() {
@@ -254,7 +254,7 @@
             },
         });
         if (budgetBytes !== undefined) {
-            this.gauge("drumpaddle_held_budget_bytes", "Maximum number of bytes that may be held.").set(budgetBytes);
+            this.gauge("drumpaddle_held_budget_bytes", "Most that is held.").set(budgetBytes);
         }
     }
 
--- a/packages/host/src/store/settings-store.ts
+++ b/packages/host/src/store/settings-store.ts
@@ -121,14 +121,14 @@
             maybeWritten ||= result.maybeWritten;
             await pause(RETRY_DELAY_STEP_MS * (attempt + 1), signal);
         }
-        if (maybeWritten) return { kind: "unknown", detail: "the store did not confirm the edit" };
-        return { kind: "away", detail: "concurrent edits kept changing the settings" };
+        if (maybeWritten) return { kind: "unknown", detail: "the service did not say whether the edit stands" };
+        return { kind: "away", detail: "others kept editing at the same time" };
     }
 
     /** The edit's outcome by its id, as an earlier attempt may have written it; `otherwise` if none did. */
     private async confirm(editId: string, otherwise: EditResult, signal: AbortSignal): Promise<EditResult> {
         const outcome = await this.outcome(editId, signal);
-        if (!outcome.ok) return { kind: "unknown", detail: "the key-value service does not answer" };
+        if (!outcome.ok) return { kind: "unknown", detail: "the service is away" };
         return outcome.value === undefined
             ? otherwise
             : { kind: "accepted", version: outcome.value, snapshot: undefined };
--- a/packages/policy/src/refusal.ts
+++ b/packages/policy/src/refusal.ts
@@ -34,7 +34,7 @@
 }
 
 export function refuseUnservable(job: Job): SchedulerAction {
-    return refuse(job.id, "noEndpoint", "no endpoint that takes new work serves the model", NO_ENDPOINT_RETRY_MS);
+    return refuse(job.id, "noEndpoint", "no endpoint that takes new work runs the model", NO_ENDPOINT_RETRY_MS);
 }
 
 /** How the endpoints that could serve a request throttle this host; undefined if at least one does not. */
@@ -75,9 +75,9 @@
     const capacityMs = expectedWaitMs(state.drainRate, position, state.waiting[0]?.since, now);
     const { retryTimes, afterMs } = nextRetryTime(state.retryTimes, capacityMs, state.drainRate?.meanMs ?? 0, now);
     const age = state.drainRate ? `${Math.round(now - state.drainRate.lastStart)} ms ago` : "never";
-    const detail = `capacity forecast in ${Math.round(capacityMs)} ms at queue position ${position}; waited ${
+    const detail = `room in ${Math.round(capacityMs)} ms at place ${position} after ${
         Math.round(now - since)
-    } ms; last start from the queue ${age}`;
+    } ms, last seen ${age}`;
     return { state: { ...state, retryTimes }, actions: [refuse(job.id, reason, detail, afterMs)] };
 }
 
@@ -91,8 +91,8 @@
     { waitMs, intervalMs, othersMayServe }: Throttling,
     now: number,
 ): Decision {
-    const next = Number.isFinite(waitMs) ? `may be sent in ${Math.round(waitMs)} ms` : "belongs to another host";
-    const detail = `all endpoints limit their requests or asked for rest; the next request ${next}`;
+    const next = Number.isFinite(waitMs) ? `in ${Math.round(waitMs)} ms` : "not this host's";
+    const detail = `all endpoints limit what they take, or want rest; the next request ${next}`;
     if (othersMayServe) return { state, actions: [refuse(job.id, "limited", detail, MIN_RETRY_AFTER_MS)] };
     const sendMs = Number.isFinite(waitMs) ? waitMs : intervalMs;
     const { retryTimes, afterMs } = nextRetryTime(state.retryTimes, sendMs, intervalMs, now);
--- a/packages/request/src/step.ts
+++ b/packages/request/src/step.ts
@@ -71,7 +71,7 @@
     endpointRefused: (state, { attempt, detail, retryAfterMs }) => {
         if (!isCurrent(state, attempt) || state.phase !== Phase.Dispatched) return withoutActions(state);
         // An endpoint that named a generation has started to run the request, so its refusal proves nothing.
-        if (state.attempt?.generation !== undefined) return handleLoss(state, "invalid", "refused after its start");
+        if (state.attempt?.generation !== undefined) return handleLoss(state, "invalid", "refused after it had begun");
         const refused = { ...state, record: recordRefused(state.record, attempt) };
         if (canRetry(refused)) return retryElsewhere(refused, []);
         return fail(refused, FailCode.EndpointRefused, detail, [], retryAfterMs);
@@ -93,7 +93,7 @@
             return handleLoss(
                 countDiscard(state, "gap"),
                 "reset",
-                `the stream ended after ${current.next} of ${total} tokens`,
+                `ended at ${current.next} of ${total}`,
             );
         }
         return {
@@ -105,7 +105,7 @@
         if (!mayAnswer(state, attempt)) return withoutActions(countDiscard(state, "otherAttempt"));
         if (canRetry(state)) return retryElsewhere(state, []);
         // An answer that was forwarded in part must not end with the bytes of an error answer.
-        if (state.committed) return handleLoss(state, "invalid", "the continuation was answered with an error");
+        if (state.committed) return handleLoss(state, "invalid", "the endpoint failed where its answer was to go on");
         const ended: RequestState = { ...state, phase: Phase.Ended, committed: true };
         return { state: ended, actions: [{ kind: "complete", tokens: 1, failed: true }] };
     },
@@ -174,7 +174,7 @@
  */
 function onGap(state: RequestState, event: Extract<RequestEvent, { kind: "token" }>): Step {
     if (state.attempt?.resuming) return withoutActions(state);
-    return handleLoss(state, "reset", `token ${event.index} arrived where token ${state.attempt?.next} was expected`);
+    return handleLoss(state, "reset", `token ${event.index} came where ${state.attempt?.next} was expected`);
 }
 
 /** Handles the loss of the current attempt's stream: resumes it, continues from a copy, retries elsewhere, or fails. */
