--- a/packages/standins/src/mutations.ts
+++ b/packages/standins/src/mutations.ts
@@ -216,7 +216,7 @@
     {
         promise: "a caller's key goes no further",
         file: "platform/src/headers.ts",
-        find: "const SYSTEM_HEADERS: ReadonlySet<string> = new Set([\n    NAME.key,",
+        find: "const SYSTEM_HEADERS: ReadonlySet<string> = new Set([\n    HEADER.key,",
         replace: "const SYSTEM_HEADERS: ReadonlySet<string> = new Set<string>([",
         tests: [CODEC],
     },
--- a/packages/standins/src/store-mutations.ts
+++ b/packages/standins/src/store-mutations.ts
@@ -40,7 +40,7 @@
     {
         promise: "restored: a watch of an earlier epoch ends",
         file: STORE,
-        find: "if (res.value.epoch !== known) return restored(known, res.value.epoch);",
+        find: "if (res.value.epoch !== knownEpoch) return restoredError(knownEpoch, res.value.epoch);",
         replace: "",
         tests: [CLIENT],
     },
@@ -54,7 +54,7 @@
     {
         promise: "restored: a list is of one epoch",
         file: STORE,
-        find: "if (res.value.epoch !== first.epoch) return { ok: false,",
+        find: "if (res.value.epoch !== start.epoch) return { ok: false,",
         replace: "if (false) return { ok: false,",
         tests: [CLIENT],
     },
