--- a/deploy/bundle.js
+++ b/deploy/bundle.js
@@ -1,4 +1,4 @@
-// Builds the daemon for deployment as one file: a start reads one file instead of some hundred.
+// Bundles the daemon into one file for deployment, so that a start reads one file instead of some hundred.
 import { build } from "esbuild";
 import { copyFileSync } from "node:fs";
 
@@ -11,11 +11,11 @@
     format: "cjs",
     conditions: ["drumpaddle-source"],
     logLevel: "warning",
-    // Less to read at a start; names stay, for the stacks of errors.
+    // Shortens the file that a start reads; identifiers are kept for stack traces.
     minifyWhitespace: true,
     minifySyntax: true,
     legalComments: "none",
-    // Optional parts of libraries that are not used here.
+    // Optional dependencies of libraries, which the daemon does not use.
     external: ["dtrace-provider", "mv", "source-map-support"],
 });
 
--- a/deploy/compile.cjs
+++ b/deploy/compile.cjs
@@ -1,17 +1,17 @@
-// Starts the bundled daemon once and keeps the code that V8 compiled until it listened. To be run with the flags of the
-// deployed daemon, as V8 takes compiled code only under the flags that it was compiled with.
+// Starts the bundled daemon once and saves V8's code cache when the daemon listens. Run it with the flags of the deployed
+// daemon: V8 rejects a cache that was compiled with other flags.
 "use strict";
 const { mkdtempSync, writeFileSync } = require("node:fs");
 const { tmpdir } = require("node:os");
 const { join } = require("node:path");
 const { COMPILED, start } = require("../target/drumpaddled.cjs");
 
-/** A start takes well under a second; a build must not hang on one that does not listen. */
+/** A start takes well under a second; the limit keeps a build from hanging on a daemon that never listens. */
 const MOST_MS = 20_000;
-/** What follows the first line that tells of listening belongs to the start as well. */
+/** Delay after the first `listening` line, as the rest of the start is to be in the cache too. */
 const SETTLE_MS = 200;
 
-/** Settings of a host that reaches nobody. */
+/** Settings of a host whose peers and store cannot be reached. */
 const SETTINGS = `
 [host]
 name = compile
--- a/deploy/start.cjs
+++ b/deploy/start.cjs
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
-// Starts the daemon with the code that V8 compiled when the daemon was bundled: most of a start is compiling. Where that
-// code is missing or of another V8, it is compiled anew. From start to listening, least of 12 starts beside other work: 249 ms
-// with it, 445 ms without.
+// Starts the bundled daemon with V8's code cache from the build, as most of a start is compiling. If the cache is missing or
+// from another version of V8, the code is compiled again. Time from start to listening (minimum of 12 starts on a busy
+// machine): 249 ms with the cache, 445 ms without.
 "use strict";
 const { readFileSync } = require("node:fs");
 const Module = require("node:module");
@@ -20,7 +20,7 @@
     }
 }
 
-/** Runs the program as a CommonJS module; gives its script. */
+/** Runs the bundled daemon as a CommonJS module and returns its script. */
 function start(cachedData) {
     const source = readFileSync(PROGRAM, "utf8").replace(/^#!.*/, "");
     const script = new Script(Module.wrap(source), { filename: PROGRAM, cachedData });
--- a/packages/host/test/deployment-feed.test.ts
+++ b/packages/host/test/deployment-feed.test.ts
@@ -11,7 +11,7 @@
 import type { EndpointEntry } from "@drumpaddle/routes";
 import test from "ava";
 import { Writable } from "node:stream";
-import { configOf, registrationOf } from "../../../platform/test/stand-in/stage.js";
+import { configOf, registrationOf } from "../../../platform/test/stand-in/setup.js";
 import { createLog } from "../src/runtime/log.js";
 import { Metrics } from "../src/runtime/metrics.js";
 import { DeploymentFeed } from "../src/store/deployment-feed.js";
--- a/packages/host/test/late-deployment.test.ts
+++ b/packages/host/test/late-deployment.test.ts
@@ -3,7 +3,7 @@
 import test, { type ExecutionContext } from "ava";
 import { PassThrough } from "node:stream";
 import { Agent, buildConnector } from "undici";
-import { configOf, until } from "../../../platform/test/stand-in/stage.js";
+import { configOf, until } from "../../../platform/test/stand-in/setup.js";
 import { StandInStore } from "../../../platform/test/stand-in/store.js";
 import { createLog } from "../src/runtime/log.js";
 import { Metrics } from "../src/runtime/metrics.js";
--- a/packages/host/test/odd-registrations.test.ts
+++ b/packages/host/test/odd-registrations.test.ts
@@ -5,7 +5,7 @@
 import test from "ava";
 import fc from "fast-check";
 import { PassThrough } from "node:stream";
-import { configOf, registrationOf, until } from "../../../platform/test/stand-in/stage.js";
+import { configOf, registrationOf, until } from "../../../platform/test/stand-in/setup.js";
 import { StandInStore } from "../../../platform/test/stand-in/store.js";
 import { createLog } from "../src/runtime/log.js";
 import { Metrics } from "../src/runtime/metrics.js";
