--- a/packages/hall/src/detector.ts
+++ b/packages/hall/src/detector.ts
@@ -157,8 +157,8 @@
  * ```
  */
 export function tickDetector(previous: Detector, env: DetectorEnv): DetectorStep {
-    const { now, intervalMs: everyMs } = env;
-    const isLate = previous.lastRoundAt !== undefined && now - previous.lastRoundAt > 2 * everyMs;
+    const { now, intervalMs } = env;
+    const isLate = previous.lastRoundAt !== undefined && now - previous.lastRoundAt > 2 * intervalMs;
     const round = previous.round + 1;
     const checked = checkUnanswered(
         { ...previous, round, lastRoundAt: now },
--- a/packages/hall/src/load-account.ts
+++ b/packages/hall/src/load-account.ts
@@ -150,7 +150,7 @@
         const previous = last.get(load.endpoint);
         const newSamples = speedSumsSince(load.allShown ?? NO_SPEED_SUMS, previous?.load.allShown ?? NO_SPEED_SUMS);
         if (owner === undefined || !newSamples && !shouldReport(previous, load, owner, now)) continue;
-        last.set(load.endpoint, { owner, load: load, at: now });
+        last.set(load.endpoint, { owner, load, at: now });
         const report = withNewSamples(load, newSamples);
         const ownerReports = toSay.get(owner);
         if (ownerReports) ownerReports.push(report);
--- a/packages/hall/src/quarantine.ts
+++ b/packages/hall/src/quarantine.ts
@@ -167,8 +167,8 @@
 }
 
 /** Returns whether a request was involved in an ending and not cleared since. */
-export function isSuspect({ assessments: charges }: Quarantine, fingerprint: string): boolean {
-    return charges.has(fingerprint);
+export function isSuspect({ assessments }: Quarantine, fingerprint: string): boolean {
+    return assessments.has(fingerprint);
 }
 
 /**
@@ -239,8 +239,8 @@
     return withEndings(state, new Map(sorted.slice(0, MAX_ENDINGS)));
 }
 
-function livesOfCulprits({ assessments: charges }: Quarantine): ReadonlySet<string> {
-    const culprits = [...charges.values()].filter(({ isCulprit: isGuilty }) => isGuilty);
+function livesOfCulprits({ assessments }: Quarantine): ReadonlySet<string> {
+    const culprits = [...assessments.values()].filter(({ isCulprit }) => isCulprit);
     return new Set(culprits.flatMap(({ endings }) => endings.map(({ life }) => life)));
 }
 
--- a/packages/hall/src/reachability.ts
+++ b/packages/hall/src/reachability.ts
@@ -79,8 +79,8 @@
     const halls = new Map<string, { hosts: number; aliveHosts: number }>();
     for (const member of members.values()) {
         if (member.hall === self.hall || member.scope !== self.scope || member.leaving) continue;
-        const { hosts, aliveHosts: relied } = halls.get(member.hall) ?? { hosts: 0, aliveHosts: 0 };
-        halls.set(member.hall, { hosts: hosts + 1, aliveHosts: relied + (isAlive(member, now) ? 1 : 0) });
+        const { hosts, aliveHosts } = halls.get(member.hall) ?? { hosts: 0, aliveHosts: 0 };
+        halls.set(member.hall, { hosts: hosts + 1, aliveHosts: aliveHosts + (isAlive(member, now) ? 1 : 0) });
     }
     return [...halls].map(([hall, counts]) => ({ hall, ...counts }));
 }
@@ -150,11 +150,11 @@
 }
 
 function hallInDoubt(
-    { hall, hosts, aliveHosts: relied, endpoints }: HallMembers,
+    { hall, hosts, aliveHosts, endpoints }: HallMembers,
     failedCount: number,
     silentMs: number,
 ): HallInDoubt | undefined {
-    const isMostlyDead = 2 * relied < hosts;
+    const isMostlyDead = 2 * aliveHosts < hosts;
     const needed = isMostlyDead ? 1 : Math.min(MIN_FAILED_ENDPOINTS, Math.max(1, endpoints));
     return silentMs >= QUIET_MS && failedCount >= needed
         ? { hall, failedEndpoints: failedCount, hasAliveMajority: !isMostlyDead, silentMs }
--- a/packages/hall/test/store-hall.ts
+++ b/packages/hall/test/store-hall.ts
@@ -104,7 +104,7 @@
     private plan(host: HallHost): void {
         const names = this.running.map(({ name }) => name);
         const { hears, freshAt } = host;
-        const { state, reason, shouldReport: says } = planWatching(
+        const { state, reason, shouldReport } = planWatching(
             host.following,
             names,
             { hears, freshAt, seeking: true },
@@ -119,7 +119,7 @@
             host.callEndsAt = Infinity;
         }
         if (began) this.call(host, 0);
-        if (says) this.sendReport(host);
+        if (shouldReport) this.sendReport(host);
     }
 
     /** Makes one call of a watch, which ends with an answer or a timeout. */
--- a/packages/hall/test/uneven-large.test.ts
+++ b/packages/hall/test/uneven-large.test.ts
@@ -20,7 +20,7 @@
         .filter(({ cfg }) => engineOf(cfg.id) % KINDS === kind)
         .map(view => endpointSlowness(owner, view, RUN_MS))
         .filter(({ ageMs }) => ageMs !== undefined)
-        .map(({ logRatio: log }) => log);
+        .map(({ logRatio }) => logRatio);
 }
 
 function mean(values: readonly number[]): number {
--- a/packages/host/src/endpoints/request-guard.ts
+++ b/packages/host/src/endpoints/request-guard.ts
@@ -281,7 +281,7 @@
             }
         }
         this.deps.metrics.quarantined.set(
-            [...state.assessments.values()].filter(({ isCulprit: isGuilty }) => isGuilty).length,
+            [...state.assessments.values()].filter(({ isCulprit }) => isCulprit).length,
         );
         this.deps.share(news);
     }
--- a/packages/host/src/endpoints/speed-watch.ts
+++ b/packages/host/src/endpoints/speed-watch.ts
@@ -71,9 +71,9 @@
 }
 
 /** Log fields of a speed: the factor on the mean endpoint's time, its relative error, and the age of the last observation. */
-function speedFields({ logRatio: log, deviation, ageMs }: EndpointSlowness): object {
+function speedFields({ logRatio, deviation, ageMs }: EndpointSlowness): object {
     return {
-        slowness: Number(Math.exp(log).toFixed(2)),
+        slowness: Number(Math.exp(logRatio).toFixed(2)),
         error: Number(deviation.toFixed(2)),
         seen_ms: ageMs === undefined ? undefined : Math.round(ageMs),
     };
--- a/packages/host/src/operators/endpoints-api.ts
+++ b/packages/host/src/operators/endpoints-api.ts
@@ -51,7 +51,7 @@
  */
 export function toListedEndpoint(view: EndpointView, state: SchedulerState, now: number): ListedEndpoint {
     const { id, hall, isEvacuated = false } = view.cfg;
-    const { logRatio: log, deviation, ageMs } = endpointSlowness(state, view, now);
+    const { logRatio, deviation, ageMs } = endpointSlowness(state, view, now);
     return {
         endpoint: id,
         hall,
@@ -62,7 +62,7 @@
         restsForMs: isResting(view, now) ? Math.round(view.restUntil! - now) : 0,
         inDoubt: view.isInDoubt,
         running: view.streams.size,
-        slowness: Number(Math.exp(log).toFixed(2)),
+        slowness: Number(Math.exp(logRatio).toFixed(2)),
         slownessError: Number(deviation.toFixed(2)),
         slownessAgeMs: ageMs === undefined ? undefined : Math.round(ageMs),
     };
--- a/packages/host/src/operators/operators.ts
+++ b/packages/host/src/operators/operators.ts
@@ -148,7 +148,7 @@
             if (!operator) return reply;
             const { editId, why, onlyAt, changes } = req.body;
             const result = await host.store.edit(
-                { editId, why, onlyAt, changes: changes, who: operator.name, at: Date.now() },
+                { editId, why, onlyAt, changes, who: operator.name, at: Date.now() },
                 host.feed.inForce,
                 host.signal,
             );
--- a/packages/host/src/peers/reach-sharing.ts
+++ b/packages/host/src/peers/reach-sharing.ts
@@ -154,10 +154,10 @@
         this.deps.send(randomSample(others, FANOUT, this.deps.random), message);
     }
 
-    private logDoubt({ hall, failedEndpoints: lost, hasAliveMajority: hasHosts, silentMs }: HallInDoubt): void {
+    private logDoubt({ hall, failedEndpoints, hasAliveMajority, silentMs }: HallInDoubt): void {
         const silent = Number.isFinite(silentMs) ? Math.round(silentMs) : undefined;
         this.deps.log.info(
-            { hall, lost_endpoints: lost, hosts_relied_on: hasHosts, silent_ms: silent },
+            { hall, lost_endpoints: failedEndpoints, hosts_relied_on: hasAliveMajority, silent_ms: silent },
             "hall_in_doubt",
         );
     }
--- a/packages/host/src/runtime/log.ts
+++ b/packages/host/src/runtime/log.ts
@@ -57,6 +57,6 @@
     return bunyan.createLogger({
         name: "drumpaddled",
         level,
-        streams: [{ type: "raw", level, stream: stream }],
+        streams: [{ type: "raw", level, stream }],
     });
 }
--- a/packages/host/src/store/settings-store.ts
+++ b/packages/host/src/store/settings-store.ts
@@ -229,8 +229,8 @@
     return {
         kind: "write",
         next,
-        changedParts: changedParts,
-        removedParts: removedParts,
+        changedParts,
+        removedParts,
         entry: { version: version + 1, editId, who, why, at, changes },
     };
 }
--- a/packages/host/src/store/store-sharing.ts
+++ b/packages/host/src/store/store-sharing.ts
@@ -85,10 +85,10 @@
     private reviewWatch(): void {
         const { follower } = this.deps;
         const { hears } = follower.heard();
-        const { reason, shouldReport: says } = this.planWatch();
+        const { reason, shouldReport } = this.planWatch();
         follower.setWatching(reason);
         const update = follower.currentUpdate();
-        if (says && update) this.tellHall(update);
+        if (shouldReport && update) this.tellHall(update);
         if (hears === false || !follower.isReady()) this.requestFromNextPeer();
     }
 
--- a/packages/host/test/notice-sharing.test.ts
+++ b/packages/host/test/notice-sharing.test.ts
@@ -28,7 +28,7 @@
         signal: end.signal,
         live: () => live,
         send: (names, message) => void sent.push({ names, message }),
-        learn: learn,
+        learn,
         all: () => known,
     });
     return { sharing, sent };
--- a/packages/policy/src/lateness.ts
+++ b/packages/policy/src/lateness.ts
@@ -62,11 +62,11 @@
     view: EndpointView,
     { gapTargetMs, expectedPieces }: Demand,
     pool: SpeedPool,
-    { logRatio: log, deviation }: Slowness,
+    { logRatio, deviation }: Slowness,
 ): number {
     let chance = 0;
     for (const { deviations, share } of QUADRATURE_POINTS) {
-        const gapMs = expectedGapMs(pool, log + deviations * deviation, streamCount(view) + 1);
+        const gapMs = expectedGapMs(pool, logRatio + deviations * deviation, streamCount(view) + 1);
         if (gapMs === undefined) return 0;
         chance += share * pauseChance(pool.pauses, gapTargetMs / gapMs, expectedPieces);
     }
