--- a/packages/cli/src/settings.ts
+++ b/packages/cli/src/settings.ts
@@ -311,13 +311,11 @@
     const deadlineMs = Date.now() + timeoutMs;
     for (;;) {
         const all = await fetchStatuses(client);
-        const reached = all.filter(({ status: s }) => (s?.version ?? 0) >= version).length;
-        onProgress(reached, all.length);
-        if (reached === all.length) {
-            return resultOf(Exit.Done, `version ${version} is in force at ${reached} hosts`);
-        }
+        const ready = all.filter(({ status: s }) => (s?.version ?? 0) >= version).length;
+        onProgress(ready, all.length);
+        if (ready === all.length) return resultOf(Exit.Done, `version ${version} is in force at ${ready} hosts`);
         if (Date.now() > deadlineMs) {
-            return resultOf(Exit.Failed, `version ${version} is in force at ${reached} of ${all.length} hosts`);
+            return resultOf(Exit.Failed, `version ${version} is in force at ${ready} of ${all.length} hosts`);
         }
         await new Promise(resolve => setTimeout(resolve, WAIT_POLL_MS));
     }
--- a/packages/settings/src/adopt.ts
+++ b/packages/settings/src/adopt.ts
@@ -1,22 +1,25 @@
 /**
- * Which version a host has in force, and when it takes another: only a newer and whole one. The decision is the same
- * wherever the version comes from, the platform's service or a peer.
+ * Decides whether a host replaces its version of the settings by an offered one. It does so only if the offered version
+ * is newer and all its parts match their hashes, whether the version was read from the store or sent by a peer.
  *
  * @module
  */
 import { type Head, joinSnapshot, type PartName, type Snapshot } from "./parts.js";
 import type { Tree } from "./tree.js";
 
-/** The version in force at a host. */
+/** The version of the settings in force at a host. */
 export interface InForce {
     readonly snapshot: Snapshot;
     readonly partTrees: Readonly<Record<PartName, Tree>>;
     readonly tree: Tree;
-    /** When it came into force, in milliseconds since 1970. */
+    /** When the version came into force at this host, in milliseconds since 1970. */
     readonly since: number;
 }
 
-/** What became of an offered version. `fork`: the same number with other contents, which must never be. */
+/**
+ * The result of offering a version to a host. `fork` means that two versions with the same number have different
+ * contents, which must never happen.
+ */
 export type AdoptResult =
     | { readonly kind: "adopted"; readonly inForce: InForce }
     | { readonly kind: "same" }
@@ -25,7 +28,8 @@
     | { readonly kind: "corrupt"; readonly part: PartName };
 
 /**
- * Judges an offered version against the one in force.
+ * Compares an offered version with the one in force and, if it is newer and complete, returns it as the one to put in
+ * force. Without a version in force, any complete version is adopted.
  *
  * @example
  * ```ts
@@ -41,7 +45,7 @@
     return { kind: "adopted", inForce: { snapshot: offered, ...joinResult.joined, since: now } };
 }
 
-/** Why a head need not be followed, or undefined where it is newer. */
+/** Returns why a head is not to be followed, or undefined if it is newer than the one in force. */
 export function judgeHead(
     current: InForce | undefined,
     head: Head,
@@ -54,7 +58,7 @@
 }
 
 /**
- * The parts of a head that the version in force does not already hold.
+ * Returns the names of the parts whose contents differ from those in force, so that they have to be read.
  *
  * @example
  * ```ts
@@ -65,7 +69,7 @@
     return Object.keys(head.parts).filter(name => current?.snapshot.head.parts[name] !== head.parts[name]);
 }
 
-/** A snapshot of a head from parts just read and parts already held. */
+/** Builds the snapshot of a head from the parts that were just fetched and, for all others, the parts in force. */
 export function completeSnapshot(
     current: InForce | undefined,
     head: Head,
--- a/packages/settings/src/check.ts
+++ b/packages/settings/src/check.ts
@@ -1,5 +1,6 @@
 /**
- * Checks of a whole tree, beyond its single values: references, required keys, overrides without effect, sizes.
+ * Checks of a whole tree, beyond those of single values: required keys, references, overrides without effect, the
+ * number of nodes, and that an operator who may edit is left.
  *
  * @module
  */
@@ -8,11 +9,14 @@
 import { INHERITED, NodeKind, REQUIRED_KEYS } from "./schema.js";
 import type { Tree } from "./tree.js";
 
-/** Most nodes that a tree may have: the plan's 3,200 workspaces with room for services, halls, endpoints and keys. */
+/**
+ * The largest number of nodes in a tree: the planned 3,200 workspaces with room for services, halls, endpoints and
+ * keys.
+ */
 export const MAX_NODES = 40_000;
 
 /**
- * All that is wrong with a tree as a whole, in the order of its nodes.
+ * Returns all errors of a tree as a whole, in the order of its nodes. Errors of single values are in `read.errors`.
  *
  * @example
  * ```ts
@@ -39,6 +43,7 @@
     return errors;
 }
 
+/** Whether a path names two or three of workspace, service and hall. */
 function isCombination(parsed: ParsedPath): boolean {
     return [parsed.workspace, parsed.service, parsed.hall].filter(part => part !== undefined).length > 1;
 }
@@ -49,7 +54,10 @@
     return missingKeys.map(key => ({ kind: "missingKey", pos: positionOf(path, key) }));
 }
 
-/** A reference from a node to another: the key that holds it and the path that must exist. */
+/**
+ * Returns the references from a node to other nodes: the key that holds each, and the path that must exist. A
+ * combination refers to each node that its path names; there the key is empty.
+ */
 function referencesOf(tree: Tree, path: NodePath, parsed: ParsedPath): readonly { key: string; target: NodePath }[] {
     const found: { key: string; target: NodePath }[] = [];
     if (isCombination(parsed)) {
@@ -76,13 +84,14 @@
     }));
 }
 
+/** Finds the keys that repeat the value of the only other node that sets them, an ancestor. */
 function findDeadOverrides({ tree, positionOf }: ReadTree, path: NodePath, parsed: ParsedPath): SettingsError[] {
     if (parsed.kind === NodeKind.Root) return [];
     const ancestors = lineage(parsed).filter(other => other !== path);
     const errors: SettingsError[] = [];
     for (const [key, value] of Object.entries(tree[path] ?? {})) {
         if (!Object.hasOwn(INHERITED, key) || ancestors.length === 0) continue;
-        // Only a chain with one order is judged: below a combination, siblings may lie between.
+        // With a second ancestor or any other node that sets the key, the override may take effect in some scope.
         const settingAncestors = ancestors.filter(other => tree[other]?.[key] !== undefined);
         const ancestor = settingAncestors[0];
         if (
@@ -95,14 +104,14 @@
     return errors;
 }
 
-/** Whether any node besides the two sets the key, so that the override may matter at some place. */
+/** Whether a node other than these two sets the key, so that the override may take effect in some scope. */
 function isSetElsewhere(tree: Tree, path: NodePath, key: string, ancestor: NodePath): boolean {
     return Object.entries(tree).some(([other, node]) =>
         other !== path && other !== ancestor && node[key] !== undefined
     );
 }
 
-/** A tree that names operators, but none who may edit, could never be edited again. */
+/** Whether a tree has operators but none with the role `edit`, so that nobody could ever edit it again. */
 function hasNoEditor(tree: Tree): boolean {
     const operatorPaths = Object.keys(tree).filter(path => path.startsWith("operator/"));
     return operatorPaths.length > 0 && !operatorPaths.some(path => tree[path]?.["role"] === "edit");
--- a/packages/settings/src/edit.ts
+++ b/packages/settings/src/edit.ts
@@ -1,12 +1,16 @@
 /**
- * Edits: a difference between two trees as a value, how it is applied, reversed and rebased, and its audit entry.
+ * Edits of the tree: the difference between two trees as a list of changes, how changes are applied, reversed and
+ * rebased, and the audit trail of accepted edits.
  *
  * @module
  */
 import type { NodePath } from "./path.js";
 import type { Tree } from "./tree.js";
 
-/** One key of one node before and after an edit; undefined where it is not set. A key of `""` is the node itself. */
+/**
+ * A key of one node before and after an edit; undefined where it is not set. The key `""` stands for the node itself:
+ * its value is `""` if the node exists.
+ */
 export interface Change {
     readonly path: NodePath;
     readonly key: string;
@@ -14,40 +18,40 @@
     readonly after?: string | undefined;
 }
 
-/** Who asked for an edit, when and why. */
+/** Who made an edit, when and why. */
 export interface Authorship {
-    /** Made by the one who asks; a retry carries the same id and is one edit. */
+    /** Chosen by the client. A retry carries the same id, so that it does not count as a second edit. */
     readonly editId: string;
     readonly who: string;
     readonly why: string;
-    /** Milliseconds since 1970, on the clock of the host that took the edit in. */
+    /** Milliseconds since 1970, on the clock of the host that received the edit. */
     readonly at: number;
 }
 
-/** What the audit trail keeps of one accepted edit. */
+/** The record of one accepted edit in the audit trail. */
 export interface AuditEntry extends Authorship {
     readonly version: number;
     readonly changes: readonly Change[];
 }
 
-/** Two edits that touch the same key. */
+/** A change that cannot be applied because another edit has changed the same key. */
 export interface EditConflict {
     readonly kind: "conflict";
     readonly path: NodePath;
     readonly key: string;
-    /** What the editor saw. */
+    /** The value that the change was made against. */
     readonly expected: string | undefined;
-    /** What stands there now. */
+    /** The current value. */
     readonly found: string | undefined;
 }
 
-/** The result of applying changes to a tree. */
+/** The result of applying changes to a tree: either all of them were applied, or none. */
 export type ApplyResult =
     | { readonly ok: true; readonly tree: Tree }
     | { readonly ok: false; readonly conflicts: readonly EditConflict[] };
 
 /**
- * The changes that lead from one tree to another, in a fixed order.
+ * Returns the changes that turn one tree into another, sorted by path and key.
  *
  * @example
  * ```ts
@@ -69,6 +73,7 @@
     return changes;
 }
 
+/** Returns the value that a tree has now for the key of a change. */
 function currentValue(tree: Tree, change: Change): string | undefined {
     const node = tree[change.path];
     if (change.key === "") return node ? "" : undefined;
@@ -76,8 +81,9 @@
 }
 
 /**
- * Applies changes where each finds what it expects (an edit that touches other keys than those changed since rebases by
- * itself); a change that already holds is no conflict.
+ * Applies changes if the current value of each key is the one that the change was made against. An edit therefore
+ * rebases without conflict onto a tree in which only other keys have changed. A key that already has the new value is
+ * no conflict.
  *
  * @example
  * ```ts
@@ -115,11 +121,11 @@
 }
 
 /**
- * The changes that undo an edit.
+ * Returns the changes that undo an edit.
  *
  * @example
  * ```ts
- * reverse(entry.changes); // a new edit, forwards, that restores what stood before
+ * reverse(entry.changes); // the changes of a new edit that restores the values before
  * ```
  */
 export function reverse(changes: readonly Change[]): readonly Change[] {
@@ -127,11 +133,11 @@
 }
 
 /**
- * The tree that a complete trail yields. The trail must start at version 1 and have no gap.
+ * Applies the edits of an audit trail to the empty tree, in order. The trail must start at version 1 and have no gap.
  *
  * @example
  * ```ts
- * replay(entries).ok; // false where the trail has a gap or an entry does not fit
+ * replay(entries).ok; // false if the trail has a gap, or if an entry conflicts with those before it
  * ```
  */
 export function replay(trail: readonly AuditEntry[]): ApplyResult {
--- a/packages/settings/src/ini.ts
+++ b/packages/settings/src/ini.ts
@@ -1,5 +1,5 @@
 /**
- * The tree in INI: reading files into one tree, and writing a tree back.
+ * The tree as INI: parses files into one tree, and formats a tree as text.
  *
  * @module
  */
@@ -9,13 +9,13 @@
 import { keyDef } from "./schema.js";
 import type { Tree, TreeNode } from "./tree.js";
 
-/** One file of settings. */
+/** A settings file. */
 export interface SourceFile {
     readonly name: string;
     readonly text: string;
 }
 
-/** Where in the files something stands. `line` counts from 1; 0 where the line is not known. */
+/** A position in the settings files. `line` counts from 1, and is 0 if the line is not known. */
 export interface SourcePos {
     readonly file: string;
     readonly line: number;
@@ -23,7 +23,7 @@
     readonly key: string;
 }
 
-/** What can be wrong with declared settings. */
+/** An error in the settings. */
 export type SettingsError =
     | { readonly kind: "badSection"; readonly pos: SourcePos; readonly allowed: string }
     | { readonly kind: "unknownKey"; readonly pos: SourcePos }
@@ -35,7 +35,7 @@
     | { readonly kind: "lockout"; readonly pos: SourcePos }
     | { readonly kind: "tooLarge"; readonly pos: SourcePos; readonly found: number; readonly allowed: number };
 
-/** A tree as read, with the place of each value. */
+/** A parsed tree with its errors and the position of each value. */
 export interface ReadTree {
     readonly tree: Tree;
     readonly errors: readonly SettingsError[];
@@ -46,7 +46,7 @@
     + "workspace/W/service/S/hall/H, or model/M, endpoint/E, key/K, operator/O";
 
 /**
- * Reads files of settings into one tree. All errors are gathered; a value with an error is left out.
+ * Parses settings files into one tree. All errors are collected. A value with an error is left out of the tree.
  *
  * @example
  * ```ts
@@ -68,6 +68,7 @@
     return { tree, errors, positionOf };
 }
 
+/** What the sections parsed so far have added up to. `positions` has the keys `PATH\nKEY`. */
 interface ReadState {
     readonly tree: Record<NodePath, Record<string, string>>;
     readonly errors: SettingsError[];
@@ -106,7 +107,10 @@
     return read.ok ? undefined : { kind: "badValue", pos, found: read.err.found, allowed: read.err.allowed };
 }
 
-/** Sections of a file in order; the library nests at dots, which names may hold, so dots are kept from it. */
+/**
+ * Parses the sections of a file, in order; keys before the first section are returned as a section without a name. The
+ * INI library nests sections at dots. Names may contain dots, so they are escaped.
+ */
 function parseSections(source: string): readonly (readonly [string, TreeNode])[] {
     const escaped = source.replace(/^(\s*\[[^\]]*\])/gm, header => header.replaceAll(".", "\\."));
     const parsed = parse(escaped, { bracketedArray: false }) as Record<string, unknown>;
@@ -122,7 +126,7 @@
     return Object.keys(keysOutsideSections).length === 0 ? found : [["", keysOutsideSections], ...found];
 }
 
-/** Finds the line of a section's key, since the INI library keeps none. */
+/** Returns a function that looks up the line of a section's key, because the INI library does not tell lines. */
 function indexLines(file: SourceFile): (section: string, key: string) => SourcePos {
     const lines = new Map<string, number>();
     let section = "";
@@ -136,7 +140,7 @@
 }
 
 /**
- * Writes a tree as one INI text with its nodes in a fixed order, so that equal trees give equal texts.
+ * Formats a tree as INI, with nodes and keys sorted, so that equal trees give equal texts.
  *
  * @example
  * ```ts
@@ -153,7 +157,7 @@
 }
 
 /**
- * An error in one line, for people: file, line, section, key, what was found and what is allowed.
+ * Describes an error in one line: file, line, section, key, what was found and what is allowed.
  *
  * @example
  * ```ts
--- a/packages/settings/src/parts.ts
+++ b/packages/settings/src/parts.ts
@@ -1,7 +1,8 @@
 /**
- * The tree cut into parts that are stored as single values, and the head that names a version and its parts.
+ * Splits the tree into parts, each of which is stored as one value, and describes a version by a head with the hashes
+ * of its parts.
  *
- * An edit writes the head, the parts that it touched and its audit entry in one transaction.
+ * An edit writes the head, the parts that it changed and its audit entry in one transaction.
  *
  * @module
  */
@@ -9,19 +10,22 @@
 import { type NodePath, parsePath } from "./path.js";
 import type { Tree } from "./tree.js";
 
-/** Workspaces are spread over this many parts; at 3,200 of them a part holds 50. */
+/**
+ * The number of parts that workspaces are spread over, and likewise keys. With 3,200 workspaces a part holds 50 on
+ * average.
+ */
 export const WORKSPACE_PARTS = 64;
 const HASH_LENGTH = 16;
 
-/** Name of a part, such as `tree` or `workspace-07`. */
+/** Name of a part, such as `root` or `workspace-07`. */
 export type PartName = string;
 
-/** What names one version of the whole tree. */
+/** Identifies one version of the tree and the contents of its parts. */
 export interface Head {
     readonly version: number;
     /** Content hash of each part. */
     readonly parts: Readonly<Record<PartName, string>>;
-    /** Hash over all parts. */
+    /** Hash over the names and hashes of all parts. */
     readonly hash: string;
 }
 
@@ -30,7 +34,8 @@
 }
 
 /**
- * The part that a node is stored in: by kind, workspaces and keys by a hash of the workspace's name.
+ * Returns the part that a node is stored in. Each kind of node has one part, except workspaces (with their
+ * combinations) and keys, which are spread by a hash of their name.
  *
  * @example
  * ```ts
@@ -46,7 +51,7 @@
 }
 
 /**
- * Cuts a tree into its parts.
+ * Splits a tree into its parts.
  *
  * @example
  * ```ts
@@ -60,7 +65,7 @@
 }
 
 /**
- * A part as it is stored: JSON with its keys in a fixed order, so that equal parts have equal hashes.
+ * Encodes a part as it is stored: JSON with its keys sorted, so that equal parts have equal hashes.
  *
  * @example
  * ```ts
@@ -75,13 +80,13 @@
     return JSON.stringify(Object.fromEntries(sorted));
 }
 
-/** The content hash of an encoded part. */
+/** Returns the content hash of an encoded part. */
 export function hashPart(encoded: string): string {
     return shortHash(encoded);
 }
 
 /**
- * The head of a version, from its encoded parts.
+ * Returns the head of a version with these encoded parts.
  *
  * @example
  * ```ts
@@ -93,33 +98,33 @@
     return { version, parts, hash: shortHash(JSON.stringify(parts)) };
 }
 
-/** One version as a whole: its head and its encoded parts. */
+/** A complete version: its head and its encoded parts. */
 export interface Snapshot {
     readonly head: Head;
     readonly parts: Readonly<Record<PartName, string>>;
 }
 
-/** A snapshot whose parts are not what its head names. */
+/** A part of a snapshot is missing, or does not match its hash in the head. */
 export interface SnapshotError {
     readonly kind: "corruptSnapshot";
     readonly part: PartName;
 }
 
-/** A snapshot read: the tree of each part, and all of them together. */
+/** A decoded snapshot: the tree of each part, and the whole tree. */
 export interface JoinedSnapshot {
     readonly partTrees: Readonly<Record<PartName, Tree>>;
     readonly tree: Tree;
 }
 
-/** Parts that were read and checked before, by their hash. */
+/** Parts that were decoded and checked before, with the head that has their hashes. */
 export interface VerifiedParts {
     readonly head: Head;
     readonly partTrees: Readonly<Record<PartName, Tree>>;
 }
 
 /**
- * Puts the parts of a snapshot together again, after checking each against the head. Parts that are known from before
- * are not read again: a version differs from the last one in few of them.
+ * Joins the parts of a snapshot into one tree, after checking each against its hash in the head. Parts in `known` with
+ * the same hash are not decoded again, because a version differs from the one before it in only a few.
  *
  * @example
  * ```ts
@@ -145,7 +150,7 @@
 }
 
 /**
- * A tree as a snapshot of a version.
+ * Encodes a tree as the snapshot of a version.
  *
  * @example
  * ```ts
--- a/packages/settings/src/path.ts
+++ b/packages/settings/src/path.ts
@@ -1,14 +1,15 @@
 /**
- * Names of nodes: a path such as `workspace/payroll/service/scribe/hall/k1`.
+ * Paths of nodes, such as `workspace/payroll/service/scribe/hall/k1`, and the order in which nodes inherit from each
+ * other.
  *
  * @module
  */
 import { NAME, NodeKind } from "./schema.js";
 
-/** A node's name as it stands in a section's head. */
+/** The path of a node, as written in the header of its INI section. */
 export type NodePath = string;
 
-/** A path taken apart. `kind` is that of its first word. */
+/** A parsed path. `kind` is its first word. */
 export interface ParsedPath {
     readonly kind: NodeKind;
     readonly workspace?: string;
@@ -18,17 +19,18 @@
     readonly name?: string;
 }
 
-/** The place that a request stands in; each part may be open. */
+/** What settings are looked up for: a workspace, service and hall, each of which may be left open. */
 export interface Scope {
     readonly workspace?: string | undefined;
     readonly service?: string | undefined;
     readonly hall?: string | undefined;
 }
 
+/** The kinds of node that can be combined in one path, in the order in which they must appear there. */
 const COMBINABLE_KINDS = ["workspace", "service", "hall"] as const;
 
 /**
- * Takes a path apart; undefined if it is none.
+ * Parses a path. Returns undefined if it is not valid: each node has exactly one spelling.
  *
  * @example
  * ```ts
@@ -61,8 +63,9 @@
 }
 
 /**
- * Every node that a place inherits from, the nearest first. A node that names more of the place goes first; among those
- * that name equally much, workspace goes before service and service before hall.
+ * Returns the paths of all nodes that apply to a scope, in order of precedence. A node that names more of workspace,
+ * service and hall comes first. Among nodes that name equally many, workspace takes precedence over service, and
+ * service over hall.
  *
  * @example
  * ```ts
--- a/packages/settings/src/schema.ts
+++ b/packages/settings/src/schema.ts
@@ -1,11 +1,11 @@
 /**
- * Every key that may stand in the tree: its type, its default, the kinds of node that may hold it, and what it means.
+ * All keys of the tree: type, default, description, and the kinds of node that may set them.
  *
  * @module
  */
 import { choice, count, duration, flag, list, ratio, text, type ValueType } from "./value.js";
 
-/** The kinds of node, as the first word of a section's name. */
+/** The kinds of node, as written in the first word of a path. */
 export const NodeKind = {
     Root: "root",
     Hall: "hall",
@@ -19,7 +19,7 @@
 /** One of {@link NodeKind}. */
 export type NodeKind = typeof NodeKind[keyof typeof NodeKind];
 
-/** A name of a node: letters, digits, dots, dashes and underscores, at most 63. */
+/** The pattern of a node's name: letters, digits, dots, dashes and underscores, at most 63 characters. */
 export const NAME = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
 const NAME_ALLOWED = "a name of letters, digits, . _ and -, at most 63 long";
 const SHA256 = text(/^[a-f0-9]{64}$/, "a SHA-256 in 64 hexadecimal digits");
@@ -27,10 +27,10 @@
 const DAY_MS = 86_400_000;
 const MAX_TOKENS = 1_000_000_000;
 
-/** How a key is declared. */
+/** The declaration of a key. */
 export interface KeyDef<T> {
     readonly type: ValueType<T>;
-    /** What holds where no node says otherwise; absent where a node must say it itself. */
+    /** The value if no node sets the key; absent for keys that are not inherited. */
     readonly fallback?: T;
     readonly doc: string;
 }
@@ -43,7 +43,7 @@
     return { type, doc };
 }
 
-/** Keys that are inherited: they may stand at the root, at halls, services, workspaces and their combinations. */
+/** The inherited keys. The root, halls, services, workspaces and their combinations may set them. */
 export const INHERITED = {
     "requests-per-minute": inheritedKey(count(0, MAX_TOKENS), 6_000, "Requests a workspace may start in a minute."),
     "tokens-per-minute": inheritedKey(
@@ -90,7 +90,7 @@
     ),
 } as const;
 
-/** Keys that belong to one kind of node and are not inherited. */
+/** The keys that belong to one kind of node and are not inherited. */
 export const OWN_KEYS = {
     root: {},
     hall: { region: ownKey(text(NAME, NAME_ALLOWED), "Region that the hall lies in.") },
@@ -123,7 +123,7 @@
     },
 } as const satisfies Record<NodeKind, Record<string, KeyDef<unknown>>>;
 
-/** Keys that a node of a kind must have. */
+/** The keys that a node must set, by kind of node. */
 export const REQUIRED_KEYS: Record<NodeKind, readonly string[]> = {
     root: [],
     hall: [],
@@ -135,13 +135,13 @@
     operator: ["role", "hash"],
 };
 
-/** Name of an inherited key. */
+/** The name of an inherited key. */
 export type InheritedKey = keyof typeof INHERITED;
-/** The value of an inherited key, as code uses it. */
+/** The type of the parsed value of an inherited key. */
 export type InheritedValue<K extends InheritedKey> = typeof INHERITED[K] extends KeyDef<infer T> ? T : never;
 
 /**
- * The declaration of a key at a kind of node, or undefined where it may not stand.
+ * Returns the declaration of a key for a kind of node, or undefined if such nodes cannot set it.
  *
  * @example
  * ```ts
--- a/packages/settings/src/tree.ts
+++ b/packages/settings/src/tree.ts
@@ -1,34 +1,34 @@
 /**
- * The tree of settings as a value, and what holds at a place in it.
+ * The tree of settings, and the values that apply to a scope.
  *
  * @module
  */
 import { lineage, type NodePath, parsePath, type Scope } from "./path.js";
 import { INHERITED, type InheritedKey, type InheritedValue, keyDef, NodeKind } from "./schema.js";
 
-/** Written values of one node by key. */
+/** The values of one node by key, as written by an operator. */
 export type TreeNode = Readonly<Record<string, string>>;
-/** All nodes by path. Values stay as they were written, so that a difference shows what an operator typed. */
+/** All nodes by path. Values are kept as text, so that a difference between two trees shows what an operator typed. */
 export type Tree = Readonly<Record<NodePath, TreeNode>>;
 
-/** A value in force with the node that it came from. */
+/** The value that applies to a scope, with the node that sets it. */
 export interface ExplainedValue {
     readonly key: string;
     readonly value: string;
-    /** Path of the node, or `default`. */
+    /** Path of the node that sets the value, or `default`. */
     readonly from: NodePath;
-    /** Nodes further up that say something else, the nearest first. */
+    /** The nodes of lower precedence that set the key too, in order of precedence. */
     readonly overridden: readonly { readonly path: NodePath; readonly value: string }[];
 }
 
-/** Every inherited key with its value at one place. */
+/** The value of every inherited key for one scope. */
 export type Settings = { readonly [K in InheritedKey]: InheritedValue<K> };
 
-/** The empty tree. */
+/** A tree without nodes. */
 export const EMPTY: Tree = Object.freeze({});
 
 /**
- * Which value of a key holds at a place, and why.
+ * Returns the value of a key for a scope, the node that sets it, and the values that it overrides.
  *
  * @example
  * ```ts
@@ -46,7 +46,8 @@
 }
 
 /**
- * All inherited settings at a place. The tree must have been checked: a value that cannot be read falls back.
+ * Returns all inherited settings for a scope. The tree is expected to be checked: an invalid value is replaced by the
+ * default of its key.
  *
  * @example
  * ```ts
@@ -63,14 +64,15 @@
     return Object.fromEntries(entries) as Settings;
 }
 
-/** One node of a kind that has a name of its own, with its values read. */
+/** A node with its name and its parsed values. */
 export interface NamedNode {
     readonly name: string;
     readonly values: Readonly<Record<string, unknown>>;
 }
 
 /**
- * All nodes of a kind that is not inherited (models, endpoints, keys, operators), with their own values read.
+ * Returns all nodes of a kind with their parsed values. It is meant for kinds that take no part in inheritance: models,
+ * endpoints, keys, operators. Invalid values are left out.
  *
  * @example
  * ```ts
@@ -80,7 +82,7 @@
 export function namedNodes(tree: Tree, kind: NodeKind): readonly NamedNode[] {
     const found: NamedNode[] = [];
     for (const [path, node] of Object.entries(tree)) {
-        // The prefix tells most nodes apart without taking their paths apart.
+        // Skips most nodes without the cost of parsing their paths.
         if (!path.startsWith(kind)) continue;
         const parsed = parsePath(path);
         if (parsed?.kind !== kind) continue;
--- a/packages/settings/src/value.ts
+++ b/packages/settings/src/value.ts
@@ -1,25 +1,25 @@
 /**
- * Typed values of settings: how each kind of value is written in INI, read, and checked.
+ * The types of setting values: how each is written in INI, parsed and checked.
  *
  * @module
  */
 
-/** What is wrong with one written value: what was found and what is allowed. */
+/** Why a value is invalid: what was found and what is allowed. */
 export interface ValueError {
     readonly kind: "badValue";
     readonly found: string;
     readonly allowed: string;
 }
 
-/** Either a read value or the reason it cannot be read. */
+/** A parsed value, or why it is invalid. */
 export type ValueResult<T> = { readonly ok: true; readonly value: T } | {
     readonly ok: false;
     readonly err: ValueError;
 };
 
-/** One kind of value, with the function that reads it from text. */
+/** A type of value, with the function that parses it. */
 export interface ValueType<T> {
-    /** Said in errors and in the reference of keys. */
+    /** Describes the valid values, for error messages and the reference of keys. */
     readonly allowed: string;
     readonly read: (text: string) => ValueResult<T>;
 }
@@ -32,7 +32,7 @@
 }
 
 /**
- * A duration with its unit, read as milliseconds.
+ * A duration with a unit, parsed as milliseconds.
  *
  * @example
  * ```ts
@@ -53,7 +53,7 @@
 }
 
 /**
- * A whole number, with `k` for thousands and `M` for millions.
+ * A whole number, with an optional suffix: `k` for thousands, `M` for millions.
  *
  * @example
  * ```ts
@@ -113,7 +113,7 @@
 }
 
 /**
- * One word of a fixed list.
+ * One of the given words.
  *
  * @example
  * ```ts
@@ -126,7 +126,7 @@
 }
 
 /**
- * A comma-separated list; empty text is the empty list.
+ * A comma-separated list of items that match a pattern; empty text is the empty list.
  *
  * @example
  * ```ts
