--- a/packages/cli/src/client.ts
+++ b/packages/cli/src/client.ts
@@ -1,34 +1,37 @@
 /**
- * A client of the operators' port: tries one host after another, and keeps "refused", "away" and "unknown" apart.
+ * A client of the operators' API of hosts. It tries one host after another, and its results distinguish an answer, no
+ * connection to any host, and a lost answer, after which the effect of the call is unknown.
  *
  * @module
  */
 import { errText, neverSent } from "@drumpaddle/protocol";
 import { request } from "undici";
 
-/** Where the operators' ports are, and with which token they are used. */
+/** The hosts to call, by the base URL of their operators' port, and how to call them. */
 export interface ClientCfg {
     readonly hosts: readonly string[];
     readonly token: string;
     readonly timeoutMs: number;
 }
 
-/** What an operator's call came to. */
+/** The result of a call to the operators' API. */
 export type CallResult =
     | { readonly kind: "answer"; readonly status: number; readonly body: Record<string, unknown> }
-    /** No host could be reached, so nothing was done. */
+    /** No host could be reached, so the call had no effect. */
     | { readonly kind: "unreachable"; readonly detail: string }
-    /** A host was reached and its answer was lost. */
+    /** A host may have received the call, but its answer was lost. */
     | { readonly kind: "lost"; readonly detail: string };
 
+/** A host's status if it cannot reach the store; another host may. */
 const SERVICE_UNAVAILABLE = 503;
 
 /**
- * Calls the first host that answers. A call with a body must be safe to send twice: edits carry an id for that.
+ * Calls the hosts in turn until one answers with another status than 503. A call may therefore reach several hosts, so
+ * that one with a body must be safe to repeat; edits carry an id for this.
  *
  * @example
  * ```ts
- * const result = await call(client, "GET", "/settings");
+ * const result = await callAnyHost(client, "GET", "/settings");
  * ```
  */
 export async function callAnyHost(
@@ -41,13 +44,13 @@
     for (const host of client.hosts) {
         const result = await callHost(client, host, method, path, body);
         if (result.kind === "answer" && result.status !== SERVICE_UNAVAILABLE) return result;
-        // What may have happened at one host outweighs that another could not be reached.
+        // A lost answer is kept over later failures: the call may have taken effect at that host.
         if (failure.kind !== "lost") failure = result;
     }
     return failure;
 }
 
-/** Calls one host. */
+/** Calls one host, by the base URL of its operators' port. */
 export async function callHost(
     client: ClientCfg,
     host: string,
--- a/packages/cli/src/endpoints.ts
+++ b/packages/cli/src/endpoints.ts
@@ -1,35 +1,35 @@
 /**
- * The endpoints that a host knows: which take new work, which stand in evacuated halls, which are cold, which name a limit or want rest,
- * which the host can probably not reach, and how slow each is.
+ * Lists the endpoints that a host knows: whether each takes new work, is in an evacuated hall, is cold, limits its
+ * requests, wants a pause, can be reached from the host, and how slow it is.
  *
  * @module
  */
 import { callAnyHost, type ClientCfg } from "./client.js";
 import { type CommandResult, errorMessageOf, Exit, formatTable, resultOf } from "./output.js";
 
-/** An endpoint, as a host tells it. */
+/** An endpoint in a host's answer. */
 interface ListedEndpoint {
     readonly endpoint: string;
     readonly hall: string;
     readonly takesNew: boolean;
     readonly hallEvacuated: boolean;
     readonly coldForMs: number;
-    /** Requests a second that it takes from all hosts together; absent where it names no limit. */
+    /** Requests per second that the endpoint takes from all hosts together; absent if it reports no limit. */
     readonly limitPerS?: number;
-    /** How much longer it wants nothing from this host, in milliseconds. */
+    /** For how much longer the endpoint wants no requests from this host, in milliseconds; 0 if it takes them. */
     readonly restsForMs: number;
-    /** Whether the host can probably not reach it; absent where it is of a version that does not tell. */
+    /** Whether the host probably cannot reach the endpoint; absent in answers of older hosts. */
     readonly inDoubt?: boolean;
     readonly running: number;
-    /** Its time for the same work against the mean of its kind, as a factor. */
+    /** The endpoint's time for the same work, relative to the mean of its kind. */
     readonly slowness: number;
-    /** Relative standard error of that; 0 where all may be alike. */
+    /** The relative standard error of `slowness`; 0 if all endpoints of the kind may be equally fast. */
     readonly slownessError: number;
-    /** Time since streams last showed something of it, in milliseconds; absent where none did. */
+    /** Time since a stream last gave a measure of the endpoint's speed, in milliseconds; absent if none has. */
     readonly slownessAgeMs?: number;
 }
 
-/** How slow an endpoint is, how certainly, and since when that is known. */
+/** Describes how slow an endpoint is, with the error and the age of this estimate. */
 function formatSlowness({ slowness, slownessError, slownessAgeMs }: ListedEndpoint): string {
     if (slownessAgeMs === undefined) return "not seen";
     const error = Math.round(100 * slownessError);
@@ -52,7 +52,7 @@
     ];
 }
 
-/** Lists endpoints by what a host knows. */
+/** The command `endpoints`: lists the endpoints that one host knows. */
 export async function listEndpoints(client: ClientCfg): Promise<CommandResult> {
     const result = await callAnyHost(client, "GET", "/endpoints");
     if (result.kind !== "answer") return resultOf(Exit.Failed, result.detail);
--- a/packages/cli/src/explain.ts
+++ b/packages/cli/src/explain.ts
@@ -1,34 +1,37 @@
 /**
- * Tells a request's story from the daemons' log lines: what was decided for it, and what became of the endpoints that it
- * met while it ran.
+ * Collects the daemons' log lines about one request: the decisions made for it, and the events of its endpoints while
+ * it ran.
  *
  * @module
  */
 import { readFileSync } from "node:fs";
 import { type CommandResult, Exit, resultOf } from "./output.js";
 
-/** One log line, taken apart. */
+/** A parsed log line. */
 export interface LogLine {
     readonly atMs: number;
     readonly event: string;
     readonly fields: ReadonlyMap<string, string>;
-    /** The line as it stands in the log. */
+    /** The whole line, unchanged. */
     readonly text: string;
 }
 
-/** Lines of other events are of interest from this long before a request's first line: a call's line comes at its end. */
+/**
+ * How long before a request's first line events of its endpoints are included. A call is logged when it ends, not when
+ * it starts.
+ */
 const CONTEXT_BEFORE_MS = 60_000;
 
 const LOG_LINE = /time=(\S+) level=\S+ event=(\S+)(.*)$/;
 const LOG_FIELD = /([\w.-]+)=("(?:[^"\\]|\\.)*"|\S+)/g;
 
 /**
- * Takes a line apart; undefined for what is no log line of a daemon. Text before the time, as a collector may add, is
- * passed over.
+ * Parses a line. Returns undefined if it is not a log line of a daemon. Text before the time, such as a log collector
+ * adds, is ignored.
  *
  * @example
  * ```ts
- * readLine("time=2026-01-01T00:00:00.000Z level=info event=call_ended req=r1")?.event; // "call_ended"
+ * parseLogLine("time=2026-01-01T00:00:00.000Z level=info event=call_ended req=r1")?.event; // "call_ended"
  * ```
  */
 export function parseLogLine(text: string): LogLine | undefined {
@@ -40,11 +43,12 @@
 }
 
 /**
- * The lines that tell a request's story, in order of time: its own, and those of the endpoints that they name.
+ * Returns the lines about a request, sorted by time: its own, and the events during the request of the endpoints that
+ * these name.
  *
  * @example
  * ```ts
- * storyOf(lines, "9c41d07be2a35f68").map(line => line.text).join("\n");
+ * linesAboutRequest(lines, "9c41d07be2a35f68").map(line => line.text).join("\n");
  * ```
  */
 export function linesAboutRequest(lines: readonly LogLine[], request: string): readonly LogLine[] {
@@ -61,14 +65,14 @@
     return [...own, ...context].sort((a, b) => a.atMs - b.atMs);
 }
 
-/** The lines of log files, or what the command says that cannot read them. */
+/** The parsed lines of log files, or the command's result if a file cannot be read. */
 export type LogFilesResult =
     | { readonly ok: true; readonly lines: readonly LogLine[] }
-    | { readonly ok: false; readonly outcome: CommandResult };
+    | { readonly ok: false; readonly result: CommandResult };
 
-/** Reads log files. */
+/** Reads log files. Lines that are not a daemon's are left out. */
 export function readLogFiles(files: readonly string[]): LogFilesResult {
-    if (files.length === 0) return { ok: false, outcome: resultOf(Exit.Usage, "name the log files to read") };
+    if (files.length === 0) return { ok: false, result: resultOf(Exit.Usage, "no log files given") };
     const lines: LogLine[] = [];
     for (const file of files) {
         let text: string;
@@ -76,7 +80,7 @@
             text = readFileSync(file, "utf8");
         }
         catch (err) {
-            return { ok: false, outcome: resultOf(Exit.Failed, `${file}: ${(err as Error).message}`) };
+            return { ok: false, result: resultOf(Exit.Failed, `${file}: ${(err as Error).message}`) };
         }
         for (const line of text.split("\n")) {
             const read = parseLogLine(line);
@@ -86,12 +90,12 @@
     return { ok: true, lines };
 }
 
-/** The command: reads log files and prints the story. */
+/** The command `explain`: prints the lines of log files that are about a request. */
 export function explainRequest(request: string, files: readonly string[]): CommandResult {
     const read = readLogFiles(files);
-    if (!read.ok) return read.outcome;
+    if (!read.ok) return read.result;
     const found = linesAboutRequest(read.lines, request);
-    if (found.length === 0) return resultOf(Exit.Failed, `no line of ${read.lines.length} names request ${request}`);
+    if (found.length === 0) return resultOf(Exit.Failed, `none of ${read.lines.length} lines has request ${request}`);
     return {
         exit: Exit.Done,
         text: found.map(line => line.text).join("\n"),
--- a/packages/cli/src/keys.ts
+++ b/packages/cli/src/keys.ts
@@ -1,5 +1,6 @@
 /**
- * Keys of workspaces and tokens of operators: issued, listed, expired. A secret is shown once and never stored.
+ * The commands on workspaces' keys and operators' tokens: issue, list, expire. The settings store only the hash of a
+ * secret, which is therefore shown once, when it is issued.
  *
  * @module
  */
@@ -12,17 +13,18 @@
 const SECRET_BYTES = 24;
 const ID_BYTES = 4;
 
-/** A new secret with its hash, as the settings keep it. */
+/** Creates a secret, with its hash as stored in the settings. */
 function newSecret(prefix: string): { readonly secret: string; readonly hash: string } {
     const secret = `${prefix}-${randomBytes(SECRET_BYTES).toString("base64url")}`;
     return { secret, hash: createHash("sha256").update(secret).digest("hex") };
 }
 
+/** Returns the changes that add a node with these values. */
 function addNode(path: string, values: Readonly<Record<string, string>>): readonly Change[] {
     return [{ path, key: "", after: "" }, ...Object.entries(values).map(([key, after]) => ({ path, key, after }))];
 }
 
-/** Issues a key; older ones of the workspace stay valid until they are expired. */
+/** Issues a key for a workspace. Its older keys stay valid until they expire. */
 export async function issueKey(client: ClientCfg, workspace: string, why: string): Promise<CommandResult> {
     const { secret, hash } = newSecret("dp");
     const id = `${workspace}-${randomBytes(ID_BYTES).toString("hex")}`;
@@ -35,9 +37,10 @@
     return secretResult(await submitEdit(client, addNode(`operator/${name}`, { role, hash }), why), name, secret);
 }
 
+/** Adds the secret to the result of an edit, unless the edit was not accepted. */
 function secretResult(editResult: CommandResult, id: string, secret: string): CommandResult {
     if (editResult.exit !== Exit.Done) return editResult;
-    return resultOf(Exit.Done, `${id}\n${secret}\nkeep it: it is not shown again`, { id, secret });
+    return resultOf(Exit.Done, `${id}\n${secret}\nkeep this secret: it is not shown again`, { id, secret });
 }
 
 async function fetchTree(client: ClientCfg): Promise<Tree | CommandResult> {
@@ -49,7 +52,7 @@
     return typeof (value as CommandResult).exit === "number";
 }
 
-/** Lists keys and tokens without their secrets, which no one has. */
+/** Lists keys and tokens, with the first digits of their hashes. */
 export async function listKeys(client: ClientCfg): Promise<CommandResult> {
     const tree = await fetchTree(client);
     if (isCommandResult(tree)) return tree;
@@ -68,11 +71,11 @@
     return resultOf(Exit.Done, formatTable(["node", "for", "expires", "hash starts"], rows), rows);
 }
 
-/** Lets a key or token end at a time; the time of now ends it at once. */
+/** Sets the time at which a key or token expires. */
 export async function expireKey(client: ClientCfg, path: string, at: Date, why: string): Promise<CommandResult> {
     const tree = await fetchTree(client);
     if (isCommandResult(tree)) return tree;
-    if (!tree[path]) return resultOf(Exit.Failed, `there is no [${path}]`);
+    if (!tree[path]) return resultOf(Exit.Failed, `node [${path}] does not exist`);
     const after = `${at.toISOString().slice(0, 19)}Z`;
     return submitEdit(client, [{ path, key: "expires", before: tree[path]["expires"], after }], why);
 }
--- a/packages/cli/src/losses.ts
+++ b/packages/cli/src/losses.ts
@@ -1,28 +1,31 @@
 /**
- * Tells from the daemons' log lines which calls were not served in time, by route, hall of their last endpoint, moment and reason:
- * where to look first after a bad day.
+ * Counts, from the daemons' log lines, the calls that failed or were late, by route, hall of the last endpoint, time
+ * and reason. It shows where to begin the search for the cause of an incident.
  *
  * @module
  */
 import { type LogLine, readLogFiles } from "./explain.js";
 import { type CommandResult, Exit, formatTable, resultOf } from "./output.js";
 
-/** Calls of one route and hall that were not served in time for one reason, at one moment. */
+/** The number of calls of one route and hall that failed or were late for one reason, in one time step. */
 export interface Loss {
     readonly route: string;
-    /** Hall of the last endpoint; `-` where the calls reached none. */
+    /** Hall of the last endpoint; `-` if the calls reached no endpoint. */
     readonly hall: string;
-    /** Start of the moment, in seconds after the first line of the logs. */
+    /** Start of the time step, in seconds after the first line of the logs. */
     readonly fromS: number;
-    /** Code of a failure, or `late: first` or `late: pause`. */
+    /**
+     * The failure's code, or what made a complete answer late: its first piece (`late: first`) or a gap (`late:
+     * pause`).
+     */
     readonly reason: string;
     readonly calls: number;
 }
 
-/** Moments are told in steps of this many seconds, unless another step is asked for. */
+/** The length of a time step, in seconds, if the option `--step` is not given. */
 export const DEFAULT_STEP_S = 5;
 
-/** Why a call counts as lost; undefined where it was served in time. */
+/** Returns why a call counts as lost, or undefined if it was answered completely and in time. */
 function lossReasonOf({ fields: pairs }: LogLine): string | undefined {
     const outcome = pairs.get("outcome");
     if (outcome !== "whole") return outcome ?? "unknown";
@@ -31,13 +34,13 @@
 }
 
 /**
- * Counts the calls that ended and were not served in time. A call counts at the moment at which it came.
+ * Counts the calls that failed or were late. A call belongs to the time step in which it arrived.
  *
- * @param stepS Length of a moment, in seconds.
+ * @param stepS Length of a time step, in seconds.
  *
  * @example
  * ```ts
- * lossesOf(lines).filter(loss => loss.reason === "endpoint_lost");
+ * countLosses(lines).filter(loss => loss.reason === "endpoint_lost");
  * ```
  */
 export function countLosses(lines: readonly LogLine[], stepS = DEFAULT_STEP_S): readonly Loss[] {
@@ -58,11 +61,11 @@
     );
 }
 
-/** The command: reads log files and prints the table. */
+/** The command `losses`: prints a table of the losses in log files. */
 export function losses(files: readonly string[], stepS = DEFAULT_STEP_S): CommandResult {
-    if (!(stepS > 0)) return resultOf(Exit.Usage, "the length of a moment is a number of seconds above 0");
+    if (!(stepS > 0)) return resultOf(Exit.Usage, "--step must be a number of seconds greater than 0");
     const read = readLogFiles(files);
-    if (!read.ok) return read.outcome;
+    if (!read.ok) return read.result;
     const found = countLosses(read.lines, stepS);
     const rows = found.map(({ route, hall, fromS, reason, calls }) => [
         route,
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The binary `drumpaddle`, for operators.
+ * The program `drumpaddle`, the operators' command line.
  *
  * @module
  */
@@ -27,7 +27,7 @@
     readonly service?: string;
     readonly hall?: string;
     readonly role?: string;
-    /** Arguments beyond those that the command names. */
+    /** Positional arguments after those that the command declares. */
     readonly _?: readonly string[];
 }
 
@@ -53,10 +53,10 @@
     return flags.why ?? "";
 }
 
-/** Whether the arguments were understood, so that a command was begun. */
+/** Whether the arguments were valid, so that a command was started. */
 let hasCommandStarted = false;
 
-/** Prints what a command came to; every way out sets the exit code. */
+/** Runs a command, prints its result and sets the exit code. An exception counts as wrong usage. */
 async function runCommand(flags: Flags, run: () => Promise<CommandResult> | CommandResult): Promise<void> {
     hasCommandStarted = true;
     try {
@@ -107,7 +107,7 @@
 program.command("settings plan <path>", "Show what applying files would change")
     .example("settings plan ./deployment")
     .action((path: string, flags: Flags) => runCommand(flags, () => settings.plan(clientOptionsOf(flags), path)));
-program.command("settings apply <path>", "Make the tree what files say")
+program.command("settings apply <path>", "Change the tree to what files declare")
     .option("--at", "Only if this version is still in force").option("--why", "Reason, for the audit trail")
     .example('settings apply ./deployment --at 7 --why "more dawn streams"')
     .action((path: string, flags: Flags) =>
@@ -137,10 +137,13 @@
     .action((node: string, key: string, flags: Flags) =>
         runCommand(flags, () => settings.setKey(clientOptionsOf(flags), node, key, undefined, editReasonOf(flags)))
     );
-program.command("settings explain [key]", "Show the value in force at a place and the node that it came from")
-    .option("--workspace", "Workspace of the place").option("--service", "Service of the place").option(
+program.command(
+    "settings explain [key]",
+    "Show the value in force for a workspace, service and hall, and the node that sets it",
+)
+    .option("--workspace", "Workspace to look up").option("--service", "Service to look up").option(
         "--hall",
-        "Hall of the place",
+        "Hall to look up",
     )
     .example("settings explain attempts --workspace clerks --hall k1")
     .action((key: string | undefined, flags: Flags) => {
@@ -161,35 +164,42 @@
     .action((text: string, flags: Flags) =>
         runCommand(flags, () => settings.revert(clientOptionsOf(flags), parseVersion(text), editReasonOf(flags)))
     );
-program.command("settings outcome <edit>", "Say whether an edit stands whose answer was lost")
+program.command("settings outcome <edit>", "Show whether an edit whose answer was lost was accepted")
     .example("settings outcome 0b52ab3c-7a9f-4f8e-9c58-3d2f6a1f0e11")
     .action((edit: string, flags: Flags) => runCommand(flags, () => settings.outcome(clientOptionsOf(flags), edit)));
-program.command("settings verify", "Check that the audit trail yields the tree in force").example("settings verify")
+program.command("settings verify", "Check that replaying the audit trail gives the tree in force").example(
+    "settings verify",
+)
     .action((flags: Flags) => runCommand(flags, () => settings.verify(clientOptionsOf(flags))));
 program.command("settings wait <version>", "Wait until every named host has a version in force")
     .example("settings wait 8 --hosts http://10.0.0.1:9080,http://10.0.0.2:9080")
     .action((text: string, flags: Flags) => runCommand(flags, () => waitWithProgressBar(flags, text)));
-program.command("status", "Show which host has which version, its load, and who is behind").example("status --json")
+program.command("status", "Show each host's settings version and load, and which hosts are behind").example(
+    "status --json",
+)
     .action((flags: Flags) => runCommand(flags, () => settings.status(clientOptionsOf(flags))));
-program.command("explain <request>", "Tell a request's story from daemons' log files, named after it")
+program.command("explain <request>", "Print the lines about a request from daemons' log files, given after it")
     .example("explain 9c41d07be2a35f68 host-a.log host-b.log")
     .action((request: string | number, flags: Flags) =>
         runCommand(flags, () => explainRequest(String(request), logFilesOf(flags)))
     );
 program.command(
     "losses",
-    "Count the calls in daemons' log files that were not served in time, by route, hall, moment and reason",
+    "Count the failed and late calls in daemons' log files, by route, hall, time and reason",
 )
-    .option("--step", "Length of a moment, in seconds", DEFAULT_STEP_S)
+    .option("--step", "Length of a time step, in seconds", DEFAULT_STEP_S)
     .example("losses host-a.log host-b.log --step 2")
     .action((flags: Flags) => runCommand(flags, () => losses(logFilesOf(flags), Number(flags.step))));
-program.command("endpoints", "List the endpoints that a host knows, evacuated halls and cold ones among them")
+program.command("endpoints", "List the endpoints that a host knows, including cold ones and those in evacuated halls")
     .example("endpoints --hosts http://10.0.0.1:8749")
     .action((flags: Flags) => runCommand(flags, () => listEndpoints(clientOptionsOf(flags))));
-program.command("quarantine list", "List the requests that ended endpoints, by what a host knows")
+program.command(
+    "quarantine list",
+    "List the requests that a host knows to be quarantined or suspected of ending endpoints",
+)
     .example("quarantine list --hosts http://10.0.0.1:8749")
     .action((flags: Flags) => runCommand(flags, () => listQuarantine(clientOptionsOf(flags))));
-program.command("quarantine lift <fingerprint>", "Let a request be begun again, at all hosts")
+program.command("quarantine lift <fingerprint>", "Lift the quarantine of a request at all hosts")
     .example("quarantine lift zfrk1UZixpr7_INCf_ZeUA")
     .action((fingerprint: string, flags: Flags) =>
         runCommand(flags, () => liftQuarantine(clientOptionsOf(flags), String(fingerprint)))
@@ -210,7 +220,10 @@
     );
 program.command("keys list", "List keys and tokens").example("keys list")
     .action((flags: Flags) => runCommand(flags, () => listKeys(clientOptionsOf(flags))));
-program.command("keys expire <node>", "Let a key or token end").option("--at", "When, as a UTC time; now if not given")
+program.command("keys expire <node>", "Set when a key or token expires").option(
+    "--at",
+    "When, as a UTC time; now if not given",
+)
     .option("--why", "Reason, for the audit trail")
     .example("keys expire key/clerks-1a2b3c4d --at 2026-12-31T00:00:00Z")
     .action((node: string, flags: Flags) =>
@@ -226,7 +239,7 @@
         )
     );
 
-// The argument library ends with 1 on arguments that it does not understand; that is wrong usage here.
+// The argument parser exits with 1 on invalid arguments. For this program, wrong usage is 2.
 process.once("exit", code => {
     if (code === Exit.Failed && !hasCommandStarted) process.exitCode = Exit.Usage;
 });
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,5 +1,5 @@
 /**
- * What commands print, and the exit codes that scripts rely on.
+ * The results of commands, their exit codes (on which scripts rely) and the formatting of their output.
  *
  * @module
  */
@@ -11,24 +11,24 @@
 /** One of {@link Exit}. */
 export type Exit = typeof Exit[keyof typeof Exit];
 
-/** What a command came to: what to print, and how to exit. `data` is printed instead with `--json`. */
+/** The result of a command: the text to print, or with `--json` the data, and the exit code. */
 export interface CommandResult {
     readonly exit: Exit;
     readonly text: string;
     readonly data: unknown;
 }
 
-/** An outcome that says one line. */
+/** Returns a result. Without `data`, `--json` prints the text as `message`. */
 export function resultOf(exit: Exit, text: string, data: unknown = { message: text }): CommandResult {
     return { exit, text, data };
 }
 
 /**
- * Rows as a table for people.
+ * Formats rows as a table for the terminal.
  *
  * @example
  * ```ts
- * tableOf(["host", "version"], [["k1-a", "7"]]);
+ * formatTable(["host", "version"], [["k1-a", "7"]]);
  * ```
  */
 export function formatTable(head: readonly string[], rows: readonly (readonly string[])[]): string {
@@ -38,11 +38,11 @@
 }
 
 /**
- * Changes as a readable difference, a node at a time.
+ * Formats changes as a difference for people, grouped by node.
  *
  * @example
  * ```ts
- * showChanges([{ path: "root", key: "attempts", before: "2", after: "3" }]); // "[root]\n  ~ attempts = 2 -> 3"
+ * formatChanges([{ path: "root", key: "attempts", before: "2", after: "3" }]); // "[root]\n  ~ attempts = 2 -> 3"
  * ```
  */
 export function formatChanges(changes: readonly Change[]): string {
@@ -62,7 +62,7 @@
     return after === undefined ? `- ${key} = ${before}` : `~ ${key} = ${before} -> ${after}`;
 }
 
-/** What a host says of its own error. */
+/** Returns the message of a host's error answer. */
 export function errorMessageOf(body: Record<string, unknown>): string {
     const { error } = body as { readonly error?: { readonly message?: string } };
     return error?.message ?? "the host answered with an error";
--- a/packages/cli/src/quarantine.ts
+++ b/packages/cli/src/quarantine.ts
@@ -1,19 +1,19 @@
 /**
- * Requests that end the endpoints that run them: which are quarantined, and how an operator lifts that.
+ * The commands on requests that are suspected of ending the endpoints that run them: list them, and lift a quarantine.
  *
  * @module
  */
 import { callAnyHost, type ClientCfg } from "./client.js";
 import { type CommandResult, errorMessageOf, Exit, formatTable, resultOf } from "./output.js";
 
-/** An ending, as a host tells it. */
+/** An unexpected end of an endpoint at which the request was running there, in a host's answer. */
 interface ListedEnding {
     readonly endpoint: string;
     readonly ageMs: number;
     readonly req?: string;
 }
 
-/** A request, as a host tells it. */
+/** A suspected or quarantined request in a host's answer. */
 interface ListedRequest {
     readonly fingerprint: string;
     readonly quarantined: boolean;
@@ -24,7 +24,7 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Lists what is held against requests. */
+/** Lists the suspected and quarantined requests that one host knows. */
 export async function listQuarantine(client: ClientCfg): Promise<CommandResult> {
     const result = await callAnyHost(client, "GET", "/quarantine");
     if (result.kind !== "answer") return resultOf(Exit.Failed, result.detail);
@@ -42,7 +42,7 @@
     return { exit: Exit.Done, text, data: requests };
 }
 
-/** Lifts a quarantine at all hosts: the one that is asked tells the others. */
+/** Lifts a quarantine at all hosts: the host that is called informs the others. */
 export async function liftQuarantine(client: ClientCfg, fingerprint: string): Promise<CommandResult> {
     const result = await callAnyHost(client, "POST", `/quarantine/${encodeURIComponent(fingerprint)}/lift`, {});
     if (result.kind === "lost") return resultOf(Exit.Unknown, result.detail);
--- a/packages/cli/src/settings.ts
+++ b/packages/cli/src/settings.ts
@@ -1,5 +1,5 @@
 /**
- * The commands on the tree of settings.
+ * The commands on the settings tree, and the command `status`.
  *
  * @module
  */
@@ -21,15 +21,15 @@
 import { callAnyHost, callHost, type CallResult, type ClientCfg } from "./client.js";
 import { type CommandResult, Exit, formatChanges, formatTable, resultOf } from "./output.js";
 
-/** Files of a path: itself, or all `.ini` files of a folder in order of name. */
-export function settingsFilesAt(path: string): readonly SourceFile[] {
+/** Reads the file at a path or, if it is a folder, the `.ini` files in it, sorted by name. */
+export function readSettingsFiles(path: string): readonly SourceFile[] {
     if (!statSync(path).isDirectory()) return [{ name: path, text: readFileSync(path, "utf8") }];
     const names = readdirSync(path).filter(name => name.endsWith(".ini")).sort();
     return names.map(name => ({ name: join(path, name), text: readFileSync(join(path, name), "utf8") }));
 }
 
 function readAndCheck(path: string): { readonly tree: Tree; readonly errors: readonly SettingsError[] } {
-    const read = readFiles(settingsFilesAt(path));
+    const read = readFiles(readSettingsFiles(path));
     return { tree: read.tree, errors: [...read.errors, ...checkTree(read)] };
 }
 
@@ -37,7 +37,7 @@
     return resultOf(Exit.Failed, errors.map(describeError).join("\n"), { errors });
 }
 
-/** Checks files without asking any host. */
+/** The command `settings check`: checks files without calling a host. */
 export function check(path: string): CommandResult {
     const { tree, errors } = readAndCheck(path);
     return errors.length > 0
@@ -45,13 +45,14 @@
         : resultOf(Exit.Done, `${Object.keys(tree).length} nodes, no errors`);
 }
 
-/** The outcome of a call that gave no good answer. */
+/** Returns the result for a call that did not succeed. The exit code of a lost answer is that of an unknown outcome. */
 export function failureResult(result: CallResult): CommandResult {
     if (result.kind === "unreachable") return resultOf(Exit.Failed, `no host could be reached: ${result.detail}`);
     if (result.kind === "lost") return resultOf(Exit.Unknown, `the answer was lost: ${result.detail}`);
     return resultOf(Exit.Failed, `refused (${result.status}): ${JSON.stringify(result.body)}`, result.body);
 }
 
+/** Returns the body of an answer with status 200. */
 function bodyIfOk(result: CallResult): Record<string, unknown> | undefined {
     return result.kind === "answer" && result.status === 200 ? result.body : undefined;
 }
@@ -67,7 +68,7 @@
     return bodyIfOk(result) as unknown as CurrentSettings | undefined ?? failureResult(result);
 }
 
-/** What applying files would change. */
+/** The command `settings plan`: shows what applying files would change. */
 export async function plan(client: ClientCfg, path: string): Promise<CommandResult> {
     const { tree, errors } = readAndCheck(path);
     if (errors.length > 0) return invalidFilesResult(errors);
@@ -82,7 +83,10 @@
     return resultOf(Exit.Done, text, { version: inForce.version, changes });
 }
 
-/** Makes the tree what files say, if it still is the version that was planned against. */
+/**
+ * The command `settings apply`: changes the tree to what files declare, if the version in force is still the planned
+ * one.
+ */
 export async function apply(
     client: ClientCfg,
     path: string,
@@ -99,6 +103,7 @@
     return submitEdit(client, changes, why, inForce.version);
 }
 
+/** Returns the result of applying a stale plan, with the edits accepted since. */
 async function stalePlanResult(client: ClientCfg, planned: number, version: number): Promise<CommandResult> {
     const trail = await callAnyHost(client, "GET", "/settings/log");
     const entries = (bodyIfOk(trail)?.["entries"] ?? []) as readonly AuditEntry[];
@@ -118,7 +123,7 @@
     );
 }
 
-/** Sends an edit; the same id again is the same edit. */
+/** Sends an edit to a host. Sending it again with the same id does not make a second edit. */
 export async function submitEdit(
     client: ClientCfg,
     changes: readonly Change[],
@@ -160,11 +165,12 @@
 }
 
 function unknownEditResult(editId: string, detail: string): CommandResult {
-    const text = `it is not known whether the edit stands: ${detail}\nask later: drumpaddle settings outcome ${editId}`;
+    const text =
+        `it is not known whether the edit was accepted: ${detail}\nask later: drumpaddle settings outcome ${editId}`;
     return resultOf(Exit.Unknown, text, { kind: "unknown", edit: editId, detail });
 }
 
-/** Sets or unsets one key. */
+/** The commands `settings set` and `settings unset`: set a key of a node, or unset it if `after` is undefined. */
 export async function setKey(
     client: ClientCfg,
     path: string,
@@ -177,7 +183,7 @@
     return submitEdit(client, [{ path, key, before: inForce.tree[path]?.[key], after }], why);
 }
 
-/** The written value of one key of one node. */
+/** The command `settings get`: prints the value of a key as it is set at one node. */
 export async function getKey(client: ClientCfg, path: string, key: string): Promise<CommandResult> {
     const inForce = await fetchCurrent(client);
     if ("exit" in inForce) return inForce;
@@ -187,13 +193,13 @@
         : resultOf(Exit.Done, value, { path, key, value });
 }
 
-/** The value in force at a place, and the node that it came from. */
+/** The command `settings explain`: shows the values in force for a scope, and the nodes that set them. */
 export async function explainKey(
     client: ClientCfg,
     key: string | undefined,
-    place: Readonly<Record<string, string | undefined>>,
+    scope: Readonly<Record<string, string | undefined>>,
 ): Promise<CommandResult> {
-    const query = Object.entries({ key, ...place }).filter(([, value]) => value !== undefined) as [string, string][];
+    const query = Object.entries({ key, ...scope }).filter(([, value]) => value !== undefined) as [string, string][];
     const result = await callAnyHost(client, "GET", `/settings/explain?${new URLSearchParams(query).toString()}`);
     const body = bodyIfOk(result);
     if (!body) return failureResult(result);
@@ -215,7 +221,7 @@
     return body ? body["entries"] as readonly AuditEntry[] : failureResult(result);
 }
 
-/** The audit trail. */
+/** The command `settings log`: shows the audit trail. */
 export async function log(client: ClientCfg): Promise<CommandResult> {
     const trail = await fetchAuditTrail(client);
     if ("exit" in trail) return trail;
@@ -225,14 +231,14 @@
     return resultOf(Exit.Done, formatTable(["version", "at", "who", "why", "changes", "edit"], rows), trail);
 }
 
-/** The tree of a version. */
+/** The command `settings show`: prints the tree of a version. */
 export async function show(client: ClientCfg, version: number): Promise<CommandResult> {
     const result = await callAnyHost(client, "GET", `/settings/version/${version}`);
     const body = bodyIfOk(result);
     return body ? resultOf(Exit.Done, String(body["ini"]), body) : failureResult(result);
 }
 
-/** Undoes one edit by a new one. */
+/** The command `settings revert`: undoes an edit by a new one. */
 export async function revert(client: ClientCfg, version: number, why: string): Promise<CommandResult> {
     const trail = await fetchAuditTrail(client);
     if ("exit" in trail) return trail;
@@ -241,7 +247,7 @@
     return submitEdit(client, reverse(entry.changes), why);
 }
 
-/** Whether an edit whose answer was lost stands. */
+/** The command `settings outcome`: shows whether an edit was accepted whose answer was lost. */
 export async function outcome(client: ClientCfg, editId: string): Promise<CommandResult> {
     const result = await callAnyHost(client, "GET", `/settings/outcome/${encodeURIComponent(editId)}`);
     const body = bodyIfOk(result);
@@ -250,7 +256,9 @@
     return resultOf(Exit.Failed, "not accepted", body);
 }
 
-/** Whether the audit trail is complete: replaying it yields the tree in force. */
+/**
+ * The command `settings verify`: checks that the audit trail is complete, so that replaying it gives the tree in force.
+ */
 export async function verify(client: ClientCfg): Promise<CommandResult> {
     const result = await callAnyHost(client, "GET", "/settings/verify");
     const body = bodyIfOk(result);
@@ -262,7 +270,7 @@
 interface HostStatus {
     readonly host: string;
     readonly hall: string;
-    /** What it can carry, in cores; absent where it does not say. */
+    /** The host's capacity, in cores; absent if the host does not report it. */
     readonly capacity?: number;
     readonly version: number;
     readonly since?: number;
@@ -280,7 +288,9 @@
     }));
 }
 
-/** Which of the named hosts has which version, since when, and who is behind. */
+/**
+ * The command `status`: shows the version and load of each given host, and which hosts are behind the newest version.
+ */
 export async function status(client: ClientCfg): Promise<CommandResult> {
     const all = await fetchStatuses(client);
     const newest = Math.max(0, ...all.map(({ status: s }) => s?.version ?? 0));
@@ -301,7 +311,7 @@
 
 const WAIT_POLL_MS = 100;
 
-/** Waits until every named host has at least a version in force. */
+/** The command `settings wait`: waits until all given hosts have this version or a newer one in force. */
 export async function wait(
     client: ClientCfg,
     version: number,
