--- a/packages/cli/bin/drumpaddle.js
+++ b/packages/cli/bin/drumpaddle.js
@@ -1,3 +1,3 @@
 #!/usr/bin/env node
-// The installed command. It stands in the repository, so that the package manager can link it before anything is built.
+// The installed command. It is part of the repository, so that the package manager can link it before the build.
 import "../dist/main.js";
--- a/packages/cli/test/cli.test.ts
+++ b/packages/cli/test/cli.test.ts
@@ -11,39 +11,39 @@
 interface Fixture {
     readonly stage: Stage;
     readonly client: ClientCfg;
-    /** Writes a file of settings into a folder of its own and gives the folder. */
-    readonly settingsFolder: (text: string) => string;
+    /** Writes a settings file into a new folder and returns the folder's path. */
+    readonly createSettingsFolder: (text: string) => string;
 }
 
 async function startFixture(t: ExecutionContext): Promise<Fixture> {
     const stage = await startStage({ halls: ["k1"], hostsPerHall: 2, enginesPerHall: 1 });
-    const made: string[] = [];
+    const createdFolders: string[] = [];
     t.teardown(async () => {
         await stage.stop();
-        for (const path of made) rmSync(path, { recursive: true });
+        for (const path of createdFolders) rmSync(path, { recursive: true });
     });
     const client = {
         hosts: stage.hosts.map(host => host.daemon.operatorsUrl),
         token: stage.operatorToken,
         timeoutMs: 10_000,
     };
-    const folder = (text: string): string => {
+    const createSettingsFolder = (text: string): string => {
         const path = mkdtempSync(join(tmpdir(), "drumpaddle-"));
-        made.push(path);
+        createdFolders.push(path);
         writeFileSync(join(path, "all.ini"), text);
         return path;
     };
-    return { stage, client, settingsFolder: folder };
+    return { stage, client, createSettingsFolder };
 }
 
 const settingsTextOf = (stage: Stage): string => writeTree(stage.hosts[0]!.daemon.host.feed.directory!.tree);
 
-test("files are checked, planned and applied, and a stale plan is shown who changed what", async t => {
-    const { stage, client, settingsFolder: folder } = await startFixture(t);
-    const bad = settings.check(folder("[root]\nattempts = lots"));
+test("files are checked, planned and applied; a stale plan is refused with the edits since", async t => {
+    const { stage, client, createSettingsFolder: createSettingsFolder } = await startFixture(t);
+    const bad = settings.check(createSettingsFolder("[root]\nattempts = lots"));
     t.is(bad.exit, Exit.Failed);
     t.regex(bad.text, /all\.ini:2 \[root\] attempts/);
-    const path = folder(settingsTextOf(stage).replace("[root]", "[root]\nattempts = 2"));
+    const path = createSettingsFolder(settingsTextOf(stage).replace("[root]", "[root]\nattempts = 2"));
     const planned = await settings.plan(client, path);
     t.regex(planned.text, /\[root\]\n {2}\+ attempts = 2\n1 changes against version 1/);
     t.is((await settings.setKey(client, "root", "resumes", "5", "meanwhile")).exit, Exit.Done);
@@ -53,10 +53,14 @@
     t.is((await settings.apply(client, path, "again", 2)).exit, Exit.Done);
     await waitUntil(() => stage.hosts.every(host => host.daemon.host.feed.directory?.version === 3));
     t.is((await settings.getKey(client, "root", "attempts")).text, "2");
-    t.is((await settings.getKey(client, "root", "resumes")).exit, Exit.Failed, "what the files do not say is gone");
+    t.is(
+        (await settings.getKey(client, "root", "resumes")).exit,
+        Exit.Failed,
+        "applying files unsets the keys that they do not set",
+    );
 });
 
-test("an edit is explained, logged, reverted forwards, and the trail verifies", async t => {
+test("an edit is explained, logged and reverted by a new edit, and the audit trail verifies", async t => {
     const { stage, client } = await startFixture(t);
     await settings.setKey(client, "workspace/clerks", "attempts", "2", "fewer");
     const explained = await settings.explainKey(client, "attempts", { workspace: "clerks" });
@@ -73,7 +77,7 @@
     t.is((await settings.explainKey(client, "no-such-key", {})).exit, Exit.Failed);
 });
 
-test("the next host is tried where one is away; with none the command fails, with the service away it says so", async t => {
+test("the next host is called if one is down; commands fail if no host or no store can be reached", async t => {
     const { stage, client } = await startFixture(t);
     await stage.hosts[0]!.daemon.kill();
     t.is((await settings.setKey(client, "root", "attempts", "2", "")).exit, Exit.Done);
@@ -86,7 +90,7 @@
     t.is((await settings.log({ ...client, token: "wrong" })).exit, Exit.Failed);
 });
 
-test("keys are issued beside old ones, work at once, and end when they expire", async t => {
+test("a new key works beside older ones until it expires", async t => {
     const { stage, client } = await startFixture(t);
     const issued = (await issueKey(client, "members", "rotation")).data as { id: string; secret: string };
     const send = (key: string) =>
@@ -119,29 +123,33 @@
     t.regex(refused.text, /403/);
 });
 
-const COMMANDS: readonly { readonly args: readonly string[]; readonly exit: number; readonly says: RegExp }[] = [
-    { args: ["--help"], exit: Exit.Done, says: /settings apply/ },
-    { args: ["settings", "set", "--help"], exit: Exit.Done, says: /Examples\n.*settings set workspace\/clerks/ },
-    { args: ["nonsense"], exit: Exit.Usage, says: /Invalid command/ },
-    { args: ["settings", "get", "root"], exit: Exit.Usage, says: /Insufficient arguments/ },
-    { args: ["status", "--bogus"], exit: Exit.Usage, says: /unknown flag --bogus/ },
-    { args: ["settings", "show", "x"], exit: Exit.Usage, says: /allowed: a version/ },
-    { args: ["settings", "check", "/no/such/folder"], exit: Exit.Usage, says: /no such file/ },
-    { args: ["settings", "log", "--hosts", "http://127.0.0.1:1"], exit: Exit.Failed, says: /no host could be reached/ },
+const COMMANDS: readonly { readonly args: readonly string[]; readonly exit: number; readonly printed: RegExp }[] = [
+    { args: ["--help"], exit: Exit.Done, printed: /settings apply/ },
+    { args: ["settings", "set", "--help"], exit: Exit.Done, printed: /Examples\n.*settings set workspace\/clerks/ },
+    { args: ["nonsense"], exit: Exit.Usage, printed: /Invalid command/ },
+    { args: ["settings", "get", "root"], exit: Exit.Usage, printed: /Insufficient arguments/ },
+    { args: ["status", "--bogus"], exit: Exit.Usage, printed: /unknown flag --bogus/ },
+    { args: ["settings", "show", "x"], exit: Exit.Usage, printed: /allowed: a version/ },
+    { args: ["settings", "check", "/no/such/folder"], exit: Exit.Usage, printed: /no such file/ },
+    {
+        args: ["settings", "log", "--hosts", "http://127.0.0.1:1"],
+        exit: Exit.Failed,
+        printed: /no host could be reached/,
+    },
     {
         args: ["settings", "outcome", "e", "--hosts", "http://127.0.0.1:1"],
         exit: Exit.Unknown,
-        says: /no host could be reached/,
+        printed: /no host could be reached/,
     },
 ];
 
-for (const { args, exit, says } of COMMANDS) {
+for (const { args, exit, printed } of COMMANDS) {
     test(`drumpaddle ${args.join(" ")} exits ${exit}`, t => {
         const main = fileURLToPath(new URL("../src/main.ts", import.meta.url));
         const run = spawnSync(process.execPath, ["--import=tsx", "--conditions=drumpaddle-source", main, ...args], {
             encoding: "utf8",
         });
         t.is(run.status, exit, run.stderr);
-        t.regex(run.stdout + run.stderr, says);
+        t.regex(run.stdout + run.stderr, printed);
     });
 }
--- a/packages/cli/test/explain.test.ts
+++ b/packages/cli/test/explain.test.ts
@@ -12,18 +12,18 @@
     `${linePrefix(4)} event=endpoint_changed endpoint=e1 state=leaving`,
     `${linePrefix(4)} event=endpoint_changed endpoint=e7 state=leaving`,
     `${linePrefix(6)} event=call_ended req=r2 endpoint=e1 outcome=whole`,
-    "a line of something else",
+    "a line of another program",
 ];
 const LINES = LOG.flatMap(line => parseLogLine(line) ?? []);
 
-test("a line is taken apart, also behind a collector's own words", t => {
+test("a log line is parsed, also with a log collector's prefix", t => {
     const line = parseLogLine(`  4.12 host-1 ${LOG[0]!}`);
     t.is(line?.event, "call_ended");
     t.is(line?.fields.get("detail"), String.raw`"a \"quoted\" word"`);
     t.is(parseLogLine("time=yesterday level=info event=x"), undefined);
 });
 
-test("a request's story is its own lines and those of the endpoints that it met, in order", t => {
+test("a request's lines are its own and those of its endpoints while it ran, sorted by time", t => {
     t.deepEqual(linesAboutRequest(LINES, "r1").map(line => line.event), [
         "endpoint_changed",
         "generation_copied",
@@ -32,7 +32,7 @@
     t.deepEqual(linesAboutRequest(LINES, "nobody"), []);
 });
 
-test("the command reads files, and says when there is nothing to tell", t => {
+test("the command reads files, and fails if no line is about the request", t => {
     const folder = mkdtempSync(join(tmpdir(), "drumpaddle-"));
     t.teardown(() => rmSync(folder, { recursive: true }));
     const file = join(folder, "host.log");
--- a/packages/cli/test/losses.test.ts
+++ b/packages/cli/test/losses.test.ts
@@ -19,7 +19,7 @@
 ];
 const LINES = LOG.flatMap(line => parseLogLine(line) ?? []);
 
-test("calls that were not served in time are counted by route, hall, moment of their coming, and reason", t => {
+test("failed and late calls are counted by route, hall, time of arrival and reason", t => {
     t.deepEqual(countLosses(LINES), [
         { route: "check", hall: "-", fromS: 0, reason: "wait_too_long", calls: 1 },
         { route: "check", hall: "k1", fromS: 5, reason: "late: first", calls: 1 },
@@ -30,7 +30,7 @@
     t.deepEqual(countLosses(LINES, 60).map(loss => loss.fromS), [0, 0, 0, 0, 0]);
 });
 
-test("the command reads files; bad input is a clear error", t => {
+test("the command reads files, and refuses an invalid step or missing files", t => {
     const folder = mkdtempSync(join(tmpdir(), "drumpaddle-"));
     t.teardown(() => rmSync(folder, { recursive: true }));
     const file = join(folder, "host.log");
--- a/packages/settings/src/schema.ts
+++ b/packages/settings/src/schema.ts
@@ -45,72 +45,76 @@
 
 /** The inherited keys. The root, halls, services, workspaces and their combinations may set them. */
 export const INHERITED = {
-    "requests-per-minute": inheritedKey(count(0, MAX_TOKENS), 6_000, "Requests a workspace may start in a minute."),
+    "requests-per-minute": inheritedKey(count(0, MAX_TOKENS), 6_000, "Requests that a workspace may start per minute."),
     "tokens-per-minute": inheritedKey(
         count(0, MAX_TOKENS),
         2_000_000,
-        "Prompt and output tokens of a workspace in a minute.",
+        "Prompt and output tokens of a workspace per minute.",
     ),
     "open-streams": inheritedKey(count(0, 100_000), 500, "Requests of a workspace that may be open at once."),
     "priority": inheritedKey(
         choice(["live", "normal", "batch"]),
         "normal",
-        "Which work goes first on a crowded engine.",
+        "Which requests an overloaded engine serves first.",
     ),
     "connect-timeout": inheritedKey(duration(1, 60_000), 1_000, "Time until an endpoint has accepted the connection."),
     "first-token-timeout": inheritedKey(duration(1, DAY_MS), 30_000, "Time from dispatch to the first token."),
-    "idle-timeout": inheritedKey(duration(1, DAY_MS), 15_000, "Longest silence within a stream."),
+    "idle-timeout": inheritedKey(duration(1, DAY_MS), 15_000, "Longest time without data within a stream."),
     "caller-stall-timeout": inheritedKey(
         duration(1, DAY_MS),
         60_000,
-        "How long a caller may read nothing before it counts as gone.",
+        "How long a caller may read nothing before it counts as disconnected.",
     ),
     "request-deadline": inheritedKey(duration(1, DAY_MS), 900_000, "Time for a whole request."),
-    "max-wait": inheritedKey(duration(0, DAY_MS), 20_000, "Longest wait for room on an engine."),
+    "max-wait": inheritedKey(duration(0, DAY_MS), 20_000, "Longest wait for capacity on an engine."),
     "queue-limit": inheritedKey(count(0, 100_000), 2_000, "Requests that may wait on a host."),
-    "attempts": inheritedKey(count(1, 10), 3, "How often a repeatable request may be dispatched."),
+    "attempts": inheritedKey(count(1, 10), 3, "How often a repeatable request may be sent to an endpoint."),
     "resumes": inheritedKey(count(0, 20), 3, "How often a stream may be resumed on its generation."),
     "retry-share": inheritedKey(ratio(0, 1), 0.1, "Retries allowed, as a share of requests."),
     "max-body": inheritedKey(count(1_000, 100_000_000), 4_000_000, "Bytes of a caller's body."),
     "max-output-tokens": inheritedKey(count(1, 10_000_000), 65_536, "Largest output a caller may ask for."),
-    "admission-quantile": inheritedKey(ratio(0.5, 0.9999), 0.9, "Chance that admitted work fits the engine's memory."),
+    "admission-quantile": inheritedKey(
+        ratio(0.5, 0.9999),
+        0.9,
+        "Probability that admitted work fits the engine's memory.",
+    ),
     "gap-target": inheritedKey(duration(1, 10_000), 44, "Longest time between tokens that admission plans for."),
-    "weight-tail": inheritedKey(ratio(0, 10), 1, "Weight of the tail of time between tokens."),
+    "weight-tail": inheritedKey(ratio(0, 10), 1, "Weight of the tail latency between tokens."),
     "weight-stall": inheritedKey(ratio(0, 10), 1, "Weight of stall time and preemptions."),
     "weight-prefix": inheritedKey(ratio(0, 10), 0.5, "Weight of prompt prefixes that an engine has cached."),
     "repeatable": inheritedKey(
         flag,
         true,
-        "Whether a request may be sent to an endpoint again before anything has gone out.",
+        "Whether a request may be sent to an endpoint again before any of its answer was sent.",
     ),
     "not-repeatable": inheritedKey(
         list(METHOD_AND_PATH, "METHOD /path"),
         [],
-        "Calls of a plain service that run at most once; * ends a prefix.",
+        "Calls of a plain service that run at most once; * at the end matches a prefix.",
     ),
 } as const;
 
 /** The keys that belong to one kind of node and are not inherited. */
 export const OWN_KEYS = {
     root: {},
-    hall: { region: ownKey(text(NAME, NAME_ALLOWED), "Region that the hall lies in.") },
+    hall: { region: ownKey(text(NAME, NAME_ALLOWED), "Region of the hall.") },
     service: { kind: ownKey(choice(["engine", "plain"]), "Model engines, or a plain HTTP service.") },
     workspace: {},
     model: { service: ownKey(text(NAME, NAME_ALLOWED), "Service whose endpoints run the model.") },
     endpoint: {
-        url: ownKey(text(/^https?:\/\/[^\s]+$/, "an http or https URL"), "Where the endpoint listens."),
+        url: ownKey(text(/^https?:\/\/[^\s]+$/, "an http or https URL"), "URL that the endpoint listens at."),
         service: ownKey(text(NAME, NAME_ALLOWED), "Service that the endpoint belongs to."),
-        hall: ownKey(text(NAME, NAME_ALLOWED), "Hall that the endpoint stands in."),
+        hall: ownKey(text(NAME, NAME_ALLOWED), "Hall that the endpoint is in."),
         models: ownKey(list(NAME, "models"), "Models that it may run."),
         "memory-tokens": ownKey(count(1, MAX_TOKENS), "Tokens that fit the engine's memory."),
-        leaving: ownKey(flag, "True: nothing new is sent there."),
+        leaving: ownKey(flag, "Whether the endpoint is drained: no new requests are sent to it."),
     },
     key: {
-        workspace: ownKey(text(NAME, NAME_ALLOWED), "Workspace that the key opens."),
+        workspace: ownKey(text(NAME, NAME_ALLOWED), "Workspace that the key gives access to."),
         hash: ownKey(SHA256, "SHA-256 of the secret."),
         expires: ownKey(
             text(/^\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ$/, "a UTC time such as 2026-12-31T00:00:00Z"),
-            "When it ends.",
+            "When it expires.",
         ),
     },
     operator: {
@@ -118,7 +122,7 @@
         hash: ownKey(SHA256, "SHA-256 of the token."),
         expires: ownKey(
             text(/^\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ$/, "a UTC time such as 2026-12-31T00:00:00Z"),
-            "When it ends.",
+            "When it expires.",
         ),
     },
 } as const satisfies Record<NodeKind, Record<string, KeyDef<unknown>>>;
@@ -145,7 +149,7 @@
  *
  * @example
  * ```ts
- * keyDef("endpoint", "url")?.doc; // "Where the endpoint listens."
+ * keyDef("endpoint", "url")?.doc; // "URL that the endpoint listens at."
  * ```
  */
 export function keyDef(kind: NodeKind, name: string): KeyDef<unknown> | undefined {
--- a/packages/settings/test/settings.test.ts
+++ b/packages/settings/test/settings.test.ts
@@ -21,11 +21,11 @@
 } from "../src/index.js";
 
 function readAndCheck(text: string): { tree: Tree; errors: readonly string[] } {
-    const found = readFiles([{ name: "a.ini", text }]);
-    return { tree: found.tree, errors: [...found.errors, ...checkTree(found)].map(describeError) };
+    const parsed = readFiles([{ name: "a.ini", text }]);
+    return { tree: parsed.tree, errors: [...parsed.errors, ...checkTree(parsed)].map(describeError) };
 }
 
-test("a node inherits from the nearest node above that says something", t => {
+test("a node inherits from the nearest node above that sets the key", t => {
     const tree: Tree = {
         "root": { attempts: "2" },
         "hall/k1": { attempts: "3" },
@@ -46,7 +46,7 @@
     t.is(settingsAt({}, {}).attempts, 3, "the default");
 });
 
-test("paths have one spelling", t => {
+test("each node has exactly one valid path", t => {
     t.deepEqual(parsePath("workspace/w/service/s/hall/h"), {
         kind: "workspace",
         workspace: "w",
@@ -88,12 +88,12 @@
 ];
 
 for (const [source, expected] of INVALID_FILES) {
-    test(`wrong settings say where and what: ${source.replaceAll("\n", " | ").slice(0, 60)}`, t => {
+    test(`an error of settings tells its position and what is allowed: ${source.replaceAll("\n", " | ").slice(0, 60)}`, t => {
         t.true(readAndCheck(source).errors.some(err => expected.test(err)), readAndCheck(source).errors.join("\n"));
     });
 }
 
-test("a key that two files set is an error that names both", t => {
+test("setting a key in two files is an error that names both positions", t => {
     const found = readFiles([{ name: "a.ini", text: "[root]\nattempts = 2" }, {
         name: "b.ini",
         text: "[root]\nattempts = 3",
@@ -101,14 +101,14 @@
     t.regex(describeError(found.errors[0]!), /b\.ini:2 \[root\] attempts: set twice, first at a\.ini:2/);
 });
 
-/** Any tree that has no wrong values. */
+/** Any tree without invalid values. */
 const anyTree: fc.Arbitrary<Tree> = fc.dictionary(
     fc.constantFrom("root", "hall/k.1", "hall/k2", "workspace/w-1", "workspace/w-1/hall/k2", "service/s"),
     fc.dictionary(fc.constantFrom("attempts", "resumes", "not-repeatable"), fc.integer({ min: 1, max: 9 }).map(String))
         .map(node => "not-repeatable" in node ? { ...node, "not-repeatable": "POST /a;b, PUT /c=d*" } : node),
 );
 
-test("what is written reads as the same tree, and snapshots join to it", t => {
+test("a tree written as INI or as a snapshot reads back as the same tree", t => {
     fc.assert(
         fc.property(anyTree, tree => {
             const read = readFiles([{ name: "a", text: writeTree(tree) }]);
@@ -121,7 +121,7 @@
     );
 });
 
-test("a difference leads from one tree to the other and back, and a trail replays to the last", t => {
+test("a diff turns one tree into another and back, and an audit trail replays to the last tree", t => {
     fc.assert(
         fc.property(fc.array(anyTree, { minLength: 2, maxLength: 6 }), steps => {
             const trail = steps.map((tree, at) => ({
@@ -136,13 +136,13 @@
             t.true(replayed.ok && diff(replayed.tree, steps.at(-1)!).length === 0);
             const back = applyChanges(steps[1]!, reverse(diff(steps[0]!, steps[1]!)));
             t.true(back.ok && diff(back.tree, steps[0]!).length === 0);
-            t.false(replay(trail.slice(1)).ok, "a trail with a gap is no trail");
+            t.false(replay(trail.slice(1)).ok, "a trail with a gap is refused");
         }),
         { seed: 12, numRuns: 300 },
     );
 });
 
-test("an edit applies to a tree that others changed elsewhere, and not where they changed the same key", t => {
+test("an edit applies if other keys have changed since, and conflicts if the same key has", t => {
     const changes = [{ path: "root", key: "attempts", before: "2", after: "3" }];
     t.true(applyChanges({ root: { attempts: "2", resumes: "9" } }, changes).ok);
     const conflict = applyChanges({ root: { attempts: "4" } }, changes);
@@ -152,7 +152,7 @@
     });
 });
 
-test("only a newer and whole version is adopted, wherever it comes from", t => {
+test("only a newer version with intact parts is adopted", t => {
     const at = (version: number, attempts: string): InForce => {
         const result = adopt(undefined, snapshotOf(version, { root: { attempts } }), 0);
         if (result.kind !== "adopted") throw new Error(result.kind);
