--- a/packages/cli/test/cli.test.ts
+++ b/packages/cli/test/cli.test.ts
@@ -39,7 +39,7 @@
 const settingsTextOf = (stage: Stage): string => writeTree(stage.hosts[0]!.daemon.host.feed.directory!.tree);
 
 test("files are checked, planned and applied; a stale plan is refused with the edits since", async t => {
-    const { stage, client, createSettingsFolder: createSettingsFolder } = await startFixture(t);
+    const { stage, client, createSettingsFolder } = await startFixture(t);
     const bad = settings.check(createSettingsFolder("[root]\nattempts = lots"));
     t.is(bad.exit, Exit.Failed);
     t.regex(bad.text, /all\.ini:2 \[root\] attempts/);
--- a/packages/settings/src/adopt.ts
+++ b/packages/settings/src/adopt.ts
@@ -33,7 +33,7 @@
  *
  * @example
  * ```ts
- * adopt(undefined, snapshotOf(1, tree), Date.now()).kind; // "adopted"
+ * adoptSnapshot(undefined, snapshotOf(1, tree), Date.now()).kind; // "adopted"
  * ```
  */
 export function adopt(current: InForce | undefined, offered: Snapshot, now: number): AdoptResult {
--- a/packages/settings/src/check.ts
+++ b/packages/settings/src/check.ts
@@ -20,7 +20,7 @@
  *
  * @example
  * ```ts
- * checkTree(readFiles(files)).map(describeError);
+ * checkTree(parseSettingsFiles(files)).map(describeError);
  * ```
  */
 export function checkTree(read: ReadTree): readonly SettingsError[] {
--- a/packages/settings/src/edit.ts
+++ b/packages/settings/src/edit.ts
@@ -55,7 +55,7 @@
  *
  * @example
  * ```ts
- * diff({ root: {} }, { root: { attempts: "2" } }); // [{ path: "root", key: "attempts", after: "2" }]
+ * diffTrees({ root: {} }, { root: { attempts: "2" } }); // [{ path: "root", key: "attempts", after: "2" }]
  * ```
  */
 export function diff(from: Tree, to: Tree): readonly Change[] {
@@ -125,7 +125,7 @@
  *
  * @example
  * ```ts
- * reverse(entry.changes); // the changes of a new edit that restores the values before
+ * reverseChanges(entry.changes); // the changes of a new edit that restores the values before
  * ```
  */
 export function reverse(changes: readonly Change[]): readonly Change[] {
@@ -137,7 +137,7 @@
  *
  * @example
  * ```ts
- * replay(entries).ok; // false if the trail has a gap, or if an entry conflicts with those before it
+ * replayAuditTrail(entries).ok; // false if the trail has a gap, or if an entry conflicts with those before it
  * ```
  */
 export function replay(trail: readonly AuditEntry[]): ApplyResult {
--- a/packages/settings/src/ini.ts
+++ b/packages/settings/src/ini.ts
@@ -50,7 +50,7 @@
  *
  * @example
  * ```ts
- * readFiles([{ name: "a.ini", text: "[root]\nattempts = 2\n" }]).tree; // { root: { attempts: "2" } }
+ * parseSettingsFiles([{ name: "a.ini", text: "[root]\nattempts = 2\n" }]).tree; // { root: { attempts: "2" } }
  * ```
  */
 export function readFiles(files: readonly SourceFile[]): ReadTree {
@@ -144,7 +144,7 @@
  *
  * @example
  * ```ts
- * writeTree({ root: { attempts: "2" } }); // "[root]\nattempts = 2\n"
+ * formatTree({ root: { attempts: "2" } }); // "[root]\nattempts = 2\n"
  * ```
  */
 export function writeTree(tree: Tree): string {
--- a/packages/settings/src/tree.ts
+++ b/packages/settings/src/tree.ts
@@ -32,7 +32,7 @@
  *
  * @example
  * ```ts
- * explain({ root: { attempts: "2" } }, "attempts", {}).from; // "root"
+ * explainValue({ root: { attempts: "2" } }, "attempts", {}).from; // "root"
  * ```
  */
 export function explain(tree: Tree, key: InheritedKey, scope: Scope): ExplainedValue {
--- a/packages/settings/src/value.ts
+++ b/packages/settings/src/value.ts
@@ -78,7 +78,7 @@
  *
  * @example
  * ```ts
- * ratio(0, 1).read("0.95"); // { ok: true, value: 0.95 }
+ * decimal(0, 1).read("0.95"); // { ok: true, value: 0.95 }
  * ```
  */
 export function ratio(min: number, max: number): ValueType<number> {
