--- a/packages/settings/src/schema.ts
+++ b/packages/settings/src/schema.ts
@@ -31,12 +31,16 @@
 export interface KeyDef<T> {
     readonly type: ValueType<T>;
     /** The value if no node sets the key; absent for keys that are not inherited. */
-    readonly fallback?: T;
+    readonly defaultValue?: T;
     readonly doc: string;
 }
 
-function inheritedKey<T>(type: ValueType<T>, fallback: NoInfer<T>, doc: string): KeyDef<T> & { readonly fallback: T } {
-    return { type, fallback, doc };
+function inheritedKey<T>(
+    type: ValueType<T>,
+    defaultValue: NoInfer<T>,
+    doc: string,
+): KeyDef<T> & { readonly defaultValue: T } {
+    return { type, defaultValue, doc };
 }
 
 function ownKey<T>(type: ValueType<T>, doc: string): KeyDef<T> {
--- a/packages/settings/src/tree.ts
+++ b/packages/settings/src/tree.ts
@@ -41,7 +41,7 @@
         return value === undefined ? [] : [{ path, value }];
     });
     const [nearest, ...overridden] = setValues;
-    if (!nearest) return { key, value: String(INHERITED[key].fallback), from: "default", overridden };
+    if (!nearest) return { key, value: String(INHERITED[key].defaultValue), from: "default", overridden };
     return { key, value: nearest.value, from: nearest.path, overridden };
 }
 
@@ -59,7 +59,7 @@
     const entries = (Object.keys(INHERITED) as InheritedKey[]).map(key => {
         const rawValue = paths.map(path => tree[path]?.[key]).find(value => value !== undefined);
         const read = rawValue === undefined ? undefined : INHERITED[key].type.read(rawValue);
-        return [key, read?.ok ? read.value : INHERITED[key].fallback];
+        return [key, read?.ok ? read.value : INHERITED[key].defaultValue];
     });
     return Object.fromEntries(entries) as Settings;
 }
