--- a/packages/cli/src/explain.ts
+++ b/packages/cli/src/explain.ts
@@ -38,8 +38,8 @@
     const match = LOG_LINE.exec(text);
     const atMs = Date.parse(match?.[1] ?? "");
     if (!match || Number.isNaN(atMs)) return undefined;
-    const pairs = new Map([...match[3]!.matchAll(LOG_FIELD)].map(([, key, value]) => [key!, value!] as const));
-    return { atMs, event: match[2]!, fields: pairs, text };
+    const fields = new Map([...match[3]!.matchAll(LOG_FIELD)].map(([, key, value]) => [key!, value!] as const));
+    return { atMs, event: match[2]!, fields, text };
 }
 
 /**
@@ -55,12 +55,12 @@
     const own = lines.filter(line => line.fields.get("req") === request);
     if (own.length === 0) return [];
     const endpoints = new Set(
-        own.flatMap(({ fields: pairs }) => ["endpoint", "from", "to"].flatMap(key => pairs.get(key) ?? [])),
+        own.flatMap(({ fields }) => ["endpoint", "from", "to"].flatMap(key => fields.get(key) ?? [])),
     );
     const firstMs = Math.min(...own.map(line => line.atMs)) - CONTEXT_BEFORE_MS;
     const lastMs = Math.max(...own.map(line => line.atMs));
-    const context = lines.filter(({ fields: pairs, atMs }) =>
-        !pairs.has("req") && endpoints.has(pairs.get("endpoint") ?? "") && atMs >= firstMs && atMs <= lastMs
+    const context = lines.filter(({ fields, atMs }) =>
+        !fields.has("req") && endpoints.has(fields.get("endpoint") ?? "") && atMs >= firstMs && atMs <= lastMs
     );
     return [...own, ...context].sort((a, b) => a.atMs - b.atMs);
 }
--- a/packages/cli/src/losses.ts
+++ b/packages/cli/src/losses.ts
@@ -26,10 +26,10 @@
 export const DEFAULT_STEP_S = 5;
 
 /** Returns why a call counts as lost, or undefined if it was answered completely and in time. */
-function lossReasonOf({ fields: pairs }: LogLine): string | undefined {
-    const outcome = pairs.get("outcome");
+function lossReasonOf({ fields }: LogLine): string | undefined {
+    const outcome = fields.get("outcome");
     if (outcome !== "whole") return outcome ?? "unknown";
-    const late = pairs.get("late");
+    const late = fields.get("late");
     return late === undefined ? undefined : `late: ${late}`;
 }
 
