--- a/packages/cli/src/endpoints.ts
+++ b/packages/cli/src/endpoints.ts
@@ -1,43 +1,43 @@
 /**
- * The endpoints that a host knows: which take new work, which stand in evacuated halls, which are cold, which name a limit or want rest,
- * which the host can probably not reach, and how slow each is.
+ * Lists the endpoints that a host knows: whether each takes new work, is in an evacuated hall, is cold, limits its
+ * requests, wants a pause, can be reached from the host, and how slow it is.
  *
  * @module
  */
-import { call, type ClientCfg } from "./client.js";
-import { Exit, messageOf, type Outcome, said, tableOf } from "./output.js";
+import { callAnyHost, type ClientCfg } from "./client.js";
+import { type CommandResult, errorMessageOf, Exit, formatTable, resultOf } from "./output.js";
 
-/** An endpoint, as a host tells it. */
+/** An endpoint in a host's answer. */
 interface ListedEndpoint {
     readonly endpoint: string;
     readonly hall: string;
     readonly takesNew: boolean;
     readonly hallEvacuated: boolean;
     readonly coldForMs: number;
-    /** Requests a second that it takes from all hosts together; absent where it names no limit. */
+    /** Requests per second that the endpoint takes from all hosts together; absent if it reports no limit. */
     readonly limitPerS?: number;
-    /** How much longer it wants nothing from this host, in milliseconds. */
+    /** For how much longer the endpoint wants no requests from this host, in milliseconds; 0 if it takes them. */
     readonly restsForMs: number;
-    /** Whether the host can probably not reach it; absent where it is of a version that does not tell. */
+    /** Whether the host probably cannot reach the endpoint; absent in answers of older hosts. */
     readonly inDoubt?: boolean;
     readonly running: number;
-    /** Its time for the same work against the mean of its kind, as a factor. */
+    /** The endpoint's time for the same work, relative to the mean of its kind. */
     readonly slowness: number;
-    /** Relative standard error of that; 0 where all may be alike. */
+    /** The relative standard error of `slowness`; 0 if all endpoints of the kind may be equally fast. */
     readonly slownessError: number;
-    /** Time since streams last showed something of it, in milliseconds; absent where none did. */
+    /** Time since a stream last gave a measure of the endpoint's speed, in milliseconds; absent if none has. */
     readonly slownessAgeMs?: number;
 }
 
-/** How slow an endpoint is, how certainly, and since when that is known. */
-function speedText({ slowness, slownessError, slownessAgeMs }: ListedEndpoint): string {
+/** Describes how slow an endpoint is, with the error and the age of this estimate. */
+function formatSlowness({ slowness, slownessError, slownessAgeMs }: ListedEndpoint): string {
     if (slownessAgeMs === undefined) return "not seen";
     const error = Math.round(100 * slownessError);
     const seen = slownessAgeMs < 1_000 ? "now" : `${Math.round(slownessAgeMs / 1_000)} s ago`;
     return `${slowness} times, within ${error} %, seen ${seen}`;
 }
 
-function rowOf(listed: ListedEndpoint): readonly string[] {
+function tableRowOf(listed: ListedEndpoint): readonly string[] {
     const { endpoint, hall, takesNew, hallEvacuated, coldForMs, limitPerS, restsForMs, inDoubt, running } = listed;
     return [
         endpoint,
@@ -48,19 +48,19 @@
         restsForMs > 0 ? `for ${restsForMs} ms` : "no",
         inDoubt === true ? "in doubt" : "yes",
         String(running),
-        speedText(listed),
+        formatSlowness(listed),
     ];
 }
 
-/** Lists endpoints by what a host knows. */
-export async function listEndpoints(client: ClientCfg): Promise<Outcome> {
-    const result = await call(client, "GET", "/endpoints");
-    if (result.kind !== "answer") return said(Exit.Failed, result.detail);
-    if (result.status !== 200) return said(Exit.Failed, messageOf(result.body));
+/** The command `endpoints`: lists the endpoints that one host knows. */
+export async function listEndpoints(client: ClientCfg): Promise<CommandResult> {
+    const result = await callAnyHost(client, "GET", "/endpoints");
+    if (result.kind !== "answer") return resultOf(Exit.Failed, result.detail);
+    if (result.status !== 200) return resultOf(Exit.Failed, errorMessageOf(result.body));
     const endpoints = result.body["endpoints"] as readonly ListedEndpoint[];
-    const text = tableOf(
+    const text = formatTable(
         ["endpoint", "hall", "new work", "warmth", "limit", "rests", "reached", "running here", "time for its work"],
-        endpoints.map(rowOf),
+        endpoints.map(tableRowOf),
     );
     return { exit: Exit.Done, text, data: endpoints };
 }
--- a/packages/cli/src/explain.ts
+++ b/packages/cli/src/explain.ts
@@ -1,74 +1,78 @@
 /**
- * Tells a request's story from the daemons' log lines: what was decided for it, and what became of the endpoints that it
- * met while it ran.
+ * Collects the daemons' log lines about one request: the decisions made for it, and the events of its endpoints while
+ * it ran.
  *
  * @module
  */
 import { readFileSync } from "node:fs";
-import { Exit, type Outcome, said } from "./output.js";
+import { type CommandResult, Exit, resultOf } from "./output.js";
 
-/** One log line, taken apart. */
+/** A parsed log line. */
 export interface LogLine {
     readonly atMs: number;
     readonly event: string;
-    readonly pairs: ReadonlyMap<string, string>;
-    /** The line as it stands in the log. */
+    readonly fields: ReadonlyMap<string, string>;
+    /** The whole line, unchanged. */
     readonly text: string;
 }
 
-/** Lines of other events are of interest from this long before a request's first line: a call's line comes at its end. */
-const BEFORE_MS = 60_000;
+/**
+ * How long before a request's first line events of its endpoints are included. A call is logged when it ends, not when
+ * it starts.
+ */
+const CONTEXT_BEFORE_MS = 60_000;
 
-const LINE = /time=(\S+) level=\S+ event=(\S+)(.*)$/;
-const PAIR = /([\w.-]+)=("(?:[^"\\]|\\.)*"|\S+)/g;
+const LOG_LINE = /time=(\S+) level=\S+ event=(\S+)(.*)$/;
+const LOG_FIELD = /([\w.-]+)=("(?:[^"\\]|\\.)*"|\S+)/g;
 
 /**
- * Takes a line apart; undefined for what is no log line of a daemon. Text before the time, as a collector may add, is
- * passed over.
+ * Parses a line. Returns undefined if it is not a log line of a daemon. Text before the time, such as a log collector
+ * adds, is ignored.
  *
  * @example
  * ```ts
- * readLine("time=2026-01-01T00:00:00.000Z level=info event=call_ended req=r1")?.event; // "call_ended"
+ * parseLogLine("time=2026-01-01T00:00:00.000Z level=info event=call_ended req=r1")?.event; // "call_ended"
  * ```
  */
-export function readLine(text: string): LogLine | undefined {
-    const match = LINE.exec(text);
+export function parseLogLine(text: string): LogLine | undefined {
+    const match = LOG_LINE.exec(text);
     const atMs = Date.parse(match?.[1] ?? "");
     if (!match || Number.isNaN(atMs)) return undefined;
-    const pairs = new Map([...match[3]!.matchAll(PAIR)].map(([, key, value]) => [key!, value!] as const));
-    return { atMs, event: match[2]!, pairs, text };
+    const fields = new Map([...match[3]!.matchAll(LOG_FIELD)].map(([, key, value]) => [key!, value!] as const));
+    return { atMs, event: match[2]!, fields, text };
 }
 
 /**
- * The lines that tell a request's story, in order of time: its own, and those of the endpoints that they name.
+ * Returns the lines about a request, sorted by time: its own, and the events during the request of the endpoints that
+ * these name.
  *
  * @example
  * ```ts
- * storyOf(lines, "9c41d07be2a35f68").map(line => line.text).join("\n");
+ * linesAboutRequest(lines, "9c41d07be2a35f68").map(line => line.text).join("\n");
  * ```
  */
-export function storyOf(lines: readonly LogLine[], request: string): readonly LogLine[] {
-    const own = lines.filter(line => line.pairs.get("req") === request);
+export function linesAboutRequest(lines: readonly LogLine[], request: string): readonly LogLine[] {
+    const own = lines.filter(line => line.fields.get("req") === request);
     if (own.length === 0) return [];
     const endpoints = new Set(
-        own.flatMap(({ pairs }) => ["endpoint", "from", "to"].flatMap(key => pairs.get(key) ?? [])),
+        own.flatMap(({ fields }) => ["endpoint", "from", "to"].flatMap(key => fields.get(key) ?? [])),
     );
-    const first = Math.min(...own.map(line => line.atMs)) - BEFORE_MS;
-    const last = Math.max(...own.map(line => line.atMs));
-    const around = lines.filter(({ pairs, atMs }) =>
-        !pairs.has("req") && endpoints.has(pairs.get("endpoint") ?? "") && atMs >= first && atMs <= last
+    const firstMs = Math.min(...own.map(line => line.atMs)) - CONTEXT_BEFORE_MS;
+    const lastMs = Math.max(...own.map(line => line.atMs));
+    const context = lines.filter(({ fields, atMs }) =>
+        !fields.has("req") && endpoints.has(fields.get("endpoint") ?? "") && atMs >= firstMs && atMs <= lastMs
     );
-    return [...own, ...around].sort((a, b) => a.atMs - b.atMs);
+    return [...own, ...context].sort((a, b) => a.atMs - b.atMs);
 }
 
-/** The lines of log files, or what the command says that cannot read them. */
-export type ReadLines =
+/** The parsed lines of log files, or the command's result if a file cannot be read. */
+export type LogFilesResult =
     | { readonly ok: true; readonly lines: readonly LogLine[] }
-    | { readonly ok: false; readonly outcome: Outcome };
+    | { readonly ok: false; readonly result: CommandResult };
 
-/** Reads log files. */
-export function readLines(files: readonly string[]): ReadLines {
-    if (files.length === 0) return { ok: false, outcome: said(Exit.Usage, "name the log files to read") };
+/** Reads log files. Lines that are not a daemon's are left out. */
+export function readLogFiles(files: readonly string[]): LogFilesResult {
+    if (files.length === 0) return { ok: false, result: resultOf(Exit.Usage, "no log files given") };
     const lines: LogLine[] = [];
     for (const file of files) {
         let text: string;
@@ -76,21 +80,25 @@
             text = readFileSync(file, "utf8");
         }
         catch (err) {
-            return { ok: false, outcome: said(Exit.Failed, `${file}: ${(err as Error).message}`) };
+            return { ok: false, result: resultOf(Exit.Failed, `${file}: ${(err as Error).message}`) };
         }
         for (const line of text.split("\n")) {
-            const read = readLine(line);
+            const read = parseLogLine(line);
             if (read) lines.push(read);
         }
     }
     return { ok: true, lines };
 }
 
-/** The command: reads log files and prints the story. */
-export function explain(request: string, files: readonly string[]): Outcome {
-    const read = readLines(files);
-    if (!read.ok) return read.outcome;
-    const story = storyOf(read.lines, request);
-    if (story.length === 0) return said(Exit.Failed, `no line of ${read.lines.length} names request ${request}`);
-    return { exit: Exit.Done, text: story.map(line => line.text).join("\n"), data: story.map(line => line.text) };
+/** The command `explain`: prints the lines of log files that are about a request. */
+export function explainRequest(request: string, files: readonly string[]): CommandResult {
+    const read = readLogFiles(files);
+    if (!read.ok) return read.result;
+    const found = linesAboutRequest(read.lines, request);
+    if (found.length === 0) return resultOf(Exit.Failed, `none of ${read.lines.length} lines has request ${request}`);
+    return {
+        exit: Exit.Done,
+        text: found.map(line => line.text).join("\n"),
+        data: found.map(line => line.text),
+    };
 }
--- a/packages/cli/src/losses.ts
+++ b/packages/cli/src/losses.ts
@@ -1,55 +1,58 @@
 /**
- * Tells from the daemons' log lines which calls were not served in time, by route, hall of their last endpoint, moment and reason:
- * where to look first after a bad day.
+ * Counts, from the daemons' log lines, the calls that failed or were late, by route, hall of the last endpoint, time
+ * and reason. It shows where to begin the search for the cause of an incident.
  *
  * @module
  */
-import { type LogLine, readLines } from "./explain.js";
-import { Exit, type Outcome, said, tableOf } from "./output.js";
+import { type LogLine, readLogFiles } from "./explain.js";
+import { type CommandResult, Exit, formatTable, resultOf } from "./output.js";
 
-/** Calls of one route and hall that were not served in time for one reason, at one moment. */
+/** The number of calls of one route and hall that failed or were late for one reason, in one time step. */
 export interface Loss {
     readonly route: string;
-    /** Hall of the last endpoint; `-` where the calls reached none. */
+    /** Hall of the last endpoint; `-` if the calls reached no endpoint. */
     readonly hall: string;
-    /** Start of the moment, in seconds after the first line of the logs. */
+    /** Start of the time step, in seconds after the first line of the logs. */
     readonly fromS: number;
-    /** Code of a failure, or `late: first` or `late: pause`. */
+    /**
+     * The failure's code, or what made a complete answer late: its first piece (`late: first`) or a gap (`late:
+     * pause`).
+     */
     readonly reason: string;
     readonly calls: number;
 }
 
-/** Moments are told in steps of this many seconds, unless another step is asked for. */
-export const MOMENT_S = 5;
+/** The length of a time step, in seconds, if the option `--step` is not given. */
+export const DEFAULT_STEP_S = 5;
 
-/** Why a call counts as lost; undefined where it was served in time. */
-function reasonOf({ pairs }: LogLine): string | undefined {
-    const outcome = pairs.get("outcome");
+/** Returns why a call counts as lost, or undefined if it was answered completely and in time. */
+function lossReasonOf({ fields }: LogLine): string | undefined {
+    const outcome = fields.get("outcome");
     if (outcome !== "whole") return outcome ?? "unknown";
-    const late = pairs.get("late");
+    const late = fields.get("late");
     return late === undefined ? undefined : `late: ${late}`;
 }
 
 /**
- * Counts the calls that ended and were not served in time. A call counts at the moment at which it came.
+ * Counts the calls that failed or were late. A call belongs to the time step in which it arrived.
  *
- * @param stepS Length of a moment, in seconds.
+ * @param stepS Length of a time step, in seconds.
  *
  * @example
  * ```ts
- * lossesOf(lines).filter(loss => loss.reason === "endpoint_lost");
+ * countLosses(lines).filter(loss => loss.reason === "endpoint_lost");
  * ```
  */
-export function lossesOf(lines: readonly LogLine[], stepS = MOMENT_S): readonly Loss[] {
+export function countLosses(lines: readonly LogLine[], stepS = DEFAULT_STEP_S): readonly Loss[] {
     const startMs = lines.reduce((least, line) => Math.min(least, line.atMs), Infinity);
     const counts = new Map<string, Loss>();
     for (const line of lines) {
-        const reason = line.event === "call_ended" ? reasonOf(line) : undefined;
+        const reason = line.event === "call_ended" ? lossReasonOf(line) : undefined;
         if (reason === undefined) continue;
-        const cameMs = Math.max(startMs, line.atMs - Number(line.pairs.get("ms") ?? 0));
-        const fromS = Math.floor((cameMs - startMs) / 1000 / stepS) * stepS;
-        const route = line.pairs.get("route") ?? "";
-        const hall = line.pairs.get("hall") ?? "-";
+        const arrivedMs = Math.max(startMs, line.atMs - Number(line.fields.get("ms") ?? 0));
+        const fromS = Math.floor((arrivedMs - startMs) / 1000 / stepS) * stepS;
+        const route = line.fields.get("route") ?? "";
+        const hall = line.fields.get("hall") ?? "-";
         const key = `${route} ${hall} ${fromS} ${reason}`;
         counts.set(key, { route, hall, fromS, reason, calls: (counts.get(key)?.calls ?? 0) + 1 });
     }
@@ -58,12 +61,12 @@
     );
 }
 
-/** The command: reads log files and prints the table. */
-export function losses(files: readonly string[], stepS = MOMENT_S): Outcome {
-    if (!(stepS > 0)) return said(Exit.Usage, "the length of a moment is a number of seconds above 0");
-    const read = readLines(files);
-    if (!read.ok) return read.outcome;
-    const found = lossesOf(read.lines, stepS);
+/** The command `losses`: prints a table of the losses in log files. */
+export function losses(files: readonly string[], stepS = DEFAULT_STEP_S): CommandResult {
+    if (!(stepS > 0)) return resultOf(Exit.Usage, "--step must be a number of seconds greater than 0");
+    const read = readLogFiles(files);
+    if (!read.ok) return read.result;
+    const found = countLosses(read.lines, stepS);
     const rows = found.map(({ route, hall, fromS, reason, calls }) => [
         route,
         hall,
@@ -71,5 +74,9 @@
         reason,
         String(calls),
     ]);
-    return { exit: Exit.Done, text: tableOf(["route", "hall", "from second", "reason", "calls"], rows), data: found };
+    return {
+        exit: Exit.Done,
+        text: formatTable(["route", "hall", "from second", "reason", "calls"], rows),
+        data: found,
+    };
 }
--- a/packages/settings/src/tree.ts
+++ b/packages/settings/src/tree.ts
@@ -1,76 +1,78 @@
 /**
- * The tree of settings as a value, and what holds at a place in it.
+ * The tree of settings, and the values that apply to a scope.
  *
  * @module
  */
-import { lineage, type NodePath, parsePath, type Place } from "./path.js";
+import { lineage, type NodePath, parsePath, type Scope } from "./path.js";
 import { INHERITED, type InheritedKey, type InheritedValue, keyDef, NodeKind } from "./schema.js";
 
-/** Written values of one node by key. */
+/** The values of one node by key, as written by an operator. */
 export type TreeNode = Readonly<Record<string, string>>;
-/** All nodes by path. Values stay as they were written, so that a difference shows what an operator typed. */
+/** All nodes by path. Values are kept as text, so that a difference between two trees shows what an operator typed. */
 export type Tree = Readonly<Record<NodePath, TreeNode>>;
 
-/** A value in force with the node that it came from. */
-export interface Explained {
+/** The value that applies to a scope, with the node that sets it. */
+export interface ExplainedValue {
     readonly key: string;
     readonly value: string;
-    /** Path of the node, or `default`. */
+    /** Path of the node that sets the value, or `default`. */
     readonly from: NodePath;
-    /** Nodes further up that say something else, the nearest first. */
+    /** The nodes of lower precedence that set the key too, in order of precedence. */
     readonly overridden: readonly { readonly path: NodePath; readonly value: string }[];
 }
 
-/** Every inherited key with its value at one place. */
+/** The value of every inherited key for one scope. */
 export type Settings = { readonly [K in InheritedKey]: InheritedValue<K> };
 
-/** The empty tree. */
+/** A tree without nodes. */
 export const EMPTY: Tree = Object.freeze({});
 
 /**
- * Which value of a key holds at a place, and why.
+ * Returns the value of a key for a scope, the node that sets it, and the values that it overrides.
  *
  * @example
  * ```ts
- * explain({ root: { attempts: "2" } }, "attempts", {}).from; // "root"
+ * explainValue({ root: { attempts: "2" } }, "attempts", {}).from; // "root"
  * ```
  */
-export function explain(tree: Tree, key: InheritedKey, place: Place): Explained {
-    const said = lineage(place).flatMap(path => {
+export function explain(tree: Tree, key: InheritedKey, scope: Scope): ExplainedValue {
+    const setValues = lineage(scope).flatMap(path => {
         const value = tree[path]?.[key];
         return value === undefined ? [] : [{ path, value }];
     });
-    const [first, ...overridden] = said;
-    if (!first) return { key, value: String(INHERITED[key].fallback), from: "default", overridden };
-    return { key, value: first.value, from: first.path, overridden };
+    const [nearest, ...overridden] = setValues;
+    if (!nearest) return { key, value: String(INHERITED[key].defaultValue), from: "default", overridden };
+    return { key, value: nearest.value, from: nearest.path, overridden };
 }
 
 /**
- * All inherited settings at a place. The tree must have been checked: a value that cannot be read falls back.
+ * Returns all inherited settings for a scope. The tree is expected to be checked: an invalid value is replaced by the
+ * default of its key.
  *
  * @example
  * ```ts
  * settingsAt({ root: { attempts: "2" } }, { hall: "k1" }).attempts; // 2
  * ```
  */
-export function settingsAt(tree: Tree, place: Place): Settings {
-    const paths = lineage(place);
+export function settingsAt(tree: Tree, scope: Scope): Settings {
+    const paths = lineage(scope);
     const entries = (Object.keys(INHERITED) as InheritedKey[]).map(key => {
-        const written = paths.map(path => tree[path]?.[key]).find(value => value !== undefined);
-        const read = written === undefined ? undefined : INHERITED[key].type.read(written);
-        return [key, read?.ok ? read.value : INHERITED[key].fallback];
+        const rawValue = paths.map(path => tree[path]?.[key]).find(value => value !== undefined);
+        const read = rawValue === undefined ? undefined : INHERITED[key].type.read(rawValue);
+        return [key, read?.ok ? read.value : INHERITED[key].defaultValue];
     });
     return Object.fromEntries(entries) as Settings;
 }
 
-/** One node of a kind that has a name of its own, with its values read. */
+/** A node with its name and its parsed values. */
 export interface NamedNode {
     readonly name: string;
     readonly values: Readonly<Record<string, unknown>>;
 }
 
 /**
- * All nodes of a kind that is not inherited (models, endpoints, keys, operators), with their own values read.
+ * Returns all nodes of a kind with their parsed values. It is meant for kinds that take no part in inheritance: models,
+ * endpoints, keys, operators. Invalid values are left out.
  *
  * @example
  * ```ts
@@ -80,20 +82,20 @@
 export function namedNodes(tree: Tree, kind: NodeKind): readonly NamedNode[] {
     const found: NamedNode[] = [];
     for (const [path, node] of Object.entries(tree)) {
-        // The prefix tells most nodes apart without taking their paths apart.
+        // Skips most nodes without the cost of parsing their paths.
         if (!path.startsWith(kind)) continue;
         const parsed = parsePath(path);
         if (parsed?.kind !== kind) continue;
         const name = parsed.name ?? parsed.workspace ?? parsed.service ?? parsed.hall ?? NodeKind.Root;
-        found.push({ name, values: readOwn(kind, node) });
+        found.push({ name, values: readValues(kind, node) });
     }
     return found;
 }
 
-function readOwn(kind: NodeKind, node: TreeNode): Readonly<Record<string, unknown>> {
+function readValues(kind: NodeKind, node: TreeNode): Readonly<Record<string, unknown>> {
     const values: Record<string, unknown> = {};
-    for (const [key, written] of Object.entries(node)) {
-        const read = keyDef(kind, key)?.type.read(written);
+    for (const [key, rawValue] of Object.entries(node)) {
+        const read = keyDef(kind, key)?.type.read(rawValue);
         if (read?.ok) values[key] = read.value;
     }
     return values;
--- a/packages/settings/src/value.ts
+++ b/packages/settings/src/value.ts
@@ -1,38 +1,38 @@
 /**
- * Typed values of settings: how each kind of value is written in INI, read, and checked.
+ * The types of setting values: how each is written in INI, parsed and checked.
  *
  * @module
  */
 
-/** What is wrong with one written value: what was found and what is allowed. */
+/** Why a value is invalid: what was found and what is allowed. */
 export interface ValueError {
     readonly kind: "badValue";
     readonly found: string;
     readonly allowed: string;
 }
 
-/** Either a read value or the reason it cannot be read. */
+/** A parsed value, or why it is invalid. */
 export type ValueResult<T> = { readonly ok: true; readonly value: T } | {
     readonly ok: false;
     readonly err: ValueError;
 };
 
-/** One kind of value, with the function that reads it from text. */
+/** A type of value, with the function that parses it. */
 export interface ValueType<T> {
-    /** Said in errors and in the reference of keys. */
+    /** Describes the valid values, for error messages and the reference of keys. */
     readonly allowed: string;
     readonly read: (text: string) => ValueResult<T>;
 }
 
-const UNIT_MS = { ms: 1, s: 1_000, m: 60_000, h: 3_600_000, d: 86_400_000 } as const;
-const COUNT_UNIT = { "": 1, k: 1_000, M: 1_000_000 } as const;
+const MS_PER_UNIT = { ms: 1, s: 1_000, m: 60_000, h: 3_600_000, d: 86_400_000 } as const;
+const COUNT_PER_SUFFIX = { "": 1, k: 1_000, M: 1_000_000 } as const;
 
-function bad(found: string, allowed: string): { readonly ok: false; readonly err: ValueError } {
+function invalid(found: string, allowed: string): { readonly ok: false; readonly err: ValueError } {
     return { ok: false, err: { kind: "badValue", found, allowed } };
 }
 
 /**
- * A duration with its unit, read as milliseconds.
+ * A duration with a unit, parsed as milliseconds.
  *
  * @example
  * ```ts
@@ -45,15 +45,15 @@
         allowed,
         read: text => {
             const match = /^(\d+(?:\.\d+)?)(ms|s|m|h|d)$/.exec(text);
-            if (!match) return bad(text, allowed);
-            const value = Number(match[1]) * UNIT_MS[match[2] as keyof typeof UNIT_MS];
-            return value >= min && value <= max ? { ok: true, value } : bad(text, allowed);
+            if (!match) return invalid(text, allowed);
+            const value = Number(match[1]) * MS_PER_UNIT[match[2] as keyof typeof MS_PER_UNIT];
+            return value >= min && value <= max ? { ok: true, value } : invalid(text, allowed);
         },
     };
 }
 
 /**
- * A whole number, with `k` for thousands and `M` for millions.
+ * A whole number, with an optional suffix: `k` for thousands, `M` for millions.
  *
  * @example
  * ```ts
@@ -66,9 +66,9 @@
         allowed,
         read: text => {
             const match = /^(\d+)(k|M)?$/.exec(text);
-            if (!match) return bad(text, allowed);
-            const value = Number(match[1]) * COUNT_UNIT[(match[2] ?? "") as keyof typeof COUNT_UNIT];
-            return value >= min && value <= max ? { ok: true, value } : bad(text, allowed);
+            if (!match) return invalid(text, allowed);
+            const value = Number(match[1]) * COUNT_PER_SUFFIX[(match[2] ?? "") as keyof typeof COUNT_PER_SUFFIX];
+            return value >= min && value <= max ? { ok: true, value } : invalid(text, allowed);
         },
     };
 }
@@ -78,7 +78,7 @@
  *
  * @example
  * ```ts
- * ratio(0, 1).read("0.95"); // { ok: true, value: 0.95 }
+ * decimal(0, 1).read("0.95"); // { ok: true, value: 0.95 }
  * ```
  */
 export function ratio(min: number, max: number): ValueType<number> {
@@ -87,8 +87,8 @@
         allowed,
         read: text => {
             const value = Number(text);
-            const written = /^\d+(\.\d+)?$/.test(text);
-            return written && value >= min && value <= max ? { ok: true, value } : bad(text, allowed);
+            const isDecimal = /^\d+(\.\d+)?$/.test(text);
+            return isDecimal && value >= min && value <= max ? { ok: true, value } : invalid(text, allowed);
         },
     };
 }
@@ -97,7 +97,7 @@
 export const flag: ValueType<boolean> = {
     allowed: "true or false",
     read: text =>
-        text === "true" || text === "false" ? { ok: true, value: text === "true" } : bad(text, "true or false"),
+        text === "true" || text === "false" ? { ok: true, value: text === "true" } : invalid(text, "true or false"),
 };
 
 /**
@@ -109,11 +109,11 @@
  * ```
  */
 export function text(pattern: RegExp, allowed: string): ValueType<string> {
-    return { allowed, read: found => pattern.test(found) ? { ok: true, value: found } : bad(found, allowed) };
+    return { allowed, read: found => pattern.test(found) ? { ok: true, value: found } : invalid(found, allowed) };
 }
 
 /**
- * One word of a fixed list.
+ * One of the given words.
  *
  * @example
  * ```ts
@@ -122,24 +122,24 @@
  */
 export function choice<const W extends readonly string[]>(words: W): ValueType<W[number]> {
     const allowed = `one of ${words.join(", ")}`;
-    return { allowed, read: found => words.includes(found) ? { ok: true, value: found } : bad(found, allowed) };
+    return { allowed, read: found => words.includes(found) ? { ok: true, value: found } : invalid(found, allowed) };
 }
 
 /**
- * A comma-separated list; empty text is the empty list.
+ * A comma-separated list of items that match a pattern; empty text is the empty list.
  *
  * @example
  * ```ts
  * list(/^[a-z]+$/, "names").read("a, b"); // { ok: true, value: ["a", "b"] }
  * ```
  */
-export function list(pattern: RegExp, what: string): ValueType<readonly string[]> {
-    const allowed = `a comma-separated list of ${what}`;
+export function list(pattern: RegExp, itemsDescription: string): ValueType<readonly string[]> {
+    const allowed = `a comma-separated list of ${itemsDescription}`;
     return {
         allowed,
         read: found => {
-            const words = found.split(",").map(word => word.trim()).filter(word => word.length > 0);
-            return words.every(word => pattern.test(word)) ? { ok: true, value: words } : bad(found, allowed);
+            const items = found.split(",").map(item => item.trim()).filter(item => item.length > 0);
+            return items.every(item => pattern.test(item)) ? { ok: true, value: items } : invalid(found, allowed);
         },
     };
 }
