--- a/packages/standins/src/bench-capacity.ts
+++ b/packages/standins/src/bench-capacity.ts
@@ -36,12 +36,12 @@
 import { adopt, type InForce, snapshotOf, type Tree } from "@drumpaddle/settings";
 import { readFileSync, writeFileSync } from "node:fs";
 import { Agent } from "undici";
-import { MESSAGES_PER_ROUND, perHost, PLAN, renderCapacity, type Slopes } from "./capacity.js";
+import { perHost, PLAN, PROBE_MESSAGES_PER_ROUND, renderCapacity, type Slopes } from "./capacity.js";
 import { EngineServer } from "./engine-server.js";
 import { PROFILES } from "./variants.js";
 
-const HOST = perHost();
-const BEAT_MS = 250;
+const PLAN_HOST = perHost();
+const PROBE_INTERVAL_MS = 250;
 const US_PER_MS = 1_000;
 const BYTES_PER_MB = 1_000_000;
 const PAGE = new URL("../../../docs/CAPACITY.md", import.meta.url);
@@ -53,9 +53,9 @@
 
 /** Mean processor time of a call, in microseconds; the first calls only warm up. */
 function timeUs(times: number, run: (at: number) => void): number {
-    for (let at = 0; at < times / 5; at++) run(at);
+    for (let index = 0; index < times / 5; index++) run(index);
     const before = process.cpuUsage();
-    for (let at = 0; at < times; at++) run(at);
+    for (let index = 0; index < times; index++) run(index);
     const { user, system } = process.cpuUsage(before);
     return (user + system) / times;
 }
@@ -74,7 +74,7 @@
     return { bytes: Math.max(0, after.heapUsed + after.arrayBuffers - before.heapUsed - before.arrayBuffers), value };
 }
 
-function jobOf(id: string, at: number): Job {
+function createJob(id: string, at: number): Job {
     return {
         id,
         group: { workspace: `w${at % PLAN.workspaces}`, service: "s", model: `m${at % PLAN.models}` },
@@ -87,11 +87,11 @@
 }
 
 /** A host of the plan's size with its streams running. */
-function planHost(): { state: SchedulerState; tell: (event: SchedulerEvent, now: number) => void } {
-    const models = Array.from({ length: PLAN.models }, (_, at) => `m${at}`);
+function createPlanHost(): { state: SchedulerState; tell: (event: SchedulerEvent, now: number) => void } {
+    const models = Array.from({ length: PLAN.models }, (_, index) => `m${index}`);
     const endpoints = Array.from(
-        { length: HOST.hallWorkers },
-        (_, at) => ({ id: `engine-${at}`, hall: "h", models, memoryTokens: 800_000 }),
+        { length: PLAN_HOST.hallWorkers },
+        (_, index) => ({ id: `engine-${index}`, hall: "h", models, memoryTokens: 800_000 }),
     );
     const host = {
         state: decide(createScheduler(), { kind: "endpoints", endpoints }, -100_000).state,
@@ -99,16 +99,16 @@
             host.state = decide(host.state, event, now).state;
         },
     };
-    for (let at = 0; at < HOST.streams; at++) {
-        host.tell({ kind: "arrive", job: jobOf(`r${at}`, at), avoid: [], retry: false }, at);
+    for (let index = 0; index < PLAN_HOST.streams; index++) {
+        host.tell({ kind: "arrive", job: createJob(`r${index}`, index), avoid: [], retry: false }, index);
     }
     return host;
 }
 
-function decisionSlopes(): Pick<Slopes, "progressUs" | "requestUs" | "streamBytes"> {
-    const made = heapOf(planHost);
+function measureScheduler(): Pick<Slopes, "progressUs" | "requestUs" | "streamBytes"> {
+    const made = heapOf(createPlanHost);
     const host = made.value;
-    const streams = Math.floor(HOST.streams);
+    const streams = Math.floor(PLAN_HOST.streams);
     const produced = new Map<number, number>();
     const progressUs = timeUs(20_000, at => {
         const stream = at % streams;
@@ -118,17 +118,17 @@
     });
     const requestUs = timeUs(2_000, at => {
         const id = `n${at}`;
-        host.tell({ kind: "arrive", job: jobOf(id, at), avoid: [], retry: false }, 100_000 + at);
+        host.tell({ kind: "arrive", job: createJob(id, at), avoid: [], retry: false }, 100_000 + at);
         host.tell({ kind: "ended", job: id, outcome: "whole", produced: 200 }, 100_000 + at);
     });
     return { progressUs, requestUs, streamBytes: made.bytes / streams };
 }
 
-function exchange(message: FrameMessage): void {
+function encodeAndDecode(message: FrameMessage): void {
     new FrameReader().push(encodeFrame(message));
 }
 
-function planDetector(): Detector {
+function createPlanDetector(): Detector {
     const info = (at: number): MemberNews => ({
         name: `hall-1-${String(at).padStart(2, "0")}`,
         hall: "hall-1",
@@ -140,16 +140,20 @@
         leaving: false,
         forMs: 0,
     });
-    const env = { now: 0, intervalMs: BEAT_MS, random: () => 0.5 };
-    const news = Array.from({ length: HOST.hallHosts - 1 }, (_, at) => info(at + 1));
+    const env = { now: 0, intervalMs: PROBE_INTERVAL_MS, random: () => 0.5 };
+    const news = Array.from({ length: PLAN_HOST.hallHosts - 1 }, (_, index) => info(index + 1));
     return receiveDetectorMessage(createDetector(info(0), []), "10.0.1.1:7080", { kind: "members", news }, env).state;
 }
 
 /** One message of the detector: made, sent, read, taken in. */
-function peerSlopes(): Pick<Slopes, "heartbeatUs" | "heartbeatBytes"> {
-    let state = planDetector();
+function measureDetector(): Pick<Slopes, "heartbeatUs" | "heartbeatBytes"> {
+    let state = createPlanDetector();
     const messageOf = (at: number): FrameMessage => {
-        const step = tickDetector(state, { now: at * BEAT_MS, intervalMs: BEAT_MS, random: () => 0.5 });
+        const step = tickDetector(state, {
+            now: at * PROBE_INTERVAL_MS,
+            intervalMs: PROBE_INTERVAL_MS,
+            random: () => 0.5,
+        });
         // Those probed have answered.
         state = { ...step.state, unanswered: new Map() };
         const [first] = step.send;
@@ -157,16 +161,16 @@
         return message;
     };
     const heartbeatBytes = encodeFrame(messageOf(1)).length;
-    const heartbeatUs = timeUs(3_000, at => exchange(messageOf(at + 2)));
+    const heartbeatUs = timeUs(3_000, at => encodeAndDecode(messageOf(at + 2)));
     return { heartbeatBytes, heartbeatUs };
 }
 
-function shareSlopes(): Pick<
+function measureLoadExchange(): Pick<
     Slopes,
     "tellRoundUs" | "heldEntryBytes" | "messageBytes" | "questionBytes" | "answerBytes"
 > {
-    const host = planHost();
-    const hosts = Array.from({ length: HOST.hallHosts }, (_, at) => `hall-1-${String(at).padStart(2, "0")}`);
+    const host = createPlanHost();
+    const hosts = Array.from({ length: PLAN_HOST.hallHosts }, (_, index) => `hall-1-${String(index).padStart(2, "0")}`);
     const holdings = (): EndpointLoad[] =>
         [...host.state.endpoints.values()].map(view =>
             encodeLoad(view.cfg.id, { streams: view.streams.size, unread: 0, stalled: 0, curve: view.curve })
@@ -194,7 +198,7 @@
     const others = owned.map(endpoint => ({ ...one, endpoint }));
     // A round as a host has it: its own telling, encoded, and what every other host tells it, decoded and taken in.
     const tellRoundUs = timeUs(60, at => {
-        const now = at * ownerReportIntervalMs(HOST.hallHosts);
+        const now = at * ownerReportIntervalMs(PLAN_HOST.hallHosts);
         const round = runLoadRound(share, host.state.endpoints, hosts, now);
         share = round.state;
         for (const { message } of round.send) encodeFrame(message);
@@ -208,7 +212,7 @@
                     leaving: [],
                 }] as const
             ) {
-                exchange(message);
+                encodeAndDecode(message);
                 const heard = receiveLoadMessage(share, from, message, host.state, now);
                 share = heard.state;
                 for (const event of heard.events) host.tell(event, 500_000 + now);
@@ -236,37 +240,37 @@
 }
 
 /** The plan's tree: each workspace with two settings of its own and two keys. */
-function planTree(): Tree {
+function createPlanTree(): Tree {
     const tree: Record<string, Record<string, string>> = { "root": { attempts: "3" }, "service/s": { kind: "engine" } };
-    for (let at = 0; at < PLAN.halls; at++) tree[`hall/hall-${at}`] = { region: `region-${at % 2}` };
-    for (let at = 0; at < PLAN.models; at++) tree[`model/m${at}`] = { service: "s" };
-    for (let at = 0; at < PLAN.workers; at++) {
-        tree[`endpoint/engine-${at}`] = {
-            "url": `http://10.1.${at >> 8}.${at & 255}:8000`,
+    for (let index = 0; index < PLAN.halls; index++) tree[`hall/hall-${index}`] = { region: `region-${index % 2}` };
+    for (let index = 0; index < PLAN.models; index++) tree[`model/m${index}`] = { service: "s" };
+    for (let index = 0; index < PLAN.workers; index++) {
+        tree[`endpoint/engine-${index}`] = {
+            "url": `http://10.1.${index >> 8}.${index & 255}:8000`,
             "service": "s",
-            "hall": `hall-${at % PLAN.halls}`,
+            "hall": `hall-${index % PLAN.halls}`,
             "models": "m0,m1",
             "memory-tokens": "800000",
         };
     }
-    for (let at = 0; at < PLAN.workspaces; at++) {
-        tree[`workspace/w${at}`] = { "tokens-per-minute": String(100_000 + at), "open-streams": "40" };
+    for (let index = 0; index < PLAN.workspaces; index++) {
+        tree[`workspace/w${index}`] = { "tokens-per-minute": String(100_000 + index), "open-streams": "40" };
         for (const number of [1, 2]) {
-            tree[`key/w${at}-${number}`] = { workspace: `w${at}`, hash: `${at}${number}`.padStart(64, "0") };
+            tree[`key/w${index}-${number}`] = { workspace: `w${index}`, hash: `${index}${number}`.padStart(64, "0") };
         }
     }
     return tree;
 }
 
-function settingsSlopes(): Pick<Slopes, "treeBytes" | "editBytes" | "adoptMs" | "settingsMb"> {
-    const tree = planTree();
+function measureSettings(): Pick<Slopes, "treeBytes" | "editBytes" | "adoptMs" | "settingsMb"> {
+    const tree = createPlanTree();
     const first = snapshotOf(1, tree);
     const next = snapshotOf(2, { ...tree, "workspace/w7": { ...tree["workspace/w7"], "open-streams": "41" } });
     const changed = Object.keys(next.parts).filter(name => next.parts[name] !== first.parts[name]);
     const size = (snapshot: typeof first, names: readonly string[]): number =>
         JSON.stringify(snapshot.head).length + names.reduce((sum, name) => sum + snapshot.parts[name]!.length, 0);
     const adopted = heapOf(() => {
-        const result = adopt(undefined, snapshotOf(1, planTree()), 0);
+        const result = adopt(undefined, snapshotOf(1, createPlanTree()), 0);
         if (result.kind !== "adopted") throw new Error(result.kind);
         return { inForce: result.inForce, directory: new Directory(result.inForce, "hall-0") };
     });
@@ -284,17 +288,17 @@
     };
 }
 
-function memorySlopes(): Pick<Slopes, "estimateBytesPerGroup" | "limitBytesPerWorkspace"> {
+function measureMemory(): Pick<Slopes, "estimateBytesPerGroup" | "limitBytesPerWorkspace"> {
     const groups = PLAN.workspaces * PLAN.models;
     const estimates = heapOf(() => {
         let all = createLengthEstimates();
-        for (let at = 0; at < groups; at++) {
+        for (let index = 0; index < groups; index++) {
             all = observeLength(
                 all,
                 {
-                    workspace: `w${at % PLAN.workspaces}`,
+                    workspace: `w${index % PLAN.workspaces}`,
                     service: "s",
-                    model: `m${at % PLAN.models}-${Math.floor(at / PLAN.workspaces)}`,
+                    model: `m${index % PLAN.models}-${Math.floor(index / PLAN.workspaces)}`,
                 },
                 0,
                 300,
@@ -305,11 +309,11 @@
     });
     const limits = heapOf(() => {
         let all = createLimits();
-        for (let at = 0; at < PLAN.workspaces; at++) {
+        for (let index = 0; index < PLAN.workspaces; index++) {
             const taken = reserve(
                 all,
-                `r${at}`,
-                `w${at}`,
+                `r${index}`,
+                `w${index}`,
                 { requestsPerMinute: 100, tokensPerMinute: 100_000, openStreams: 40 },
                 500,
                 0,
@@ -321,36 +325,41 @@
     return { estimateBytesPerGroup: estimates.bytes / groups, limitBytesPerWorkspace: limits.bytes / PLAN.workspaces };
 }
 
-async function loadSlope(): Promise<Pick<Slopes, "loadAskUs">> {
+async function measureLoadRequest(): Promise<Pick<Slopes, "loadAskUs">> {
     const engine = await EngineServer.start({ name: "e", models: ["m"] });
     const agent = new Agent();
     const { signal } = new AbortController();
     const times = 2_000;
     const ask = (): Promise<unknown> => fetchLoad(agent, engine.url, 1_000, signal);
-    for (let at = 0; at < times / 5; at++) await ask();
+    for (let index = 0; index < times / 5; index++) await ask();
     const before = process.cpuUsage();
-    for (let at = 0; at < times; at++) await ask();
+    for (let index = 0; index < times; index++) await ask();
     const { user, system } = process.cpuUsage(before);
     await agent.close();
     await engine.stop();
     return { loadAskUs: (user + system) / times };
 }
 
-function rounded(slopes: Slopes): Slopes {
+function roundSlopes(slopes: Slopes): Slopes {
     const entries = Object.entries(slopes).map(([name, value]) => [name, Number((value as number).toPrecision(3))]);
     return Object.fromEntries(entries) as Slopes;
 }
 
 // Memory first, while little else is on the heap.
-const slopes = rounded({
-    ...memorySlopes(),
-    ...settingsSlopes(),
-    ...decisionSlopes(),
-    ...peerSlopes(),
-    ...shareSlopes(),
-    ...await loadSlope(),
+const slopes = roundSlopes({
+    ...measureMemory(),
+    ...measureSettings(),
+    ...measureScheduler(),
+    ...measureDetector(),
+    ...measureLoadExchange(),
+    ...await measureLoadRequest(),
 });
-const table = renderCapacity(slopes, ownerReportIntervalMs(HOST.hallHosts), BEAT_MS, MESSAGES_PER_ROUND);
+const table = renderCapacity(
+    slopes,
+    ownerReportIntervalMs(PLAN_HOST.hallHosts),
+    PROBE_INTERVAL_MS,
+    PROBE_MESSAGES_PER_ROUND,
+);
 const printed = `\`\`\`json\n${JSON.stringify(slopes, undefined, 2)}\n\`\`\`\n\n${table}\n`;
 process.stdout.write(printed);
 if (process.argv.includes("--write")) {
--- a/packages/standins/src/bench-daemon.ts
+++ b/packages/standins/src/bench-daemon.ts
@@ -5,7 +5,7 @@
  */
 import { createLog, readConfig, startDaemon } from "@drumpaddle/host";
 import { Writable } from "node:stream";
-import { waitUntil } from "./stage.js";
+import { waitUntil } from "./local-cluster.js";
 
 const [kvUrl] = process.argv.slice(2);
 const flags = {
--- a/packages/standins/src/bench-path.ts
+++ b/packages/standins/src/bench-path.ts
@@ -15,7 +15,7 @@
 import { startEngineFarm } from "./engine-farm.js";
 
 /** Streams start spread over this time: 35 a second at 350 streams, above the plan's 21 a host. */
-const START_WITHIN_MS = 10_000;
+const RAMP_UP_MS = 10_000;
 
 interface Options {
     readonly streams: number;
@@ -33,22 +33,22 @@
     readonly heapBytes: number;
 }
 
-interface Side {
+interface PathResult {
     readonly gaps: TimeHistogram;
     readonly firstToken: TimeHistogram;
     tokens: number;
     failures: number;
 }
 
-async function measure(urls: readonly string[], key: string, options: Options): Promise<Side> {
-    const side: Side = { gaps: new TimeHistogram(), firstToken: new TimeHistogram(), tokens: 0, failures: 0 };
+async function runStreams(urls: readonly string[], key: string, options: Options): Promise<PathResult> {
+    const side: PathResult = { gaps: new TimeHistogram(), firstToken: new TimeHistogram(), tokens: 0, failures: 0 };
     const dispatcher = new Agent({ connections: options.streams * 2 });
     const output = Math.round(options.seconds * options.rate / options.streams);
-    const results: CallerResult[] = await Promise.all(Array.from({ length: options.streams }, async (_, at) => {
+    const results: CallerResult[] = await Promise.all(Array.from({ length: options.streams }, async (_, index) => {
         // Streams start apart, as requests do, so that prefill and token times are spread.
-        await new Promise(resolve => setTimeout(resolve, at * START_WITHIN_MS / options.streams));
-        const url = urls[at % urls.length]!;
-        return callOnce({ url, key, model: "summary-8b", tag: `s${at}`, promptTokens: 200, output, dispatcher });
+        await new Promise(resolve => setTimeout(resolve, index * RAMP_UP_MS / options.streams));
+        const url = urls[index % urls.length]!;
+        return callOnce({ url, key, model: "summary-8b", tag: `s${index}`, promptTokens: 200, output, dispatcher });
     }));
     for (const result of results) {
         if (result.outcome !== "whole") side.failures += 1;
@@ -60,7 +60,7 @@
     return side;
 }
 
-function ask(child: ChildProcess): Promise<Usage> {
+function requestUsage(child: ChildProcess): Promise<Usage> {
     return new Promise(resolve => {
         child.once("message", message => resolve(message as Usage));
         child.send("usage");
@@ -80,20 +80,20 @@
     const url = await new Promise<string>(resolve =>
         daemon.once("message", message => resolve((message as { url: string }).url))
     );
-    await measure([url], farm.key, { ...options, seconds: 1 });
-    const direct = await measure(farm.engineUrls, farm.key, options);
-    const before = await ask(daemon);
+    await runStreams([url], farm.key, { ...options, seconds: 1 });
+    const direct = await runStreams(farm.engineUrls, farm.key, options);
+    const before = await requestUsage(daemon);
     const startedAt = performance.now();
-    const through = await measure([url], farm.key, options);
+    const through = await runStreams([url], farm.key, options);
     const wallMs = performance.now() - startedAt;
-    const after = await ask(daemon);
+    const after = await requestUsage(daemon);
     const cpuMs = after.cpuMs - before.cpuMs;
     const rows: [string, string][] = [
         ["streams", String(options.streams)],
         ["answers not whole, direct / through", `${direct.failures} / ${through.failures}`],
         [
             "tokens a second, direct / through",
-            `${perSecond(direct, options)} / ${(through.tokens / wallMs * 1000).toFixed(0)}`,
+            `${formatTokensPerS(direct, options)} / ${(through.tokens / wallMs * 1000).toFixed(0)}`,
         ],
         ...(["firstToken", "gaps"] as const).flatMap(name =>
             ([0.5, 0.99] as const).map((share): [string, string] => {
@@ -118,8 +118,8 @@
     process.exitCode = direct.failures + through.failures === 0 ? 0 : 1;
 }
 
-function perSecond(side: Side, options: Options): string {
-    return (side.tokens / (options.seconds + START_WITHIN_MS / 1000)).toFixed(0);
+function formatTokensPerS(side: PathResult, options: Options): string {
+    return (side.tokens / (options.seconds + RAMP_UP_MS / 1000)).toFixed(0);
 }
 
 sade("bench:path", true)
--- a/packages/standins/src/bench-policy.ts
+++ b/packages/standins/src/bench-policy.ts
@@ -7,7 +7,7 @@
 import Table from "cli-table3";
 import { writeFileSync } from "node:fs";
 import sade from "sade";
-import { type Measured, runExperiment } from "./experiment.js";
+import { type ExperimentResult, runExperiment } from "./experiment.js";
 import { DEPLOYMENTS, generateTraffic } from "./traffic.js";
 import { PROFILES, type VariantName, VARIANTS } from "./variants.js";
 
@@ -35,20 +35,24 @@
 }
 
 /** What the table shows of a run; the lower is better but for `good`. */
-const COLUMNS: readonly { readonly head: string; readonly of: (m: Measured) => number; readonly digits: number }[] = [
-    { head: "preempt", of: m => m.preemptions, digits: 0 },
-    { head: "stall s", of: m => m.stallS, digits: 1 },
-    { head: "p50 ms", of: m => m.gaps.quantile(0.5), digits: 1 },
-    { head: "p99", of: m => m.gaps.quantile(0.99), digits: 1 },
-    { head: "p99.9", of: m => m.gaps.quantile(0.999), digits: 1 },
-    { head: "stream p99.9 p95", of: m => m.streamTails.quantile(0.95), digits: 1 },
-    { head: "first p95 s", of: m => m.firstToken.quantile(0.95) / 1000, digits: 2 },
-    { head: "live p95 s", of: m => m.liveFirstToken.quantile(0.95) / 1000, digits: 2 },
-    { head: "within 90 %", of: m => 100 * m.within90, digits: 1 },
-    { head: "good %", of: m => 100 * m.good / m.arrivals, digits: 2 },
-    { head: "refused %", of: m => 100 * m.refused / m.arrivals, digits: 2 },
-    { head: "peer B/s", of: m => m.peerBytesPerS, digits: 0 },
-    { head: "broken", of: m => m.broken, digits: 0 },
+const COLUMNS: readonly {
+    readonly head: string;
+    readonly valueOf: (m: ExperimentResult) => number;
+    readonly digits: number;
+}[] = [
+    { head: "preempt", valueOf: m => m.preemptions, digits: 0 },
+    { head: "stall s", valueOf: m => m.stallS, digits: 1 },
+    { head: "p50 ms", valueOf: m => m.gaps.quantile(0.5), digits: 1 },
+    { head: "p99", valueOf: m => m.gaps.quantile(0.99), digits: 1 },
+    { head: "p99.9", valueOf: m => m.gaps.quantile(0.999), digits: 1 },
+    { head: "stream p99.9 p95", valueOf: m => m.streamTails.quantile(0.95), digits: 1 },
+    { head: "first p95 s", valueOf: m => m.firstToken.quantile(0.95) / 1000, digits: 2 },
+    { head: "live p95 s", valueOf: m => m.liveFirstToken.quantile(0.95) / 1000, digits: 2 },
+    { head: "within 90 %", valueOf: m => 100 * m.within90, digits: 1 },
+    { head: "good %", valueOf: m => 100 * m.good / m.arrivals, digits: 2 },
+    { head: "refused %", valueOf: m => 100 * m.refused / m.arrivals, digits: 2 },
+    { head: "peer B/s", valueOf: m => m.peerBytesPerS, digits: 0 },
+    { head: "broken", valueOf: m => m.broken, digits: 0 },
 ];
 
 function median(values: readonly number[]): number {
@@ -69,7 +73,7 @@
     return { ...base, quantile: quantile ?? base.quantile, gapTargetMs: gap ?? base.gapTargetMs };
 }
 
-function runVariant(name: VariantName, options: Options, seeds: readonly number[]): readonly Measured[] {
+function runVariant(name: VariantName, options: Options, seeds: readonly number[]): readonly ExperimentResult[] {
     return seeds.map(seed => {
         const durationMs = options.seconds * 1000;
         return runExperiment({
@@ -79,18 +83,18 @@
             engines: options.engines,
             hosts: options.hosts,
             seed,
-            lagMs: LAG_MS,
-            reportLoss: REPORT_LOSS,
-            ...(options.tell === undefined ? {} : { tellMs: options.tell }),
+            loadReportLagMs: LAG_MS,
+            loadReportLoss: REPORT_LOSS,
+            ...(options.tell === undefined ? {} : { reportIntervalMs: options.tell }),
             messageLoss: options.loss ?? 0,
-            loseThirdAt: options.lose ? durationMs / 2 : undefined,
+            engineLossAt: options.lose ? durationMs / 2 : undefined,
         });
     });
 }
 
 function run(options: Options): void {
     const first = options.tuning ? 1 : FIRST_REPORTED_SEED;
-    const seeds = Array.from({ length: options.seeds }, (_, at) => first + at);
+    const seeds = Array.from({ length: options.seeds }, (_, index) => first + index);
     const names = (options.policy === "all" ? Object.keys(VARIANTS) : options.policy.split(",")) as VariantName[];
     const unknown = names.filter(name => !Object.hasOwn(VARIANTS, name));
     if (unknown.length > 0 || !Object.hasOwn(DEPLOYMENTS, options.profile)) {
@@ -115,8 +119,8 @@
     const raw: Record<string, number[][]> = {};
     for (const name of names) {
         const measured = runVariant(name, options, seeds);
-        table.push([name, ...COLUMNS.map(({ of, digits }) => cell(measured.map(of), digits))]);
-        raw[name] = measured.map(m => COLUMNS.map(({ of }) => of(m)));
+        table.push([name, ...COLUMNS.map(({ valueOf: of, digits }) => cell(measured.map(of), digits))]);
+        raw[name] = measured.map(m => COLUMNS.map(({ valueOf: of }) => of(m)));
     }
     process.stdout.write(`${table.toString()}\n`);
     if (options.json !== undefined) {
--- a/packages/standins/src/bench-quarantine.ts
+++ b/packages/standins/src/bench-quarantine.ts
@@ -5,7 +5,7 @@
  */
 import Table from "cli-table3";
 import sade from "sade";
-import { playQuarantineDay, type QuarantineDay, type QuarantineResult } from "./quarantine-model.js";
+import { type QuarantineDayCfg, type QuarantineResult, simulateQuarantineDay } from "./quarantine-model.js";
 
 interface Options {
     readonly days: number;
@@ -14,14 +14,14 @@
 
 /** Endpoints to a host, as the users' fleets have them at the least. */
 const ENDPOINTS_PER_HOST = 0.7;
-const LEAST_ENDPOINTS = 8;
-/** Kinds of days: guilty requests, endpoints that end by themselves, racks that do. */
-const KINDS = [
-    { name: "three guilty", guilty: 3, crashes: 2, rackFailures: 0 },
-    { name: "three guilty, racks", guilty: 3, crashes: 2, rackFailures: 3 },
-    { name: "none guilty, racks", guilty: 0, crashes: 6, rackFailures: 6 },
+const MIN_ENDPOINTS = 8;
+/** Kinds of days: fatalRuns requests, endpoints that end by themselves, racks that do. */
+const DAY_KINDS = [
+    { name: "three guilty", fatalRequests: 3, crashes: 2, rackFailures: 0 },
+    { name: "three guilty, racks", fatalRequests: 3, crashes: 2, rackFailures: 3 },
+    { name: "none guilty, racks", fatalRequests: 0, crashes: 6, rackFailures: 6 },
 ] as const;
-const SECONDS = 60;
+const DAY_SECONDS = 60;
 
 function sum(results: readonly QuarantineResult[], of: (result: QuarantineResult) => number): number {
     return results.reduce((all, result) => all + of(result), 0);
@@ -32,26 +32,35 @@
     return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))]?.toFixed(0) ?? "-";
 }
 
-function row(hosts: number, kind: typeof KINDS[number], isGuarded: boolean, days: number): readonly string[] {
+function row(hosts: number, kind: typeof DAY_KINDS[number], isGuarded: boolean, days: number): readonly string[] {
     const { name, ...more } = kind;
-    const endpoints = Math.max(LEAST_ENDPOINTS, Math.round(hosts * ENDPOINTS_PER_HOST));
-    const results = Array.from({ length: days }, (_, at): QuarantineResult => {
-        const day: QuarantineDay = { seed: at + 1, hosts, endpoints, seconds: SECONDS, isGuarded, ...more };
-        return playQuarantineDay(day);
+    const endpoints = Math.max(MIN_ENDPOINTS, Math.round(hosts * ENDPOINTS_PER_HOST));
+    const results = Array.from({ length: days }, (_, index): QuarantineResult => {
+        const day: QuarantineDayCfg = {
+            seed: index + 1,
+            hosts,
+            endpoints,
+            seconds: DAY_SECONDS,
+            isQuarantineOn: isGuarded,
+            ...more,
+        };
+        return simulateQuarantineDay(day);
     });
-    const guilty = kind.guilty * days;
-    const innocent = sum(results, result => result.innocent);
+    const fatalRuns = kind.fatalRequests * days;
+    const innocent = sum(results, result => result.harmlessRequests);
     const share = (count: number): string => (10_000 * count / innocent).toFixed(2);
-    const news = results.flatMap(({ newsMs }) => newsMs);
+    const news = results.flatMap(({ propagationMs: newsMs }) => newsMs);
     return [
         String(hosts),
         name,
         isGuarded ? "with" : "without",
-        guilty === 0 ? "-" : (sum(results, ({ ended }) => ended) / guilty).toFixed(1),
-        guilty === 0 ? "-" : (sum(results, ({ begunAfterThird }) => begunAfterThird) / guilty).toFixed(2),
-        share(sum(results, ({ lost }) => lost)),
-        share(sum(results, ({ quarantined }) => quarantined)),
-        share(sum(results, ({ askedBack }) => askedBack)),
+        fatalRuns === 0 ? "-" : (sum(results, ({ crashesByFatal: ended }) => ended) / fatalRuns).toFixed(1),
+        fatalRuns === 0
+            ? "-"
+            : (sum(results, ({ runsAfterThreshold: begunAfterThird }) => begunAfterThird) / fatalRuns).toFixed(2),
+        share(sum(results, ({ lostStreams: lost }) => lost)),
+        share(sum(results, ({ harmlessQuarantined: quarantined }) => quarantined)),
+        share(sum(results, ({ harmlessDeferred: askedBack }) => askedBack)),
         isGuarded ? quantile(news, 0.5) : "-",
         isGuarded ? quantile(news, 1) : "-",
         isGuarded ? String(news.filter(Number.isNaN).length) : "-",
@@ -76,7 +85,7 @@
         style: { head: [], border: [], compact: true },
     });
     for (const count of hosts.split(",").map(Number)) {
-        for (const kind of KINDS) {
+        for (const kind of DAY_KINDS) {
             for (const isGuarded of [false, true]) table.push([...row(count, kind, isGuarded, days)]);
         }
     }
--- a/packages/standins/src/bench-spread.ts
+++ b/packages/standins/src/bench-spread.ts
@@ -9,7 +9,7 @@
 import { randomUUID } from "node:crypto";
 import sade from "sade";
 import { request } from "undici";
-import { type Stage, startStage, waitUntil } from "./stage.js";
+import { type Stage, startStage, waitUntil } from "./local-cluster.js";
 
 const HALLS = ["k1", "k2", "k3"];
 
@@ -19,7 +19,7 @@
     readonly idle: number;
 }
 
-interface Point {
+interface SpreadResult {
     readonly hosts: number;
     readonly readyMs: number;
     readonly delays: TimeHistogram;
@@ -30,8 +30,8 @@
     readonly memoryMb: number;
 }
 
-async function editOnce(stage: Stage, at: number, value: number): Promise<number> {
-    const { daemon } = stage.hosts[at % stage.hosts.length]!;
+async function submitEdit(cluster: Stage, at: number, value: number): Promise<number> {
+    const { daemon } = cluster.hosts[at % cluster.hosts.length]!;
     const before = daemon.host.feed.directory?.tree["root"]?.["queue-limit"];
     const change = {
         path: "root",
@@ -41,7 +41,7 @@
     };
     const res = await request(`${daemon.operatorsUrl}/settings/edits`, {
         method: "POST",
-        headers: { "authorization": `Bearer ${stage.operatorToken}`, "content-type": "application/json" },
+        headers: { "authorization": `Bearer ${cluster.operatorToken}`, "content-type": "application/json" },
         body: JSON.stringify({ editId: randomUUID(), why: "bench", changes: [change] }),
     });
     const answer = await res.body.json() as { kind: string; version: number };
@@ -50,60 +50,60 @@
 }
 
 /** Delays of one edit at each host, from the moment that its operator was told that it is accepted. */
-async function measureEdit(stage: Stage, at: number, delays: TimeHistogram): Promise<void> {
-    const seen = new Map<string, number>();
+async function measureEdit(cluster: Stage, at: number, delays: TimeHistogram): Promise<void> {
+    const inForceAt = new Map<string, number>();
     let listening = true;
-    for (const host of stage.hosts) {
+    for (const host of cluster.hosts) {
         host.daemon.host.feed.onChange(directory => {
-            if (listening) seen.set(`${host.name}/${directory.version}`, performance.now());
+            if (listening) inForceAt.set(`${host.name}/${directory.version}`, performance.now());
         });
     }
-    const version = await editOnce(stage, at, 100 + at);
+    const version = await submitEdit(cluster, at, 100 + at);
     const acceptedAt = performance.now();
-    await waitUntil(() => stage.hosts.every(host => (host.daemon.host.feed.directory?.version ?? 0) >= version));
+    await waitUntil(() => cluster.hosts.every(host => (host.daemon.host.feed.directory?.version ?? 0) >= version));
     listening = false;
-    for (const host of stage.hosts) {
-        delays.record(Math.max(0, (seen.get(`${host.name}/${version}`) ?? acceptedAt) - acceptedAt));
+    for (const host of cluster.hosts) {
+        delays.record(Math.max(0, (inForceAt.get(`${host.name}/${version}`) ?? acceptedAt) - acceptedAt));
     }
 }
 
-function peerBytes(stage: Stage): Promise<number> {
-    return Promise.all(stage.hosts.map(async host => {
+function totalPeerBytes(cluster: Stage): Promise<number> {
+    return Promise.all(cluster.hosts.map(async host => {
         const text = await host.daemon.host.metrics.text();
         return Number(/drumpaddle_peer_bytes_total\{direction="out"\} (\d+)/.exec(text)?.[1] ?? 0);
     })).then(counts => counts.reduce((sum, count) => sum + count, 0));
 }
 
-async function measure(hostsPerHall: number, options: Options): Promise<Point> {
+async function measure(hostsPerHall: number, options: Options): Promise<SpreadResult> {
     const startedAt = performance.now();
-    const stage = await startStage({ halls: HALLS, hostsPerHall, enginesPerHall: 3, log: () => undefined });
-    const readyMs = (performance.now() - startedAt) / stage.hosts.length;
-    await waitUntil(() => stage.hosts.every(host => host.daemon.host.peers?.live.length === hostsPerHall));
+    const cluster = await startStage({ halls: HALLS, hostsPerHall, enginesPerHall: 3, log: () => undefined });
+    const readyMs = (performance.now() - startedAt) / cluster.hosts.length;
+    await waitUntil(() => cluster.hosts.every(host => host.daemon.host.peers?.live.length === hostsPerHall));
     const delays = new TimeHistogram();
-    const before = stage.kv.calls.reads;
-    for (let at = 0; at < options.edits; at++) await measureEdit(stage, at, delays);
-    const readsPerEdit = (stage.kv.calls.reads - before) / options.edits;
+    const before = cluster.kv.calls.reads;
+    for (let index = 0; index < options.edits; index++) await measureEdit(cluster, index, delays);
+    const readsPerEdit = (cluster.kv.calls.reads - before) / options.edits;
     const idle = {
-        reads: stage.kv.calls.reads,
+        reads: cluster.kv.calls.reads,
         cpu: process.cpuUsage(),
-        bytes: await peerBytes(stage),
+        bytes: await totalPeerBytes(cluster),
         at: performance.now(),
     };
     await new Promise(resolve => setTimeout(resolve, options.idle * 1000));
     const cpu = process.cpuUsage(idle.cpu);
     const seconds = (performance.now() - idle.at) / 1000;
-    const hosts = stage.hosts.length;
+    const hosts = cluster.hosts.length;
     const point = {
         hosts,
         readyMs,
         delays,
         readsPerEdit,
-        idleReadsPerMinute: (stage.kv.calls.reads - idle.reads) / seconds * 60,
+        idleReadsPerMinute: (cluster.kv.calls.reads - idle.reads) / seconds * 60,
         idleCores: (cpu.user + cpu.system) / 1e6 / seconds / hosts,
-        peerBytesPerS: (await peerBytes(stage) - idle.bytes) / seconds / hosts,
+        peerBytesPerS: (await totalPeerBytes(cluster) - idle.bytes) / seconds / hosts,
         memoryMb: process.memoryUsage.rss() / 1e6 / hosts,
     };
-    await stage.stop();
+    await cluster.stop();
     return point;
 }
 
--- a/packages/standins/src/caller.ts
+++ b/packages/standins/src/caller.ts
@@ -1,12 +1,13 @@
 /**
- * A caller as a stand-in: sends one generation, checks that the answer is whole and of one generation, and measures it.
+ * A stand-in caller: requests one generation, checks that the answer is complete and comes from a single generation, and
+ * measures its timing.
  *
  * @module
  */
 import { createParser } from "eventsource-parser";
 import { type Dispatcher, request } from "undici";
 
-/** What a caller asks for. `tag` and `output` let it check the stand-in engine's text. */
+/** A request to send. The caller checks the answer of a stand-in engine by `tag` and by `output`, its length in tokens. */
 export interface CallerRequest {
     readonly url: string;
     readonly key: string;
@@ -19,9 +20,12 @@
     readonly signal?: AbortSignal;
 }
 
-/** How a call went. */
+/** Outcome and timing of a call. */
 export interface CallerResult {
-    /** `whole`: every token once, in order, of one generation and one request. */
+    /**
+     * `whole`: every token arrived once, in order, from one generation of this request. `refused`: the error says that the
+     * request did not run. `wrong`: the answer has status 200 and no error, but is not whole.
+     */
     readonly outcome: "whole" | "refused" | "failed" | "wrong";
     readonly status: number;
     readonly code?: string | undefined;
@@ -32,7 +36,7 @@
     readonly detail?: string | undefined;
 }
 
-interface Event {
+interface StreamEvent {
     readonly choices?: readonly {
         readonly delta?: { readonly content?: string };
         readonly finish_reason?: string | null;
@@ -41,7 +45,7 @@
 }
 
 /**
- * Calls once, streamed.
+ * Sends one streamed request and reads its answer to the end.
  *
  * @example
  * ```ts
@@ -69,7 +73,7 @@
             ...(req.dispatcher ? { dispatcher: req.dispatcher } : {}),
             ...(req.signal ? { signal: req.signal } : {}),
         });
-        if (res.statusCode !== 200) return refused(res.statusCode, await res.body.text());
+        if (res.statusCode !== 200) return readError(res.statusCode, await res.body.text());
         return await readStream(req, res.body, startedAt);
     }
     catch (err) {
@@ -77,8 +81,8 @@
     }
 }
 
-function refused(status: number, text: string): CallerResult {
-    const error = (JSON.parse(text) as Event).error;
+function readError(status: number, text: string): CallerResult {
+    const error = (JSON.parse(text) as StreamEvent).error;
     const outcome = error?.ran === "no" ? "refused" : "failed";
     return { outcome, status, code: error?.code, ran: error?.ran, tokens: 0, gapsMs: [], detail: error?.message };
 }
@@ -87,18 +91,18 @@
     const gapsMs: number[] = [];
     const generations = new Set<string>();
     let tokens = 0;
-    let wrong: string | undefined;
+    let mismatch: string | undefined;
     let lastAt = 0;
     let firstTokenMs: number | undefined;
     let finished = false;
-    let error: Event["error"];
+    let error: StreamEvent["error"];
     const parser = createParser({
         onEvent: ({ data }) => {
             if (data === "[DONE]") {
                 finished = true;
                 return;
             }
-            const event = JSON.parse(data) as Event;
+            const event = JSON.parse(data) as StreamEvent;
             if (event.error) error = event.error;
             const content = event.choices?.[0]?.delta?.content;
             if (content === undefined) return;
@@ -109,19 +113,23 @@
             const [tag, generation, index] = content.trim().split(".");
             generations.add(generation ?? "");
             if (tag !== req.tag || Number(index) !== tokens) {
-                wrong ??= `${content.trim()} came where token ${tokens} of ${req.tag} was due`;
+                mismatch ??= `received ${content.trim()} instead of token ${tokens} of ${req.tag}`;
             }
             tokens += 1;
         },
     });
     const decoder = new TextDecoder();
     for await (const chunk of body) parser.feed(decoder.decode(chunk as Buffer, { stream: true }));
-    if (generations.size > 1) wrong ??= `tokens of ${generations.size} generations`;
+    if (generations.size > 1) mismatch ??= `tokens of ${generations.size} generations`;
     const measured = { status: 200, tokens, firstTokenMs, gapsMs };
-    if (wrong !== undefined) return { outcome: "wrong", ...measured, detail: wrong };
+    if (mismatch !== undefined) return { outcome: "wrong", ...measured, detail: mismatch };
     if (error) return { outcome: "failed", ...measured, code: error.code, ran: error.ran, detail: error.message };
     if (!finished || tokens !== req.output) {
-        return { outcome: "wrong", ...measured, detail: `${tokens} of ${req.output} tokens, closed: ${finished}` };
+        return {
+            outcome: "wrong",
+            ...measured,
+            detail: `received ${tokens} of ${req.output} tokens, [DONE]: ${finished}`,
+        };
     }
     return { outcome: "whole", ...measured };
 }
--- a/packages/standins/src/capacity.ts
+++ b/packages/standins/src/capacity.ts
@@ -1,12 +1,12 @@
 /**
- * The plan's size worked out from measured slopes: state, messages, bytes, processor time and memory of each role.
- * Pure formulas, so that a test can check that the page shows what they give.
+ * Computes the cost of the control plane at the planned size from measured unit costs ("slopes"): state, messages, bytes,
+ * processor time and memory of each role. The formulas are pure, so that a test can check the documented tables against them.
  *
  * @module
  */
 import { PROGRESS_EVERY } from "@drumpaddle/policy";
 
-/** The size to design for (letter 1). */
+/** The deployment's planned size and its budgets. */
 export const PLAN = {
     hosts: 350,
     workers: 940,
@@ -17,41 +17,48 @@
     halls: 6,
     editsPerDay: 520,
     hostsReplacedPerDay: 85,
-    /** Budgets of control for each daemon. */
+    /** Budget of each daemon's control plane. */
     budget: { cores: 0.028, memoryMb: 128, bytesPerS: 10_000 },
+    /** Capacity of the key-value service. */
     kv: { writesPerS: 100, readsPerS: 2_000 },
 } as const;
 
-/** Share of requests that come to a crowded endpoint of another owner and ask first: the worst case is all. */
+/** Share of requests for which a host asks an endpoint's owner first, because the endpoint is crowded. The worst case is 1. */
 const ASKING_SHARE = 0.5;
-/** An endpoint's answer about load with its head, and what the daemon allows for the host list. */
+/** Size of an endpoint's answer to a load request, with its head. */
 const LOAD_ANSWER_BYTES = 300;
-const LIST_BYTES_PER_S = 700;
+/** Rate to which the daemon limits its reads of the host list. */
+const HOST_LIST_BYTES_PER_S = 700;
 const SECONDS_PER_DAY = 86_400;
-/** A host's watch is renewed, and its head read, this often. */
-const WATCHER_READ_EVERY_S = 5;
+/** Interval at which a watching host renews its watch and reads the settings' head. */
+const WATCHER_READ_INTERVAL_S = 5;
 const WATCHERS_PER_HALL = 2;
 
-/** What was measured, each by `npm run bench:capacity` unless said otherwise. */
+/** Unit costs, as `npm run bench:capacity` measures them. */
 export interface Slopes {
-    /** Processor time of one event of the decisions at a plan-size host, in microseconds. */
+    /** Processor time of one progress event in the scheduler of a host of the planned size, in microseconds. */
     readonly progressUs: number;
+    /** Processor time of one request's start and end in the same scheduler, in microseconds. */
     readonly requestUs: number;
-    /** Processor time of one round of telling at a plan-size host, in microseconds. */
+    /** Processor time of one round of the load exchange at a host of the planned size, in microseconds. */
     readonly tellRoundUs: number;
+    /** Processor time of encoding and decoding one probe of the failure detector, in microseconds. */
     readonly heartbeatUs: number;
     readonly heartbeatBytes: number;
     /** Bytes of one endpoint's entry in `held` and `others`. */
     readonly heldEntryBytes: number;
+    /** Bytes of a load message without entries. */
     readonly messageBytes: number;
-    /** Processor time of one question about load over HTTP, asker's and stand-in's side together. */
+    /** Processor time of one load request over HTTP, client and stand-in engine together, in microseconds. */
     readonly loadAskUs: number;
+    /** Bytes of a host's question to an owner, and of the answer. */
     readonly questionBytes: number;
     readonly answerBytes: number;
-    /** The whole tree at 3,200 workspaces. */
+    /** Size of the whole settings tree at 3,200 workspaces. */
     readonly treeBytes: number;
-    /** Bytes that an edit of one workspace makes a host read or hear. */
+    /** Bytes that a host receives for an edit of one workspace. */
     readonly editBytes: number;
+    /** Processor time of adopting an edit. */
     readonly adoptMs: number;
     readonly settingsMb: number;
     readonly estimateBytesPerGroup: number;
@@ -59,7 +66,7 @@
     readonly streamBytes: number;
 }
 
-/** Numbers of one host at the plan's size. */
+/** A host's share of the planned size. */
 export function perHost(): {
     hallHosts: number;
     hallWorkers: number;
@@ -76,13 +83,13 @@
         owned: hallWorkers / hallHosts,
         requestsPerS: PLAN.requestsPerS / PLAN.hosts,
         tokensPerS: PLAN.tokensPerS / PLAN.hosts,
-        // Tokens a second at the bound of 44 ms between tokens.
+        // A stream at the required bound of 44 ms between tokens takes 1 / 0.044 tokens a second.
         streams: PLAN.tokensPerS / PLAN.hosts * 0.044,
     };
 }
 
-/** One role's use at a host of the plan's size. */
-export interface RoleUse {
+/** Cost of one role at a host of the planned size. */
+export interface RoleCost {
     readonly role: string;
     readonly mechanism: string;
     readonly state: string;
@@ -95,19 +102,27 @@
 const US_PER_S = 1_000_000;
 const BYTES_PER_MB = 1_000_000;
 
-/** What a host sends in each of its rounds of probes: 10.2 messages a second, at 50 to 800 hosts (detector-cost.test). */
-export const MESSAGES_PER_ROUND = 2.55;
+/** Messages that a host sends in each probe round: 10.2 messages a second, at 50 to 800 hosts (detector-cost.test). */
+export const PROBE_MESSAGES_PER_ROUND = 2.55;
 
-/** Control's use by role. `tellMs` and `beatMs` are what the hall's rules give for the plan's hall. */
-export function roles(slopes: Slopes, tellMs: number, beatMs: number, fanout: number): readonly RoleUse[] {
+/**
+ * Computes the cost of each role. `reportIntervalMs` and `probeIntervalMs` are the intervals that a hall of the planned size
+ * uses; `messagesPerRound` is the number of messages in a probe round.
+ */
+export function roleCosts(
+    slopes: Slopes,
+    reportIntervalMs: number,
+    probeIntervalMs: number,
+    messagesPerRound: number,
+): readonly RoleCost[] {
     const host = perHost();
-    const beats = 1000 / beatMs;
-    const rounds = 1000 / tellMs;
-    const asks = host.requestsPerS * ASKING_SHARE;
+    const probeRoundsPerS = 1000 / probeIntervalMs;
+    const reportRoundsPerS = 1000 / reportIntervalMs;
+    const questionsPerS = host.requestsPerS * ASKING_SHARE;
     const peers = host.hallHosts - 1;
     const editsPerS = PLAN.editsPerDay / SECONDS_PER_DAY;
-    // Endpoints on which this host holds streams: with 350 streams on 157 workers nearly every one.
-    const holding = host.hallWorkers * (1 - Math.exp(-host.streams / host.hallWorkers));
+    // Expected number of endpoints at which this host has streams: with 350 streams on 157 workers nearly all.
+    const endpointsInUse = host.hallWorkers * (1 - Math.exp(-host.streams / host.hallWorkers));
     const groups = PLAN.workspaces * PLAN.models;
     return [
         {
@@ -133,26 +148,26 @@
             role: "peer",
             mechanism: "probes of a few hosts and gossip, at a rate that does not grow",
             state: `${peers} members`,
-            messagesPerS: beats * fanout * 2,
-            bytesPerS: beats * fanout * slopes.heartbeatBytes,
-            cores: beats * fanout * 2 * slopes.heartbeatUs / US_PER_S,
+            messagesPerS: probeRoundsPerS * messagesPerRound * 2,
+            bytesPerS: probeRoundsPerS * messagesPerRound * slopes.heartbeatBytes,
+            cores: probeRoundsPerS * messagesPerRound * 2 * slopes.heartbeatUs / US_PER_S,
             memoryMb: 0.1,
         },
         {
             role: "owner, told",
             mechanism: "holders tell owners what they hold, in rounds",
             state: `${Math.round(host.owned * peers)} entries`,
-            messagesPerS: rounds * peers,
-            bytesPerS: rounds * (holding * slopes.heldEntryBytes + peers * slopes.messageBytes),
-            cores: rounds * slopes.tellRoundUs / US_PER_S,
+            messagesPerS: reportRoundsPerS * peers,
+            bytesPerS: reportRoundsPerS * (endpointsInUse * slopes.heldEntryBytes + peers * slopes.messageBytes),
+            cores: reportRoundsPerS * slopes.tellRoundUs / US_PER_S,
             memoryMb: host.owned * peers * 1_000 / BYTES_PER_MB,
         },
         {
             role: "owner, telling",
             mechanism: "owners tell every host what the others hold, in rounds",
             state: `${host.owned.toFixed(1)} endpoints`,
-            messagesPerS: rounds * peers,
-            bytesPerS: rounds * peers * (host.owned * slopes.heldEntryBytes + slopes.messageBytes),
+            messagesPerS: reportRoundsPerS * peers,
+            bytesPerS: reportRoundsPerS * peers * (host.owned * slopes.heldEntryBytes + slopes.messageBytes),
             cores: 0,
             memoryMb: 0,
         },
@@ -160,9 +175,9 @@
             role: "owner, asked",
             mechanism: "asked before a request goes to a crowded endpoint",
             state: "grants since the last round",
-            messagesPerS: asks * 2,
-            bytesPerS: asks * (slopes.questionBytes + slopes.answerBytes) / 2,
-            cores: asks * 2 * slopes.heartbeatUs / US_PER_S,
+            messagesPerS: questionsPerS * 2,
+            bytesPerS: questionsPerS * (slopes.questionBytes + slopes.answerBytes) / 2,
+            cores: questionsPerS * 2 * slopes.heartbeatUs / US_PER_S,
             memoryMb: 0,
         },
         {
@@ -179,7 +194,7 @@
             mechanism: "asked for as often as its bytes allow",
             state: "machines of the hall",
             messagesPerS: 0.1,
-            bytesPerS: LIST_BYTES_PER_S,
+            bytesPerS: HOST_LIST_BYTES_PER_S,
             cores: 0,
             memoryMb: 0.1,
         },
@@ -195,36 +210,36 @@
     ];
 }
 
-/** Calls to the key-value service of all hosts together. */
-export interface KvUse {
+/** Load that all hosts together put on the key-value service. */
+export interface KvLoad {
     readonly situation: string;
     readonly readsPerS: number;
     readonly writesPerS: number;
-    readonly waitingWatches: number;
+    readonly openWatches: number;
 }
 
-/** Situations by how many hosts start within how many seconds. */
-const STARTS: readonly { readonly situation: string; readonly hosts: number; readonly withinS: number }[] = [
+/** Situations, by the number of hosts that start within a number of seconds. */
+const START_SITUATIONS: readonly { readonly situation: string; readonly hosts: number; readonly withinS: number }[] = [
     { situation: "ordinary day, 85 hosts replaced", hosts: PLAN.hostsReplacedPerDay, withinS: SECONDS_PER_DAY },
     { situation: "a rack of 20 hosts restarts within 10 s", hosts: 20, withinS: 10 },
     { situation: "a hall restarts within 10 s", hosts: Math.ceil(PLAN.hosts / PLAN.halls), withinS: 10 },
     { situation: "everything restarts within 10 s", hosts: PLAN.hosts, withinS: 10 },
 ];
-/** A starting host reads the head, then all parts in one call, and may watch until it knows the hall. */
+/** Reads of a starting host: the settings' head, all parts in one call, and a watch until it knows its hall. */
 const READS_PER_START = 3;
-/** An edit: its outcome is looked up, the head read, and then it is written. */
+/** Reads of an edit: it looks up an earlier outcome and reads the head before it writes. */
 const READS_PER_EDIT = 3;
 
-/** The calls in each situation. */
-export function kvUse(): readonly KvUse[] {
+/** Computes the load on the key-value service in each situation. */
+export function kvLoads(): readonly KvLoad[] {
     const watchers = WATCHERS_PER_HALL * PLAN.halls;
     const editsPerS = PLAN.editsPerDay / SECONDS_PER_DAY;
-    const steadyReads = watchers / WATCHER_READ_EVERY_S + editsPerS * (READS_PER_EDIT + watchers * 2);
-    return STARTS.map(({ situation, hosts, withinS }) => ({
+    const steadyReads = watchers / WATCHER_READ_INTERVAL_S + editsPerS * (READS_PER_EDIT + watchers * 2);
+    return START_SITUATIONS.map(({ situation, hosts, withinS }) => ({
         situation,
         readsPerS: steadyReads + hosts * READS_PER_START / withinS,
         writesPerS: editsPerS,
-        waitingWatches: watchers + Math.min(hosts, withinS === SECONDS_PER_DAY ? 0 : hosts),
+        openWatches: watchers + Math.min(hosts, withinS === SECONDS_PER_DAY ? 0 : hosts),
     }));
 }
 
@@ -232,9 +247,14 @@
     return `| ${cells.join(" | ")} |`;
 }
 
-/** The page's tables, from slopes. */
-export function renderCapacity(slopes: Slopes, tellMs: number, beatMs: number, fanout: number): string {
-    const uses = roles(slopes, tellMs, beatMs, fanout);
+/** Renders the tables for docs/CAPACITY.md. */
+export function renderCapacity(
+    slopes: Slopes,
+    reportIntervalMs: number,
+    probeIntervalMs: number,
+    messagesPerRound: number,
+): string {
+    const uses = roleCosts(slopes, reportIntervalMs, probeIntervalMs, messagesPerRound);
     const total = uses.reduce((sum, use) => ({
         messagesPerS: sum.messagesPerS + use.messagesPerS,
         bytesPerS: sum.bytesPerS + use.bytesPerS,
@@ -242,7 +262,7 @@
         memoryMb: sum.memoryMb + use.memoryMb,
     }), { messagesPerS: 0, bytesPerS: 0, cores: 0, memoryMb: 0 });
     const { budget } = PLAN;
-    const figures = (use: typeof total): string[] => [
+    const numbersOf = (use: typeof total): string[] => [
         use.messagesPerS.toFixed(1),
         use.bytesPerS.toFixed(0),
         (100 * use.cores).toFixed(2),
@@ -257,15 +277,15 @@
     const lines = [
         row(["role", "mechanism", "state at a host", "messages/s", "bytes/s", "% of a core", "MB"]),
         "|---|---|---|---|---|---|---|",
-        ...uses.map(use => row([use.role, use.mechanism, use.state, ...figures(use)])),
-        row(["**all control**", "", "", ...figures(total)]),
+        ...uses.map(use => row([use.role, use.mechanism, use.state, ...numbersOf(use)])),
+        row(["**all control**", "", "", ...numbersOf(total)]),
         row(["budget", "", "", "", String(budget.bytesPerS), (100 * budget.cores).toFixed(1), String(budget.memoryMb)]),
         row(["budget is", "", "", ...margin]),
         "",
         row(["key-value service", "reads/s (of 2,000)", "writes/s (of 100)", "waiting watches"]),
         "|---|---|---|---|",
-        ...kvUse().map(use =>
-            row([use.situation, use.readsPerS.toFixed(1), use.writesPerS.toFixed(3), String(use.waitingWatches)])
+        ...kvLoads().map(use =>
+            row([use.situation, use.readsPerS.toFixed(1), use.writesPerS.toFixed(3), String(use.openWatches)])
         ),
     ];
     return lines.join("\n");
--- a/packages/standins/src/demo.ts
+++ b/packages/standins/src/demo.ts
@@ -9,7 +9,7 @@
 import Table from "cli-table3";
 import { Agent } from "undici";
 import { type CallerResult, callOnce } from "./caller.js";
-import { type Stage, startStage } from "./stage.js";
+import { type Stage, startStage } from "./local-cluster.js";
 import { type Arrival, CLAYHOLLOW, type Deployment, generateTraffic, KIGALI } from "./traffic.js";
 
 const HALLS = ["hall-1", "hall-2", "hall-3"];
@@ -19,10 +19,10 @@
 /** A gap above this is a stall, letter 1's bound between tokens. */
 const GAP_TARGET_MS = 44;
 /** The demo's outputs are cut so that it ends soon after its traffic does. */
-const LONGEST_OUTPUT = 400;
-const FIRST_PORT = { callers: 8080, operators: 9080 };
+const MAX_OUTPUT_TOKENS = 400;
+const FIRST_PORTS = { callers: 8080, operators: 9080 };
 
-interface Measures {
+interface DeploymentResult {
     readonly gaps: TimeHistogram;
     readonly firstToken: TimeHistogram;
     stallMs: number;
@@ -30,11 +30,11 @@
     readonly failures: CallerResult[];
 }
 
-function createMeasures(): Measures {
+function createDeploymentResult(): DeploymentResult {
     return { gaps: new TimeHistogram(), firstToken: new TimeHistogram(), stallMs: 0, answers: 0, failures: [] };
 }
 
-function count(measures: Measures, result: CallerResult): void {
+function recordAnswer(measures: DeploymentResult, result: CallerResult): void {
     measures.answers += 1;
     if (result.outcome !== "whole") measures.failures.push(result);
     if (result.firstTokenMs !== undefined) measures.firstToken.record(result.firstTokenMs);
@@ -44,47 +44,47 @@
     }
 }
 
-async function send(stage: Stage, arrival: Arrival, at: number, dispatcher: Agent): Promise<CallerResult> {
+async function sendAtArrival(cluster: Stage, arrival: Arrival, at: number, dispatcher: Agent): Promise<CallerResult> {
     await new Promise(resolve => setTimeout(resolve, arrival.at));
     return callOnce({
-        url: stage.hosts[at % stage.hosts.length]!.daemon.callersUrl,
-        key: stage.keyOf(arrival.stream.workspace),
-        model: arrival.stream.model,
+        url: cluster.hosts[at % cluster.hosts.length]!.daemon.callersUrl,
+        key: cluster.keyOf(arrival.requestClass.workspace),
+        model: arrival.requestClass.model,
         tag: arrival.id,
         promptTokens: arrival.promptTokens,
-        output: Math.min(arrival.output, LONGEST_OUTPUT),
+        output: Math.min(arrival.output, MAX_OUTPUT_TOKENS),
         prefix: arrival.prefix,
         dispatcher,
     });
 }
 
 async function runDeployment(
-    stage: Stage,
+    cluster: Stage,
     deployment: Deployment,
     dispatcher: Agent,
     onAnswer: () => void,
-): Promise<Measures> {
-    const measures = createMeasures();
+): Promise<DeploymentResult> {
+    const measures = createDeploymentResult();
     const arrivals = generateTraffic(deployment, TRAFFIC_MS, 1, SEED);
-    await Promise.all(arrivals.map(async (arrival, at) => {
-        count(measures, await send(stage, arrival, at, dispatcher));
+    await Promise.all(arrivals.map(async (arrival, index) => {
+        recordAnswer(measures, await sendAtArrival(cluster, arrival, index, dispatcher));
         onAnswer();
     }));
     return measures;
 }
 
-function preemptionsOf(stage: Stage): number {
-    return stage.engines.reduce((sum, { server }) => sum + server.model.load().preemptions, 0);
+function countPreemptions(cluster: Stage): number {
+    return cluster.engines.reduce((sum, { server }) => sum + server.model.load().preemptions, 0);
 }
 
-async function runTraffic(stage: Stage): Promise<boolean> {
+async function runTraffic(cluster: Stage): Promise<boolean> {
     const dispatcher = new Agent({ connections: 500 });
     let answers = 0;
     const progress = setInterval(() => process.stderr.write(`\r${answers} answers so far `), 200);
     const onAnswer = (): void => void (answers += 1);
     const [kigali, clayhollow] = await Promise.all([
-        runDeployment(stage, KIGALI, dispatcher, onAnswer),
-        runDeployment(stage, CLAYHOLLOW, dispatcher, onAnswer),
+        runDeployment(cluster, KIGALI, dispatcher, onAnswer),
+        runDeployment(cluster, CLAYHOLLOW, dispatcher, onAnswer),
     ]);
     clearInterval(progress);
     process.stderr.write("\r");
@@ -105,7 +105,9 @@
             m.firstToken.quantile(0.95).toFixed(0),
         ]);
     }
-    process.stdout.write(`${table.toString()}\npreemptions on all engines: ${preemptionsOf(stage)}\nseed: ${SEED}\n`);
+    process.stdout.write(
+        `${table.toString()}\npreemptions on all engines: ${countPreemptions(cluster)}\nseed: ${SEED}\n`,
+    );
     const failures = [...kigali.failures, ...clayhollow.failures];
     for (const failure of failures.slice(0, 5)) {
         process.stdout.write(`not whole: ${JSON.stringify({ ...failure, gapsMs: undefined })}\n`);
@@ -113,28 +115,28 @@
     return failures.length === 0;
 }
 
-function showAddresses(stage: Stage): void {
-    for (const { name, daemon } of stage.hosts) {
+function printAddresses(cluster: Stage): void {
+    for (const { name, daemon } of cluster.hosts) {
         process.stdout.write(`${name} callers ${daemon.callersUrl}\n${name} operators ${daemon.operatorsUrl}\n`);
     }
-    process.stdout.write(`workspace key ${stage.keyOf("members")}\noperator token ${stage.operatorToken}\n`);
+    process.stdout.write(`workspace key ${cluster.keyOf("members")}\noperator token ${cluster.operatorToken}\n`);
 }
 
 async function main(): Promise<void> {
     const serve = process.argv.includes("--serve");
     const quiet = (): void => undefined;
     const log = serve ? (line: string): void => void process.stderr.write(`${line}\n`) : quiet;
-    const ports = serve ? { ports: FIRST_PORT } : {};
-    const stage = await startStage({ halls: HALLS, enginesPerHall: ENGINES_PER_HALL, log, ...ports });
-    showAddresses(stage);
+    const ports = serve ? { ports: FIRST_PORTS } : {};
+    const cluster = await startStage({ halls: HALLS, enginesPerHall: ENGINES_PER_HALL, log, ...ports });
+    printAddresses(cluster);
     if (!serve) {
-        const whole = await runTraffic(stage);
-        await stage.stop();
+        const whole = await runTraffic(cluster);
+        await cluster.stop();
         process.exitCode = whole ? 0 : 1;
         return;
     }
     process.on("SIGTERM", () => {
-        void Promise.all(stage.hosts.map(host => host.daemon.stop())).then(() => process.exit(0));
+        void Promise.all(cluster.hosts.map(host => host.daemon.stop())).then(() => process.exit(0));
     });
 }
 
--- a/packages/standins/src/engine-farm.ts
+++ b/packages/standins/src/engine-farm.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in engines at a steady pace with the settings that a daemon before it needs, for the measurement of the path.
+ * Stand-in engines that generate at a constant rate, and settings for a daemon in front of them; for `bench:path`.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import { EngineServer } from "./engine-server.js";
 import { KvServer } from "./kv-server.js";
 
-/** What runs. */
+/** Running engines and the key-value service with the daemon's settings. */
 export interface EngineFarm {
     readonly engineUrls: readonly string[];
     readonly kvUrl: string;
@@ -18,8 +18,8 @@
     stop(): Promise<void>;
 }
 
-/** How many streams there will be, their tokens a second in all, and over how many engines they are spread. */
-export interface FarmCfg {
+/** Number of streams, their total rate in tokens a second, and the number of engines that share them. */
+export interface EngineFarmCfg {
     readonly streams: number;
     readonly rate: number;
     readonly engines: number;
@@ -28,15 +28,15 @@
 const MEMORY_TOKENS = 100_000_000;
 
 /**
- * Starts engines whose streams together make `rate` tokens a second. Their iterations are not in step, as with engines
- * of their own: else all tokens would come at one instant.
+ * Starts engines whose streams together produce `rate` tokens a second. Several engines are used because their iterations
+ * are not synchronised: with a single engine the tokens of all streams would arrive at the same instant.
  *
  * @example
  * ```ts
  * const farm = await startEngineFarm({ streams: 350, rate: 8000, engines: 16 });
  * ```
  */
-export async function startEngineFarm({ streams, rate, engines }: FarmCfg): Promise<EngineFarm> {
+export async function startEngineFarm({ streams, rate, engines }: EngineFarmCfg): Promise<EngineFarm> {
     const kv = await KvServer.start();
     const stepMs = streams / rate * 1000;
     const engine = {
@@ -50,11 +50,11 @@
         perHeldTokenMs: 0,
     };
     const servers: EngineServer[] = [];
-    for (let at = 0; at < engines; at++) {
-        servers.push(await EngineServer.start({ name: `farm-${at}`, models: ["summary-8b"], engine }));
+    for (let index = 0; index < engines; index++) {
+        servers.push(await EngineServer.start({ name: `farm-${index}`, models: ["summary-8b"], engine }));
     }
-    const endpoints = servers.map(({ url }, at): [string, Record<string, string>] => [
-        `endpoint/farm-${at}`,
+    const endpoints = servers.map(({ url }, index): [string, Record<string, string>] => [
+        `endpoint/farm-${index}`,
         { url, "service": "scribe", "hall": "h", "models": "summary-8b", "memory-tokens": String(MEMORY_TOKENS) },
     ]);
     const key = "dp-bench-path";
--- a/packages/standins/src/engine-model.ts
+++ b/packages/standins/src/engine-model.ts
@@ -1,19 +1,19 @@
 /**
- * A small model of a model engine: continuous batching, memory that fills as generations grow, preemption by priority,
- * a pace that depends on batch, memory and prefill, and a bounded cache of prompt prefixes.
+ * A simplified model of an inference engine: continuous batching, memory that fills as generations grow, preemption by
+ * priority, iteration times that depend on batch size, memory and prefill, and a bounded cache of prompt prefixes.
  *
- * One call of {@link EngineModel.step} is one iteration of the engine. The caller owns the clock: a measurement adds up
- * the durations, the HTTP stand-in waits for them.
+ * Each call of {@link EngineModel.step} is one iteration. The model has no clock: a simulation advances its virtual clock by
+ * the iteration's duration, the HTTP stand-in waits that long.
  *
  * @module
  */
 
 /** Sizes and speeds of an engine. */
 export interface EngineCfg {
-    /** Tokens of prompt and output that fit the memory. */
+    /** Number of prompt and output tokens that fit into memory. */
     readonly memoryTokens: number;
     readonly maxBatch: number;
-    /** Prompt tokens that one iteration takes in at most. */
+    /** Maximum number of prompt tokens that one iteration prefills. */
     readonly chunkTokens: number;
     readonly baseMs: number;
     readonly perStreamMs: number;
@@ -22,7 +22,7 @@
     readonly prefixCacheTokens: number;
 }
 
-/** An engine of today's size. At 64 streams and 100,000 held tokens an iteration with a full chunk takes about 38 ms. */
+/** The default engine. At 64 streams and 100,000 tokens in memory, an iteration with a full chunk takes about 38 ms. */
 export const ENGINE: EngineCfg = {
     memoryTokens: 100_000,
     maxBatch: 256,
@@ -34,7 +34,7 @@
     prefixCacheTokens: 40_000,
 };
 
-/** What an engine is asked to generate. `output` is the true length, which no one but the engine knows. */
+/** A generation to run. `output` is its true length in tokens, which only the engine knows. */
 export interface EngineJob {
     readonly id: string;
     readonly promptTokens: number;
@@ -46,27 +46,27 @@
 
 interface Sequence {
     readonly job: EngineJob;
-    readonly order: number;
+    readonly arrivalOrder: number;
     produced: number;
     prefillLeft: number;
-    preempted: number;
+    preemptionCount: number;
 }
 
-/** A token that one iteration made. */
-export interface Emitted {
+/** A token that an iteration generated. */
+export interface EmittedToken {
     readonly id: string;
     readonly index: number;
     readonly last: boolean;
 }
 
-/** What one iteration did. The tokens are there when `durationMs` is over. */
+/** Result of one iteration. Its tokens become available after `durationMs`. */
 export interface Iteration {
     readonly durationMs: number;
-    readonly emitted: readonly Emitted[];
+    readonly emitted: readonly EmittedToken[];
     readonly preempted: readonly string[];
 }
 
-/** Load as the engine sees it at this moment. */
+/** Current load of an engine. `preemptions` counts from the engine's start. */
 export interface EngineLoad {
     readonly running: number;
     readonly waiting: number;
@@ -74,94 +74,100 @@
     readonly preemptions: number;
 }
 
-/** One engine. */
+/** The state of one engine. */
 export class EngineModel {
     private readonly running: Sequence[] = [];
     private readonly waiting: Sequence[] = [];
-    private readonly prefixes = new Map<string, number>();
-    private prefixTokens = 0;
-    private used = 0;
-    private preemptions = 0;
-    private arrivals = 0;
+    private readonly prefixCache = new Map<string, number>();
+    private cachedPrefixTokens = 0;
+    private usedTokens = 0;
+    private preemptionCount = 0;
+    private arrivalCount = 0;
 
     constructor(readonly cfg: EngineCfg = ENGINE) {}
 
-    /** Takes a job in; it waits until an iteration starts it. */
+    /** Queues a job; a later iteration starts it. */
     submit(job: EngineJob): void {
-        this.waiting.push({ job, order: this.arrivals++, produced: 0, prefillLeft: 0, preempted: 0 });
+        this.waiting.push({ job, arrivalOrder: this.arrivalCount++, produced: 0, prefillLeft: 0, preemptionCount: 0 });
         this.sortWaiting();
     }
 
-    /** Forgets a job; false if it is not there. */
+    /** Removes a job from the queue or the batch; false if it is in neither. */
     cancel(id: string): boolean {
         const waiting = this.waiting.findIndex(sequence => sequence.job.id === id);
         if (waiting >= 0) this.waiting.splice(waiting, 1);
         const running = this.running.findIndex(sequence => sequence.job.id === id);
-        if (running >= 0) this.free(running);
+        if (running >= 0) this.removeRunning(running);
         return waiting >= 0 || running >= 0;
     }
 
-    /** Whether an iteration would do anything. */
+    /** Whether any job is running or waiting. */
     get busy(): boolean {
         return this.running.length > 0 || this.waiting.length > 0;
     }
 
-    /** Load now, without a lag. */
     load(): EngineLoad {
         return {
             running: this.running.length,
             waiting: this.waiting.length,
-            memoryUsed: this.used,
-            preemptions: this.preemptions,
+            memoryUsed: this.usedTokens,
+            preemptions: this.preemptionCount,
         };
     }
 
     /** Runs one iteration. */
     step(): Iteration {
-        this.start();
-        const preempted = this.makeRoom();
+        this.startWaiting();
+        const preempted = this.preemptUntilFits();
         const prefilled = this.prefill();
-        const emitted: Emitted[] = [];
+        const emitted: EmittedToken[] = [];
         const streams = this.running.length;
         for (const sequence of [...this.running]) {
             if (sequence.prefillLeft > 0) continue;
             emitted.push(this.produce(sequence));
         }
-        const { baseMs, perStreamMs, perPrefillTokenMs, perHeldTokenMs } = this.cfg;
-        const durationMs = baseMs + perStreamMs * streams + perPrefillTokenMs * prefilled + perHeldTokenMs * this.used;
+        const { baseMs, perStreamMs, perPrefillTokenMs, perHeldTokenMs: perHeldTokenMs } = this.cfg;
+        const durationMs = baseMs + perStreamMs * streams + perPrefillTokenMs * prefilled
+            + perHeldTokenMs * this.usedTokens;
         return { durationMs, emitted, preempted };
     }
 
-    private produce(sequence: Sequence): Emitted {
+    private produce(sequence: Sequence): EmittedToken {
         const index = sequence.produced;
         sequence.produced += 1;
-        this.used += 1;
+        this.usedTokens += 1;
         const last = sequence.produced >= sequence.job.output;
-        if (last) this.free(this.running.indexOf(sequence));
+        if (last) this.removeRunning(this.running.indexOf(sequence));
         return { id: sequence.job.id, index, last };
     }
 
-    /** Starts waiting sequences while they fit; the first that does not holds up the rest. */
-    private start(): void {
+    /** Moves waiting sequences into the batch, in order, up to the first that does not fit into memory. */
+    private startWaiting(): void {
         while (this.waiting.length > 0 && this.running.length < this.cfg.maxBatch) {
             const sequence = this.waiting[0]!;
-            const held = sequence.job.promptTokens + sequence.produced;
-            if (this.used + held + this.running.length + 1 > this.cfg.memoryTokens && this.running.length > 0) return;
+            const neededTokens = sequence.job.promptTokens + sequence.produced;
+            if (
+                this.usedTokens + neededTokens + this.running.length + 1 > this.cfg.memoryTokens
+                && this.running.length > 0
+            ) return;
             this.waiting.shift();
-            sequence.prefillLeft = held - this.cached(sequence.job);
-            this.used += held;
+            sequence.prefillLeft = neededTokens - this.lookUpPrefix(sequence.job);
+            this.usedTokens += neededTokens;
             this.running.push(sequence);
         }
     }
 
-    /** Puts sequences back until every running one can grow by a token: lowest priority, least displaced, latest. */
-    private makeRoom(): string[] {
+    /**
+     * Preempts sequences until each remaining one can grow by a token. Picks the lowest priority first, then the sequence
+     * preempted least often, then the latest arrival.
+     */
+    private preemptUntilFits(): string[] {
         const preempted: string[] = [];
-        while (this.used + this.running.length > this.cfg.memoryTokens && this.running.length > 1) {
-            const victim = this.running.reduce((a, b) => displacedBefore(b, a) ? b : a);
-            this.free(this.running.indexOf(victim));
-            victim.preempted += 1;
-            this.preemptions += 1;
+        while (this.usedTokens + this.running.length > this.cfg.memoryTokens && this.running.length > 1) {
+            const victim = this.running.reduce((a, b) => isPreemptedBefore(b, a) ? b : a);
+            this.removeRunning(this.running.indexOf(victim));
+            victim.preemptionCount += 1;
+            this.preemptionCount += 1;
             this.waiting.push(victim);
             this.sortWaiting();
             preempted.push(victim.job.id);
@@ -179,33 +185,35 @@
         return this.cfg.chunkTokens - left;
     }
 
-    private free(at: number): void {
-        const [sequence] = this.running.splice(at, 1);
-        this.used -= sequence!.job.promptTokens + sequence!.produced;
+    private removeRunning(index: number): void {
+        const [sequence] = this.running.splice(index, 1);
+        this.usedTokens -= sequence!.job.promptTokens + sequence!.produced;
     }
 
-    /** Tokens of the prompt that are cached; uses and fills the cache, the longest unused going first. */
-    private cached(job: EngineJob): number {
+    /** Returns how many of the job's prompt tokens are cached, and caches its prefix; evicts the least recently used ones. */
+    private lookUpPrefix(job: EngineJob): number {
         if (job.prefix === "") return 0;
-        const hit = this.prefixes.get(job.prefix) ?? 0;
-        this.prefixes.delete(job.prefix);
-        this.prefixes.set(job.prefix, job.prefixTokens);
-        this.prefixTokens += job.prefixTokens - hit;
-        for (const [name, tokens] of this.prefixes) {
-            if (this.prefixTokens <= this.cfg.prefixCacheTokens || name === job.prefix) break;
-            this.prefixes.delete(name);
-            this.prefixTokens -= tokens;
+        const hit = this.prefixCache.get(job.prefix) ?? 0;
+        this.prefixCache.delete(job.prefix);
+        this.prefixCache.set(job.prefix, job.prefixTokens);
+        this.cachedPrefixTokens += job.prefixTokens - hit;
+        for (const [name, tokens] of this.prefixCache) {
+            if (this.cachedPrefixTokens <= this.cfg.prefixCacheTokens || name === job.prefix) break;
+            this.prefixCache.delete(name);
+            this.cachedPrefixTokens -= tokens;
         }
         return Math.min(hit, job.promptTokens - 1);
     }
 
     private sortWaiting(): void {
-        this.waiting.sort((a, b) => b.job.priority - a.job.priority || b.preempted - a.preempted || a.order - b.order);
+        this.waiting.sort((a, b) =>
+            b.job.priority - a.job.priority || b.preemptionCount - a.preemptionCount || a.arrivalOrder - b.arrivalOrder
+        );
     }
 }
 
-function displacedBefore(a: Sequence, b: Sequence): boolean {
+function isPreemptedBefore(a: Sequence, b: Sequence): boolean {
     if (a.job.priority !== b.job.priority) return a.job.priority < b.job.priority;
-    if (a.preempted !== b.preempted) return a.preempted < b.preempted;
-    return a.order > b.order;
+    if (a.preemptionCount !== b.preemptionCount) return a.preemptionCount < b.preemptionCount;
+    return a.arrivalOrder > b.arrivalOrder;
 }
--- a/packages/standins/src/engine-server.ts
+++ b/packages/standins/src/engine-server.ts
@@ -1,6 +1,6 @@
 /**
- * The engine stand-in over HTTP, around {@link EngineModel}: completions shape, generation ids and token indices, resume,
- * cancel, load with a lag, and faults on demand.
+ * A stand-in engine over HTTP, built on {@link EngineModel}. It serves OpenAI-style completions with generation ids and token
+ * indices, can resume and cancel generations, reports its load with a lag, and injects faults on demand.
  *
  * @module
  */
@@ -10,47 +10,54 @@
 import type { AddressInfo } from "node:net";
 import { ENGINE, type EngineCfg, type EngineLoad, EngineModel } from "./engine-model.js";
 
-/** A fault for one coming request; `at` is a token index. */
+/** A fault injected into one request; `at` is the index of the token at which it occurs. */
 export type EngineFault =
     | { readonly kind: "refuse"; readonly retryAfterS?: number }
-    | { readonly kind: "failUnproven" }
+    /** Answers status 500, which doesn't say whether the request ran. */
+    | { readonly kind: "serverError" }
     | { readonly kind: "html" }
-    | { readonly kind: "never" }
-    | { readonly kind: "dieBeforeHead" }
-    /** The connection breaks; the generation runs on and can be resumed. */
+    | { readonly kind: "noAnswer" }
+    | { readonly kind: "closeBeforeHead" }
+    /** Breaks the connection; the generation continues and can be resumed. */
     | { readonly kind: "resetAt"; readonly at: number }
-    /** The generation is gone as well. */
-    | { readonly kind: "reclaimedAt"; readonly at: number }
+    /** Breaks the connection and removes the generation. */
+    | { readonly kind: "loseGenerationAt"; readonly at: number }
     | { readonly kind: "stallAt"; readonly at: number }
     | { readonly kind: "repeatAt"; readonly at: number }
     | { readonly kind: "skipAt"; readonly at: number }
+    /** Sends the token after its successor. */
     | { readonly kind: "swapAt"; readonly at: number }
-    | { readonly kind: "crossAt"; readonly at: number }
+    /** Inserts a token of another request's attempt. */
+    | { readonly kind: "foreignTokenAt"; readonly at: number }
+    /** Inserts a token with another generation id. */
     | { readonly kind: "otherGenerationAt"; readonly at: number }
     | { readonly kind: "halfChunkAt"; readonly at: number }
     | { readonly kind: "hugeChunkAt"; readonly at: number }
+    /** Reports one token fewer in total than it sent. */
     | { readonly kind: "shortTotal" };
 
-/** How the stand-in is set up. */
+/** Configuration of a stand-in engine. */
 export interface EngineServerCfg {
     readonly name: string;
     readonly models: readonly string[];
     readonly engine?: EngineCfg;
-    readonly lagMs?: number;
-    /** Time runs this many times faster than the model says. */
+    /** Age of the load that the engine reports; 0 by default. */
+    readonly loadLagMs?: number;
+    /** Factor by which iterations run faster than the model says; 1 by default. */
     readonly speed?: number;
     readonly port?: number;
 }
 
-interface Body {
+interface RequestBody {
     readonly model?: string;
     readonly stream?: boolean;
     readonly max_tokens?: number;
     readonly messages?: unknown;
     readonly prompt?: unknown;
     readonly priority?: number;
-    /** The true length and a tag for the tokens' text, from the traffic generator. */
+    /** Length of the output in tokens, chosen by the traffic generator. */
     readonly x_output?: number;
+    /** Start of each token's text, by which a caller recognises its own tokens. */
     readonly x_tag?: string;
     readonly x_prompt_tokens?: number;
     readonly prompt_cache_key?: string;
@@ -63,38 +70,38 @@
     readonly chat: boolean;
     readonly total: number;
     produced: number;
-    out: ServerResponse | undefined;
+    response: ServerResponse | undefined;
     attempt: string;
     fault: EngineFault | undefined;
 }
 
 const CHARS_PER_TOKEN = 4;
-const LARGEST_BODY = 64_000_000;
+const MAX_BODY_BYTES = 64_000_000;
 const HUGE_CHUNK_BYTES = 8_000_000;
-const KEEP_GENERATIONS = 5_000;
+const MAX_GENERATIONS = 5_000;
 
-/** A running stand-in engine. */
+/** A stand-in engine that listens on a local port. */
 export class EngineServer {
     readonly model: EngineModel;
-    /** Faults that coming requests meet, in order. */
+    /** Faults for the next requests; each request takes the first one. */
     readonly faults: EngineFault[] = [];
-    /** Runs started, by the request's own id: what "at most once" is judged by. */
-    readonly runs = new Map<string, number>();
-    readonly cancelled: string[] = [];
+    /** Number of runs started by request id; tests check from it that a request ran at most once. */
+    readonly runsByRequest = new Map<string, number>();
+    readonly cancelledGenerations: string[] = [];
     leaving = false;
-    /** Tokens made in all, whether or not anyone took them. */
-    tokensMade = 0;
+    /** Number of tokens generated, including those that no connection took. */
+    tokensGenerated = 0;
     private readonly generations = new Map<string, Generation>();
-    private readonly attempts = new Map<string, string>();
+    private readonly generationsByAttempt = new Map<string, string>();
     private readonly samples: { at: number; load: EngineLoad }[] = [];
-    /** Texts that end the engine's process when it begins a prompt that holds one. */
-    readonly fatal: string[] = [];
-    /** How often that has ended it, and how long it is away then. */
-    endings = 0;
-    awayMs = 100;
+    /** The engine crashes and restarts when it receives a prompt that contains one of these texts. */
+    readonly fatalPrompts: string[] = [];
+    crashCount = 0;
+    /** Time between a crash and the moment at which the engine listens again. */
+    restartDelayMs = 100;
     private app: FastifyInstance;
     private timer: NodeJS.Timeout | undefined;
-    private made = 0;
+    private generationCount = 0;
     url = "";
 
     private constructor(private readonly cfg: EngineServerCfg) {
@@ -103,12 +110,12 @@
     }
 
     private createApp(): FastifyInstance {
-        const app = Fastify({ bodyLimit: LARGEST_BODY, forceCloseConnections: true });
-        this.routes(app);
+        const app = Fastify({ bodyLimit: MAX_BODY_BYTES, forceCloseConnections: true });
+        this.addRoutes(app);
         return app;
     }
 
-    /** Starts an engine on a port of the system's choice, or the given one. */
+    /** Starts an engine on the configured port, or on a free one. */
     static async start(cfg: EngineServerCfg): Promise<EngineServer> {
         const server = new EngineServer(cfg);
         await server.app.listen({ host: "127.0.0.1", port: cfg.port ?? 0 });
@@ -116,32 +123,32 @@
         return server;
     }
 
-    /** Ends it at once, as a process that dies does. */
+    /** Stops the engine at once and breaks all its connections, as the end of its process would. */
     async stop(): Promise<void> {
         clearTimeout(this.timer);
-        for (const generation of this.generations.values()) generation.out?.destroy();
+        for (const generation of this.generations.values()) generation.response?.destroy();
         await this.app.close();
     }
 
-    /** Ends with all that runs, as a process that dies does, and starts again at its port after a while. */
-    private async die(): Promise<void> {
-        this.endings += 1;
+    /** Drops all generations and connections, as a crashed process does, and listens on the same port again after a delay. */
+    private async crashAndRestart(): Promise<void> {
+        this.crashCount += 1;
         const { port } = this.app.server.address() as AddressInfo;
         this.generations.clear();
-        // Nobody listens any more when its connections break.
+        // Stops listening first, so that a client cannot reconnect when its connection breaks.
         this.app.server.close();
         await this.app.close();
-        await new Promise(resolve => setTimeout(resolve, this.awayMs));
+        await new Promise(resolve => setTimeout(resolve, this.restartDelayMs));
         this.app = this.createApp();
         await this.app.listen({ host: "127.0.0.1", port });
     }
 
-    private routes(app: FastifyInstance): void {
+    private addRoutes(app: FastifyInstance): void {
         app.post(
             "/v1/chat/completions",
-            (req, reply) => this.generate(req.body as Body, req.headers, reply, true),
+            (req, reply) => this.generate(req.body as RequestBody, req.headers, reply, true),
         );
-        app.post("/v1/completions", (req, reply) => this.generate(req.body as Body, req.headers, reply, false));
+        app.post("/v1/completions", (req, reply) => this.generate(req.body as RequestBody, req.headers, reply, false));
         app.get("/v1/load", () => this.load());
         app.get<{ Params: { id: string }; Querystring: { from: string } }>("/v1/generations/:id", (req, reply) => {
             this.resume(req.params.id, Number(req.query.from), String(req.headers["x-attempt-id"] ?? ""), reply);
@@ -149,66 +156,71 @@
         app.delete<{ Params: { id: string } }>("/v1/generations/:id", req => this.cancel(req.params.id));
         app.delete<{ Params: { id: string } }>(
             "/v1/attempts/:id",
-            req => this.cancel(this.attempts.get(req.params.id) ?? ""),
+            req => this.cancel(this.generationsByAttempt.get(req.params.id) ?? ""),
         );
     }
 
-    private generate(body: Body, headers: NodeJS.Dict<string | string[]>, reply: FastifyReply, chat: boolean): void {
+    private generate(
+        body: RequestBody,
+        headers: NodeJS.Dict<string | string[]>,
+        reply: FastifyReply,
+        chat: boolean,
+    ): void {
         const fault = this.faults.shift();
         reply.hijack();
-        const out = reply.raw;
+        const response = reply.raw;
         const prompt = JSON.stringify(body.messages ?? body.prompt ?? "");
-        if (this.fatal.some(text => prompt.includes(text))) return void this.die();
-        if (fault && refuseBy(fault, out)) return;
+        if (this.fatalPrompts.some(text => prompt.includes(text))) return void this.crashAndRestart();
+        if (fault && replaceAnswer(fault, response)) return;
         if (this.leaving || !this.cfg.models.includes(body.model ?? "")) {
-            sendRefusal(out, this.leaving ? "leaving" : "no such model", undefined);
+            sendRefusal(response, this.leaving ? "leaving" : "no such model", undefined);
             return;
         }
         const request = String(headers["x-request-id"] ?? "");
-        const generation = this.create(body, chat, String(headers["x-attempt-id"] ?? ""), fault, out);
-        this.runs.set(request, (this.runs.get(request) ?? 0) + 1);
-        this.attach(generation, out);
+        const generation = this.createGeneration(body, chat, String(headers["x-attempt-id"] ?? ""), fault, response);
+        this.runsByRequest.set(request, (this.runsByRequest.get(request) ?? 0) + 1);
+        this.attach(generation, response);
     }
 
-    private create(
-        body: Body,
+    private createGeneration(
+        body: RequestBody,
         chat: boolean,
         attempt: string,
         fault: EngineFault | undefined,
-        out: ServerResponse,
+        response: ServerResponse,
     ): Generation {
         const text = JSON.stringify(body.messages ?? body.prompt ?? "");
         const promptTokens = body.x_prompt_tokens ?? Math.max(1, Math.ceil(text.length / CHARS_PER_TOKEN));
         const output = Math.max(
             1,
-            Math.min(body.max_tokens ?? Number.MAX_SAFE_INTEGER, body.x_output ?? lengthFrom(text)),
+            Math.min(body.max_tokens ?? Number.MAX_SAFE_INTEGER, body.x_output ?? outputLengthOf(text)),
         );
-        const id = `${this.cfg.name}-g${++this.made}`;
+        const id = `${this.cfg.name}-g${++this.generationCount}`;
         const tag = body.x_tag ?? "tok";
-        const generation = { id, tag, model: body.model!, chat, total: output, produced: 0, out, attempt, fault };
+        const generation = { id, tag, model: body.model!, chat, total: output, produced: 0, response, attempt, fault };
         this.generations.set(id, generation);
-        if (attempt !== "") this.attempts.set(attempt, id);
-        this.forgetOld();
+        if (attempt !== "") this.generationsByAttempt.set(attempt, id);
+        this.dropOldGenerations();
         const prefix = body.prompt_cache_key ?? "";
         const prefixTokens = prefix === "" ? 0 : Math.floor(promptTokens / 2);
         this.model.submit({ id, promptTokens, prefix, prefixTokens, output, priority: body.priority ?? 0 });
-        this.run();
+        this.scheduleIteration();
         return generation;
     }
 
-    private forgetOld(): void {
+    private dropOldGenerations(): void {
         for (const [id, generation] of this.generations) {
-            if (this.generations.size <= KEEP_GENERATIONS) return;
+            if (this.generations.size <= MAX_GENERATIONS) return;
             if (generation.produced >= generation.total) this.generations.delete(id);
         }
     }
 
-    private attach(generation: Generation, out: ServerResponse): void {
-        generation.out = out;
-        out.writeHead(200, { "content-type": "text/event-stream", "x-generation-id": generation.id });
-        out.flushHeaders();
-        out.on("close", () => {
-            if (generation.out === out) generation.out = undefined;
+    private attach(generation: Generation, response: ServerResponse): void {
+        generation.response = response;
+        response.writeHead(200, { "content-type": "text/event-stream", "x-generation-id": generation.id });
+        response.flushHeaders();
+        response.on("close", () => {
+            if (generation.response === response) generation.response = undefined;
         });
     }
 
@@ -219,113 +231,115 @@
             sendRefusal(reply.raw, "no such generation", undefined, 404);
             return;
         }
-        generation.out?.destroy();
+        generation.response?.destroy();
         generation.attempt = attempt;
         generation.fault = undefined;
         this.attach(generation, reply.raw);
-        for (let index = from; index < generation.produced; index++) this.write(generation, index);
+        for (let index = from; index < generation.produced; index++) this.writeToken(generation, index);
         if (generation.produced >= generation.total) this.finish(generation);
     }
 
     private cancel(id: string): { cancelled: boolean } {
         const done = this.model.cancel(id);
-        this.generations.get(id)?.out?.destroy();
+        this.generations.get(id)?.response?.destroy();
         this.generations.delete(id);
-        if (done) this.cancelled.push(id);
+        if (done) this.cancelledGenerations.push(id);
         return { cancelled: done };
     }
 
     private load(): EngineLoad & { state: string; age_ms: number; models: readonly string[] } {
         const now = performance.now();
-        const lag = this.cfg.lagMs ?? 0;
+        const lag = this.cfg.loadLagMs ?? 0;
         while (this.samples.length > 1 && this.samples[1]!.at <= now - lag) this.samples.shift();
-        const sample = lag === 0 || this.samples.length === 0 ? { at: now, load: this.model.load() } : this.samples[0]!;
+        const sample = lag === 0 || this.samples.length === 0
+            ? { at: now, load: this.model.load() }
+            : this.samples[0]!;
         const state = this.leaving ? "leaving" : "live";
         return { ...sample.load, state, age_ms: now - sample.at, models: this.cfg.models };
     }
 
-    private run(): void {
+    private scheduleIteration(): void {
         if (this.timer !== undefined || !this.model.busy) return;
         const { durationMs, emitted } = this.model.step();
         this.timer = setTimeout(() => {
             this.timer = undefined;
-            if ((this.cfg.lagMs ?? 0) > 0) this.samples.push({ at: performance.now(), load: this.model.load() });
+            if ((this.cfg.loadLagMs ?? 0) > 0) this.samples.push({ at: performance.now(), load: this.model.load() });
             for (const token of emitted) {
                 const generation = this.generations.get(token.id);
-                if (generation) this.emit(generation, token.index);
+                if (generation) this.emitToken(generation, token.index);
             }
-            this.run();
+            this.scheduleIteration();
         }, durationMs / (this.cfg.speed ?? 1));
     }
 
-    private emit(generation: Generation, index: number): void {
+    private emitToken(generation: Generation, index: number): void {
         generation.produced = index + 1;
-        this.tokensMade += 1;
-        if (!applyFault(generation, index, at => this.write(generation, at), () => this.cancel(generation.id))) {
-            this.write(generation, index);
+        this.tokensGenerated += 1;
+        if (!applyFault(generation, index, at => this.writeToken(generation, at), () => this.cancel(generation.id))) {
+            this.writeToken(generation, index);
         }
         if (generation.produced >= generation.total) this.finish(generation);
     }
 
-    private write(generation: Generation, index: number): void {
-        generation.out?.write(chunk(generation, index));
+    private writeToken(generation: Generation, index: number): void {
+        generation.response?.write(tokenEvent(generation, index));
     }
 
     private finish(generation: Generation): void {
         const total = generation.fault?.kind === "shortTotal" ? generation.total - 1 : generation.total;
-        const head = { id: generation.id, object: objectOf(generation), created: 0, model: generation.model };
+        const head = { id: generation.id, object: objectType(generation), created: 0, model: generation.model };
         const last = generation.chat
             ? { index: 0, delta: {}, finish_reason: "stop" }
             : { index: 0, text: "", finish_reason: "stop" };
         const data = { ...head, choices: [last], generation: generation.id, total, attempt: generation.attempt };
-        generation.out?.end(`data: ${JSON.stringify(data)}\n\ndata: [DONE]\n\n`);
+        generation.response?.end(`data: ${JSON.stringify(data)}\n\ndata: [DONE]\n\n`);
     }
 }
 
-function objectOf(generation: Generation): string {
+function objectType(generation: Generation): string {
     return generation.chat ? "chat.completion.chunk" : "text_completion";
 }
 
-function chunk(generation: Generation, index: number, id = generation.id): string {
+function tokenEvent(generation: Generation, index: number, id = generation.id): string {
     const text = `${generation.tag}.${generation.id}.${index} `;
     const content = generation.chat ? `"delta":{"content":"${text}"}` : `"text":"${text}"`;
     return `data: {"id":"${generation.id}","object":"${
-        objectOf(generation)
+        objectType(generation)
     }","created":0,"model":"${generation.model}",`
         + `"choices":[{"index":0,${content},"finish_reason":null}],"generation":"${id}","token":${index},`
         + `"attempt":"${generation.attempt}"}\n\n`;
 }
 
-function sendRefusal(out: ServerResponse, why: string, retryAfterS: number | undefined, status = 503): void {
+function sendRefusal(response: ServerResponse, why: string, retryAfterS: number | undefined, status = 503): void {
     const retry = retryAfterS === undefined ? {} : { "retry-after": String(retryAfterS) };
-    out.writeHead(status, { "content-type": "application/json", "x-ran": "no", ...retry });
-    out.end(JSON.stringify({ error: { message: why, type: "unavailable", code: "refused" } }));
+    response.writeHead(status, { "content-type": "application/json", "x-ran": "no", ...retry });
+    response.end(JSON.stringify({ error: { message: why, type: "unavailable", code: "refused" } }));
 }
 
-/** Faults that take the place of an answer; false where the request is to be answered. */
-function refuseBy(fault: EngineFault, out: ServerResponse): boolean {
+/** Injects a fault that replaces the answer; false if the fault is of another kind and the request is to be answered. */
+function replaceAnswer(fault: EngineFault, response: ServerResponse): boolean {
     const handlers: Partial<Record<EngineFault["kind"], () => void>> = {
-        refuse: () => sendRefusal(out, "no room", fault.kind === "refuse" ? fault.retryAfterS : undefined),
-        failUnproven: () => out.writeHead(500).end("{}"),
-        html: () => out.writeHead(200, { "content-type": "text/html" }).end("<html>not an engine</html>"),
-        never: () => undefined,
-        dieBeforeHead: () => out.destroy(),
+        refuse: () => sendRefusal(response, "no room", fault.kind === "refuse" ? fault.retryAfterS : undefined),
+        serverError: () => response.writeHead(500).end("{}"),
+        html: () => response.writeHead(200, { "content-type": "text/html" }).end("<html>not an engine</html>"),
+        noAnswer: () => undefined,
+        closeBeforeHead: () => response.destroy(),
     };
     const handler = handlers[fault.kind];
     handler?.();
     return handler !== undefined;
 }
 
-/** Applies a fault at its token; true where the token itself is not to be written. */
+/** Injects the fault of a generation when its token is due; true if the token itself is not to be written. */
 function applyFault(
     generation: Generation,
     index: number,
     write: (index: number) => void,
-    reclaim: () => void,
+    loseGeneration: () => void,
 ): boolean {
     const fault = generation.fault;
     if (!fault || !("at" in fault)) return false;
-    const out = generation.out;
+    const response = generation.response;
     if (fault.kind === "stallAt") return index >= fault.at;
     if (fault.kind === "swapAt" && index === fault.at + 1) {
         write(index);
@@ -334,20 +348,22 @@
     }
     if (index !== fault.at) return false;
     const handlers: Partial<Record<EngineFault["kind"], () => boolean>> = {
-        resetAt: () => (out?.destroy(), true),
-        reclaimedAt: () => (reclaim(), true),
+        resetAt: () => (response?.destroy(), true),
+        loseGenerationAt: () => (loseGeneration(), true),
         repeatAt: () => (write(index), false),
         skipAt: () => true,
         swapAt: () => true,
-        crossAt: () => (out?.write(chunk({ ...generation, attempt: "other.1", tag: "crossed" }, index)), false),
-        otherGenerationAt: () => (out?.write(chunk({ ...generation, tag: "other" }, index, "other-generation")), false),
-        halfChunkAt: () => (out?.write(chunk(generation, index).slice(0, 40)), out?.destroy(), true),
-        hugeChunkAt: () => (out?.write(`data: ${"x".repeat(HUGE_CHUNK_BYTES)}\n\n`), false),
+        foreignTokenAt:
+            () => (response?.write(tokenEvent({ ...generation, attempt: "other.1", tag: "crossed" }, index)), false),
+        otherGenerationAt:
+            () => (response?.write(tokenEvent({ ...generation, tag: "other" }, index, "other-generation")), false),
+        halfChunkAt: () => (response?.write(tokenEvent(generation, index).slice(0, 40)), response?.destroy(), true),
+        hugeChunkAt: () => (response?.write(`data: ${"x".repeat(HUGE_CHUNK_BYTES)}\n\n`), false),
     };
     return handlers[fault.kind]?.() ?? false;
 }
 
-/** A length that depends on the prompt alone, for requests that say none. */
-function lengthFrom(text: string): number {
+/** Output length for a request that states none: 5 to 64 tokens, derived from a hash of the prompt. */
+function outputLengthOf(text: string): number {
     return 5 + createHash("sha256").update(text).digest().readUInt16BE(0) % 60;
 }
--- a/packages/standins/src/experiment.ts
+++ b/packages/standins/src/experiment.ts
@@ -1,6 +1,6 @@
 /**
- * Decisions against model engines on a virtual clock: one hall's hosts, each with its own decisions, before engines that
- * they share. Messages are handed over directly, with delay and loss; no network and no cluster is simulated.
+ * Simulates the scheduling policy on a virtual clock. The hosts of one hall, each with its own scheduler, share model engines.
+ * Messages between hosts are passed directly, with a delay and random loss; there are no sockets and no daemons.
  *
  * @module
  */
@@ -35,7 +35,7 @@
 import { type RandomGenerator, uniformFloat64, xoroshiro128plus } from "./random.js";
 import type { Arrival } from "./traffic.js";
 
-/** What is to be measured. Times are milliseconds of the virtual clock. */
+/** Configuration of an experiment. Times are in milliseconds of the virtual clock. */
 export interface ExperimentCfg {
     readonly arrivals: readonly Arrival[];
     readonly variant: Variant;
@@ -44,78 +44,79 @@
     readonly engine?: EngineCfg;
     readonly hosts: number;
     readonly seed: number;
-    /** Lag of each engine's load reports, drawn between these. */
-    readonly lagMs: readonly [number, number];
-    /** Share of reports that are missing. */
-    readonly reportLoss: number;
-    /** At this time a third of the engines is lost with all that runs there; undefined for never. */
-    readonly loseThirdAt?: number | undefined;
-    /** How often hosts tell owners, and owners tell hosts. */
-    readonly tellMs?: number;
+    /** Range from which the lag of each engine's load reports is drawn. */
+    readonly loadReportLagMs: readonly [number, number];
+    /** Share of load reports that are lost. */
+    readonly loadReportLoss: number;
+    /** Time at which a third of the engines fails with all its generations; undefined for never. */
+    readonly engineLossAt?: number | undefined;
+    /** Interval at which hosts report their load to owners, and owners report to hosts. */
+    readonly reportIntervalMs?: number;
     /** Share of messages between hosts that are lost. */
     readonly messageLoss?: number;
 }
 
-/** What was measured. */
-export interface Measured {
+/** Measurements of one run. */
+export interface ExperimentResult {
     readonly arrivals: number;
     readonly whole: number;
-    /** Whole answers within their deadline ({@link deadlineOf}). */
+    /** Whole answers that ended by their deadline ({@link deadlineOf}). */
     readonly good: number;
     readonly refused: number;
+    /** Answers whose engine failed after their first token. */
     readonly broken: number;
     readonly preemptions: number;
-    /** Sum of what gaps lie above the target, over all streams, in seconds. */
+    /** Sum over all gaps between tokens of the time by which each exceeds {@link GAP_TARGET_MS}, in seconds. */
     readonly stallS: number;
     readonly gaps: TimeHistogram;
-    /** The 99.9 % quantile of gaps of each stream that has at least {@link STREAM_TAIL_GAPS}, over streams. */
+    /** The 99.9 % quantiles of the gaps of single streams with at least {@link MIN_GAPS_FOR_TAIL} gaps. */
     readonly streamTails: TimeHistogram;
     readonly firstToken: TimeHistogram;
-    /** First tokens of live requests alone. */
+    /** Like `firstToken`, for requests of priority `live` only. */
     readonly liveFirstToken: TimeHistogram;
-    /** Share of lengths that stayed within the 90 % quantile stated at dispatch: the estimates' calibration. */
+    /** Share of whole answers no longer than the 90 % quantile estimated at dispatch: the calibration of the estimates. */
     readonly within90: number;
     readonly decisions: number;
-    /** Bytes that hosts sent each other, per host and second. */
+    /** Bytes that each host sent to other hosts, per second. */
     readonly peerBytesPerS: number;
 }
 
-/** A gap above this is stall time: letter 1's bound between tokens. */
+/** The required bound on the time between tokens; the time above it counts as stall time. */
 export const GAP_TARGET_MS = 44;
-const REPORT_EVERY_MS = 500;
-const TICK_MS = 50;
-const TO_ENGINE_MS = 1;
-const TO_PEER_MS = 1;
-/** Streams with fewer gaps have no tail to speak of. */
-export const STREAM_TAIL_GAPS = 50;
+const LOAD_REPORT_INTERVAL_MS = 500;
+const TICK_INTERVAL_MS = 50;
+const ENGINE_DELAY_MS = 1;
+const PEER_DELAY_MS = 1;
+/** Streams with fewer gaps are left out of `streamTails`: too few values for a tail quantile. */
+export const MIN_GAPS_FOR_TAIL = 50;
 const FIRST_TOKEN_ALLOWED_MS = 15_000;
 const PER_TOKEN_ALLOWED_MS = 60;
-/** After the last arrival, running work gets this long to end. */
-const AFTER_MS = 600_000;
-const LOST_SHARE = 1 / 3;
+/** Time after the last arrival until which running requests may end. */
+const DRAIN_MS = 600_000;
+const LOST_ENGINE_SHARE = 1 / 3;
 
-/** By when an answer must be whole to count as good, from its arrival. */
+/** Time after its arrival by which a request's answer must be whole to count as good. */
 export function deadlineOf(arrival: Arrival): number {
     return FIRST_TOKEN_ALLOWED_MS + arrival.output * PER_TOKEN_ALLOWED_MS;
 }
 
-interface Timed {
+interface TimedEvent {
     readonly at: number;
-    readonly order: number;
+    readonly sequence: number;
     readonly run: (now: number) => void;
 }
 
 interface HostSim {
     state: SchedulerState;
-    ticking: boolean;
-    share: LoadExchange;
+    isTickScheduled: boolean;
+    exchange: LoadExchange;
 }
 
 interface EngineSim {
     readonly model: EngineModel;
-    readonly lagMs: number;
-    stepping: boolean;
-    lost: boolean;
+    readonly loadReportLagMs: number;
+    isRunning: boolean;
+    isLost: boolean;
 }
 
 interface StreamSim {
@@ -123,20 +124,20 @@
     readonly host: number;
     readonly job: Job;
     produced: number;
-    lastAt: number;
+    lastTokenAt: number;
     readonly gaps: number[];
-    since: { tokens: number; sum: number; max: number };
+    sinceProgress: { tokens: number; sum: number; max: number };
     engine: number;
-    /** The engine's work of this attempt; an earlier attempt's tokens are of another name. */
+    /** Number of the current attempt. It is part of the engine job's id, so that jobs of different attempts differ. */
     attempt: number;
-    ended: boolean;
-    bound90: number;
+    hasEnded: boolean;
+    length90: number;
 }
 
-/** One run of an experiment. */
+/** A running experiment: the virtual clock's queue of events, the simulated hosts and engines, and the counts. */
 class Experiment {
-    private readonly queue = new TinyQueue<Timed>([], (a, b) => a.at - b.at || a.order - b.order);
-    private order = 0;
+    private readonly queue = new TinyQueue<TimedEvent>([], (a, b) => a.at - b.at || a.sequence - b.sequence);
+    private nextSequence = 0;
     private readonly hosts: HostSim[];
     private readonly engines: EngineSim[];
     private readonly streams = new Map<string, StreamSim>();
@@ -145,7 +146,7 @@
     private readonly streamTails = new TimeHistogram();
     private readonly firstToken = new TimeHistogram();
     private readonly liveFirstToken = new TimeHistogram();
-    private open = 0;
+    private openStreams = 0;
     private peerBytes = 0;
     private readonly hostNames: readonly string[];
     private counts = {
@@ -161,74 +162,85 @@
 
     constructor(private readonly cfg: ExperimentCfg) {
         this.random = xoroshiro128plus(cfg.seed);
-        const [least, most] = cfg.lagMs;
+        const [least, most] = cfg.loadReportLagMs;
         this.engines = Array.from({ length: cfg.engines }, () => ({
             model: new EngineModel(cfg.engine ?? ENGINE),
-            lagMs: least + (most - least) * uniformFloat64(this.random),
-            stepping: false,
-            lost: false,
+            loadReportLagMs: least + (most - least) * uniformFloat64(this.random),
+            isRunning: false,
+            isLost: false,
         }));
-        this.hostNames = Array.from({ length: cfg.hosts }, (_, at) => `host-${at}`);
+        this.hostNames = Array.from({ length: cfg.hosts }, (_, index) => `host-${index}`);
         this.hosts = Array.from(
             { length: cfg.hosts },
-            (_, at) => ({
-                state: createScheduler(cfg.variant, at + 1),
-                ticking: false,
-                share: createLoadExchange(`host-${at}`),
+            (_, index) => ({
+                state: createScheduler(cfg.variant, index + 1),
+                isTickScheduled: false,
+                exchange: createLoadExchange(`host-${index}`),
             }),
         );
     }
 
-    private follow(host: number, { state, send, events }: LoadExchangeStep, now: number): void {
-        this.hosts[host]!.share = state;
-        for (const { to, message } of send) this.message(host, this.hostNames.indexOf(to), message, now);
-        for (const event of events) this.tell(host, event, now);
+    private applyExchangeStep(host: number, { state, send, events }: LoadExchangeStep, now: number): void {
+        this.hosts[host]!.exchange = state;
+        for (const { to, message } of send) this.sendMessage(host, this.hostNames.indexOf(to), message, now);
+        for (const event of events) this.handleEvent(host, event, now);
     }
 
-    /** Hands a message over after its delay, unless it is lost. */
-    private message(from: number, to: number, message: LoadMessage, now: number): void {
+    /** Delivers a message to another host after the delay, or drops it. */
+    private sendMessage(from: number, to: number, message: LoadMessage, now: number): void {
         this.peerBytes += encodeFrame(message).length;
         if (uniformFloat64(this.random) < (this.cfg.messageLoss ?? 0)) return;
-        this.at(now + TO_PEER_MS, later => {
+        this.schedule(now + PEER_DELAY_MS, later => {
             const sim = this.hosts[to]!;
-            this.follow(to, receiveLoadMessage(sim.share, this.hostNames[from]!, message, sim.state, later), later);
+            this.applyExchangeStep(
+                to,
+                receiveLoadMessage(sim.exchange, this.hostNames[from]!, message, sim.state, later),
+                later,
+            );
         });
     }
 
-    private round(host: number, now: number): void {
-        this.at(now + Math.min(this.tellMs, HOLDER_REPORT_INTERVAL_MS), later => this.round(host, later));
+    private runExchangeRound(host: number, now: number): void {
+        this.schedule(
+            now + Math.min(this.reportIntervalMs, HOLDER_REPORT_INTERVAL_MS),
+            later => this.runExchangeRound(host, later),
+        );
         const sim = this.hosts[host]!;
-        const othersEveryMs = this.tellMs <= HOLDER_REPORT_INTERVAL_MS ? 0 : this.tellMs;
-        this.follow(host, runLoadRound(sim.share, sim.state.endpoints, this.hostNames, now, othersEveryMs), now);
+        const othersEveryMs = this.reportIntervalMs <= HOLDER_REPORT_INTERVAL_MS ? 0 : this.reportIntervalMs;
+        this.applyExchangeStep(
+            host,
+            runLoadRound(sim.exchange, sim.state.endpoints, this.hostNames, now, othersEveryMs),
+            now,
+        );
     }
 
-    private get tellMs(): number {
-        return this.cfg.tellMs ?? ownerReportIntervalMs(this.cfg.hosts);
+    private get reportIntervalMs(): number {
+        return this.cfg.reportIntervalMs ?? ownerReportIntervalMs(this.cfg.hosts);
     }
 
-    run(): Measured {
-        const endpoints = this.engines.map(({ model }, at) => ({
-            id: `e${at}`,
+    run(): ExperimentResult {
+        const endpoints = this.engines.map(({ model }, index) => ({
+            id: `e${index}`,
             hall: "h",
             models: ["m"],
             memoryTokens: model.cfg.memoryTokens,
         }));
-        for (const at of this.hosts.keys()) {
-            this.tell(at, { kind: "endpoints", endpoints }, -60_000);
+        for (const index of this.hosts.keys()) {
+            this.handleEvent(index, { kind: "endpoints", endpoints }, -60_000);
             if (this.cfg.variant.share !== "owner" || this.cfg.hosts === 1) continue;
-            this.round(at, -this.tellMs * uniformFloat64(this.random));
+            this.runExchangeRound(index, -this.reportIntervalMs * uniformFloat64(this.random));
         }
-        for (const [at, arrival] of this.cfg.arrivals.entries()) {
-            this.at(arrival.at, now => this.arrive(arrival, at % this.cfg.hosts, now));
+        for (const [index, arrival] of this.cfg.arrivals.entries()) {
+            this.schedule(arrival.at, now => this.arrive(arrival, index % this.cfg.hosts, now));
         }
-        for (const at of this.engines.keys()) {
-            this.at(REPORT_EVERY_MS * uniformFloat64(this.random), now => this.report(at, now));
+        for (const index of this.engines.keys()) {
+            this.schedule(LOAD_REPORT_INTERVAL_MS * uniformFloat64(this.random), now => this.reportLoad(index, now));
         }
-        if (this.cfg.loseThirdAt !== undefined) this.at(this.cfg.loseThirdAt, now => this.loseThird(now));
-        const end = (this.cfg.arrivals.at(-1)?.at ?? 0) + AFTER_MS;
-        this.open = this.cfg.arrivals.length;
+        if (this.cfg.engineLossAt !== undefined) this.schedule(this.cfg.engineLossAt, now => this.loseEngines(now));
+        const end = (this.cfg.arrivals.at(-1)?.at ?? 0) + DRAIN_MS;
+        this.openStreams = this.cfg.arrivals.length;
         let lastAt = 1;
-        for (let next = this.queue.pop(); next && next.at < end && this.open > 0; next = this.queue.pop()) {
+        for (let next = this.queue.pop(); next && next.at < end && this.openStreams > 0; next = this.queue.pop()) {
             lastAt = next.at;
             next.run(next.at);
         }
@@ -251,27 +263,27 @@
         };
     }
 
-    private at(at: number, run: (now: number) => void): void {
-        this.queue.push({ at, order: this.order++, run });
+    private schedule(at: number, run: (now: number) => void): void {
+        this.queue.push({ at, sequence: this.nextSequence++, run });
     }
 
-    private tell(host: number, event: SchedulerEvent, now: number): void {
+    private handleEvent(host: number, event: SchedulerEvent, now: number): void {
         const sim = this.hosts[host]!;
         const { state, actions } = decide(sim.state, event, now);
         this.counts.decisions += 1;
         sim.state = state;
-        for (const action of actions) this.carryOut(action, now);
-        if (state.waiting.length + state.asked.size > 0 && !sim.ticking) {
-            sim.ticking = true;
-            this.at(now + TICK_MS, later => {
-                sim.ticking = false;
-                this.tell(host, { kind: "tick" }, later);
+        for (const action of actions) this.execute(action, now);
+        if (state.waiting.length + state.asked.size > 0 && !sim.isTickScheduled) {
+            sim.isTickScheduled = true;
+            this.schedule(now + TICK_INTERVAL_MS, later => {
+                sim.isTickScheduled = false;
+                this.handleEvent(host, { kind: "tick" }, later);
             });
         }
     }
 
     private arrive(arrival: Arrival, host: number, now: number): void {
-        const { stream, promptTokens, prefix, output } = arrival;
+        const { requestClass: stream, promptTokens, prefix, output } = arrival;
         const job: Job = {
             id: arrival.id,
             group: { workspace: stream.workspace, service: stream.service, model: "m" },
@@ -288,47 +300,51 @@
             host,
             job,
             produced: 0,
-            lastAt: now,
+            lastTokenAt: now,
             gaps: [],
-            since,
+            sinceProgress: since,
             engine: -1,
             attempt: 0,
-            ended: false,
-            bound90: 0,
+            hasEnded: false,
+            length90: 0,
         });
-        this.tell(host, { kind: "arrive", job, avoid: [], retry: false }, now);
+        this.handleEvent(host, { kind: "arrive", job, avoid: [], retry: false }, now);
     }
 
-    private carryOut(action: SchedulerAction, now: number): void {
+    private execute(action: SchedulerAction, now: number): void {
         const stream = this.streams.get(action.job)!;
         if (action.kind === "ask") {
             const sim = this.hosts[stream.host]!;
-            this.follow(stream.host, askOwner(sim.share, action, sim.state.endpoints, this.hostNames, now), now);
+            this.applyExchangeStep(
+                stream.host,
+                askOwner(sim.exchange, action, sim.state.endpoints, this.hostNames, now),
+                now,
+            );
             return;
         }
         if (action.kind === "noCopy") return;
         if (action.kind === "refuse") {
             this.counts.refused += 1;
-            this.end(stream);
+            this.closeStream(stream);
             return;
         }
-        // The experiment's engines neither leave nor keep copies.
+        // The simulated engines never leave and hold no copies.
         if (action.kind === "copy") return;
         stream.engine = Number(action.endpoint.slice(1));
-        stream.bound90 = this.statedBound(stream);
+        stream.length90 = this.estimateLength90(stream);
         stream.attempt += 1;
         const { attempt } = stream;
-        this.at(now + TO_ENGINE_MS, later => this.submit(stream, attempt, action.priority, later));
+        this.schedule(now + ENGINE_DELAY_MS, later => this.submit(stream, attempt, action.priority, later));
     }
 
-    /** The length that the host's estimates say nine in ten outputs stay within. */
-    private statedBound({ host, job }: StreamSim): number {
+    /** The 90 % quantile of the output's length, by the estimates of the stream's host. */
+    private estimateLength90({ host, job }: StreamSim): number {
         return quantileLength(survivalOf(this.hosts[host]!.state.estimates, job.group, job.maxTokens), 0, 0.9);
     }
 
     private submit(stream: StreamSim, attempt: number, priority: number, now: number): void {
         const engine = this.engines[stream.engine]!;
-        if (engine.lost) return this.lose(stream, now);
+        if (engine.isLost) return this.handleEngineLoss(stream, now);
         const { job, arrival } = stream;
         const { promptTokens, prefix, prefixTokens } = job;
         engine.model.submit({
@@ -339,48 +355,48 @@
             output: arrival.output,
             priority,
         });
-        if (!engine.stepping) this.step(engine, now);
+        if (!engine.isRunning) this.runIteration(engine, now);
     }
 
-    private step(engine: EngineSim, now: number): void {
-        engine.stepping = engine.model.busy && !engine.lost;
-        if (!engine.stepping) return;
+    private runIteration(engine: EngineSim, now: number): void {
+        engine.isRunning = engine.model.busy && !engine.isLost;
+        if (!engine.isRunning) return;
         const { durationMs, emitted, preempted } = engine.model.step();
         this.counts.preemptions += preempted.length;
-        this.at(now + durationMs, later => {
-            if (engine.lost) return;
+        this.schedule(now + durationMs, later => {
+            if (engine.isLost) return;
             for (const { id, last } of emitted) {
-                this.token(this.streams.get(id.slice(0, id.indexOf("#")))!, last, later);
+                this.handleToken(this.streams.get(id.slice(0, id.indexOf("#")))!, last, later);
             }
-            this.step(engine, later);
+            this.runIteration(engine, later);
         });
     }
 
-    private token(stream: StreamSim, last: boolean, now: number): void {
-        const gap = now - stream.lastAt;
+    private handleToken(stream: StreamSim, last: boolean, now: number): void {
+        const gap = now - stream.lastTokenAt;
         if (stream.produced === 0) {
             this.firstToken.record(now - stream.arrival.at);
-            if (stream.arrival.stream.priority === "live") this.liveFirstToken.record(now - stream.arrival.at);
+            if (stream.arrival.requestClass.priority === "live") this.liveFirstToken.record(now - stream.arrival.at);
         }
         else {
             this.gaps.record(gap);
             this.counts.stallMs += Math.max(0, gap - GAP_TARGET_MS);
             stream.gaps.push(gap);
-            stream.since.tokens += 1;
-            stream.since.sum += gap;
-            stream.since.max = Math.max(stream.since.max, gap);
+            stream.sinceProgress.tokens += 1;
+            stream.sinceProgress.sum += gap;
+            stream.sinceProgress.max = Math.max(stream.sinceProgress.max, gap);
         }
         stream.produced += 1;
-        stream.lastAt = now;
-        if (last) this.finish(stream, now);
-        else if (isProgressDue(stream.produced)) this.progress(stream, now);
+        stream.lastTokenAt = now;
+        if (last) this.completeStream(stream, now);
+        else if (isProgressDue(stream.produced)) this.reportProgress(stream, now);
     }
 
-    private progress(stream: StreamSim, now: number): void {
-        const { tokens, sum, max } = stream.since;
-        stream.since = { tokens: 0, sum: 0, max: 0 };
+    private reportProgress(stream: StreamSim, now: number): void {
+        const { tokens, sum, max } = stream.sinceProgress;
+        stream.sinceProgress = { tokens: 0, sum: 0, max: 0 };
         const meanGapMs = tokens === 0 ? 0 : sum / tokens;
-        this.tell(stream.host, {
+        this.handleEvent(stream.host, {
             kind: "progress",
             job: stream.job.id,
             produced: stream.produced,
@@ -389,72 +405,77 @@
         }, now);
     }
 
-    private finish(stream: StreamSim, now: number): void {
+    private completeStream(stream: StreamSim, now: number): void {
         this.counts.whole += 1;
-        if (stream.produced <= stream.bound90) this.counts.within90 += 1;
+        if (stream.produced <= stream.length90) this.counts.within90 += 1;
         if (now - stream.arrival.at <= deadlineOf(stream.arrival)) this.counts.good += 1;
-        if (stream.gaps.length >= STREAM_TAIL_GAPS) {
+        if (stream.gaps.length >= MIN_GAPS_FOR_TAIL) {
             const sorted = stream.gaps.toSorted((a, b) => a - b);
             this.streamTails.record(sorted[Math.ceil(sorted.length * 0.999) - 1]!);
         }
-        this.end(stream);
-        this.tell(stream.host, { kind: "ended", job: stream.job.id, outcome: "whole", produced: stream.produced }, now);
+        this.closeStream(stream);
+        this.handleEvent(stream.host, {
+            kind: "ended",
+            job: stream.job.id,
+            outcome: "whole",
+            produced: stream.produced,
+        }, now);
     }
 
-    private end(stream: StreamSim): void {
-        stream.ended = true;
-        this.open -= 1;
+    private closeStream(stream: StreamSim): void {
+        stream.hasEnded = true;
+        this.openStreams -= 1;
     }
 
-    /** A stream's engine is gone: it is tried elsewhere if nothing has gone out, else its answer is broken. */
-    private lose(stream: StreamSim, now: number): void {
-        if (stream.ended) return;
+    /** Handles the loss of a stream's engine: retries the request if no token was produced, else counts it as broken. */
+    private handleEngineLoss(stream: StreamSim, now: number): void {
+        if (stream.hasEnded) return;
         const lost = `e${stream.engine}`;
         stream.engine = -1;
-        this.tell(
+        this.handleEvent(
             stream.host,
             { kind: "ended", job: stream.job.id, outcome: "failed", produced: stream.produced },
             now,
         );
         if (stream.produced > 0) {
             this.counts.broken += 1;
-            this.end(stream);
+            this.closeStream(stream);
         }
-        else this.tell(stream.host, { kind: "arrive", job: stream.job, avoid: [lost], retry: true }, now);
+        else this.handleEvent(stream.host, { kind: "arrive", job: stream.job, avoid: [lost], retry: true }, now);
     }
 
-    private loseThird(now: number): void {
-        const lost = this.engines.slice(0, Math.floor(this.engines.length * LOST_SHARE));
-        for (const engine of lost) engine.lost = true;
+    private loseEngines(now: number): void {
+        const lost = this.engines.slice(0, Math.floor(this.engines.length * LOST_ENGINE_SHARE));
+        for (const engine of lost) engine.isLost = true;
         for (const stream of [...this.streams.values()]) {
-            if (stream.engine >= 0 && this.engines[stream.engine]!.lost) this.lose(stream, now);
+            if (stream.engine >= 0 && this.engines[stream.engine]!.isLost) this.handleEngineLoss(stream, now);
         }
     }
 
-    private report(at: number, now: number): void {
+    private reportLoad(at: number, now: number): void {
         const engine = this.engines[at]!;
-        if (engine.lost) return;
-        this.at(now + REPORT_EVERY_MS, later => this.report(at, later));
+        if (engine.isLost) return;
+        this.schedule(now + LOAD_REPORT_INTERVAL_MS, later => this.reportLoad(at, later));
         const load = engine.model.load();
         for (const host of this.hosts.keys()) {
-            if (uniformFloat64(this.random) < this.cfg.reportLoss) continue;
+            if (uniformFloat64(this.random) < this.cfg.loadReportLoss) continue;
             const report = { ...load, at: now };
-            this.at(
-                now + engine.lagMs,
-                later => this.tell(host, { kind: "report", endpoint: `e${at}`, report }, later),
+            this.schedule(
+                now + engine.loadReportLagMs,
+                later => this.handleEvent(host, { kind: "report", endpoint: `e${at}`, report }, later),
             );
         }
     }
 }
 
 /**
- * Runs an experiment. The same settings and seed give the same result.
+ * Runs an experiment. The same configuration, seed included, gives the same result.
  *
  * @example
  * ```ts
- * runExperiment({ arrivals, variant: DEFAULT_VARIANT, policy, engines: 10, hosts: 1, seed: 1, lagMs: [500, 5000], reportLoss: 0.1 }).preemptions;
+ * runExperiment({ arrivals, variant: DEFAULT_VARIANT, policy, engines: 10, hosts: 1, seed: 1, loadReportLagMs: [500, 5000], loadReportLoss: 0.1 }).preemptions;
  * ```
  */
-export function runExperiment(cfg: ExperimentCfg): Measured {
+export function runExperiment(cfg: ExperimentCfg): ExperimentResult {
     return new Experiment(cfg).run();
 }
--- a/packages/standins/src/fault-matrix.ts
+++ b/packages/standins/src/fault-matrix.ts
@@ -1,10 +1,10 @@
 /**
- * The fault matrix: every fault at every step of a request, run against the production state machine.
+ * The fault matrix: applies every fault at every step of a request, and runs the production state machine to the end.
  *
  * @module
  */
 import { FailCode } from "@drumpaddle/request";
-import { World, type WorldCfg } from "./fault-world.js";
+import { RequestSimulation, type SimulationCfg } from "./request-simulation.js";
 
 /** Steps of a request, in order. */
 export const STEPS = [
@@ -21,101 +21,125 @@
 /** One of {@link STEPS}. */
 export type StepName = typeof STEPS[number];
 
-const TOKENS = 4;
+const TOKEN_COUNT = 4;
 
-/** Brings a request to a step. `connecting` and `admitted` differ in that the dispatch has been carried out. */
-const REACH: { readonly [K in StepName]: (world: World) => void } = {
+/**
+ * Brings a simulated request to a step. The simulation executes the dispatch on admission, so `admitted` and `connecting`
+ * are the same state here.
+ */
+const ADVANCE_TO: { readonly [K in StepName]: (simulation: RequestSimulation) => void } = {
     "accepted": () => undefined,
     "waiting": () => undefined,
-    "admitted": world => world.admit(),
-    "connecting": world => world.admit(),
-    "first byte sent": world => (world.admit(), world.send()),
-    "before the first token": world => (world.admit(), world.send(), world.begin(), world.open()),
-    "mid-stream": world => (REACH["before the first token"](world), world.token(), world.token()),
-    "before the last token": world => (REACH["mid-stream"](world), world.token()),
-    "settled": world => world.finish(),
+    "admitted": simulation => simulation.admit(),
+    "connecting": simulation => simulation.admit(),
+    "first byte sent": simulation => (simulation.admit(), simulation.sendFirstByte()),
+    "before the first token":
+        simulation => (simulation.admit(),
+            simulation.sendFirstByte(),
+            simulation.startGeneration(),
+            simulation.receiveHead()),
+    "mid-stream":
+        simulation => (ADVANCE_TO["before the first token"](simulation),
+            simulation.receiveToken(),
+            simulation.receiveToken()),
+    "before the last token": simulation => (ADVANCE_TO["mid-stream"](simulation), simulation.receiveToken()),
+    "settled": simulation => simulation.runToEnd(),
 };
 
-const BEFORE_SENT: readonly StepName[] = ["accepted", "waiting", "admitted", "connecting"];
-const UNPLACED: readonly StepName[] = ["accepted", "waiting"];
-const STREAMING: readonly StepName[] = ["mid-stream", "before the last token"];
-const ANSWERED: readonly StepName[] = ["before the first token", ...STREAMING];
+const STEPS_BEFORE_SEND: readonly StepName[] = ["accepted", "waiting", "admitted", "connecting"];
+const STEPS_BEFORE_ADMISSION: readonly StepName[] = ["accepted", "waiting"];
+const STREAMING_STEPS: readonly StepName[] = ["mid-stream", "before the last token"];
+const STEPS_AFTER_HEAD: readonly StepName[] = ["before the first token", ...STREAMING_STEPS];
 
-/** One fault. */
-export interface FaultRow {
+/** A fault, the steps at which it can occur and the outcomes that are correct after it. */
+export interface Fault {
     readonly name: string;
-    readonly apply: (world: World) => void;
-    /** Steps at which it cannot occur, and why. */
+    readonly apply: (simulation: RequestSimulation) => void;
+    /** Steps at which the fault cannot occur, and the reason, which is printed below the matrix. */
     readonly impossible: { readonly steps: readonly StepName[]; readonly why: string };
-    /** Outcomes that are allowed where it can occur, by how the request was made. */
-    readonly allowed: (cfg: WorldCfg, step: StepName) => readonly string[];
+    /** Correct outcomes at a step where the fault can occur. */
+    readonly allowed: (cfg: SimulationCfg, step: StepName) => readonly string[];
 }
 
-const noEndpointYet = { steps: [...UNPLACED, "settled"] as readonly StepName[], why: "no endpoint is involved" };
-const noAnswerYet = {
-    steps: [...BEFORE_SENT, "first byte sent", "settled"] as readonly StepName[],
+const impossibleWithoutEndpoint = {
+    steps: [...STEPS_BEFORE_ADMISSION, "settled"] as readonly StepName[],
+    why: "no endpoint is involved",
+};
+const impossibleWithoutAnswer = {
+    steps: [...STEPS_BEFORE_SEND, "first byte sent", "settled"] as readonly StepName[],
     why: "the engine has not answered, or is done",
 };
-const never = { steps: [] as readonly StepName[], why: "" };
+const possibleAtEveryStep = { steps: [] as readonly StepName[], why: "" };
 
 function isStreaming(step: StepName): boolean {
-    return STREAMING.includes(step);
+    return STREAMING_STEPS.includes(step);
 }
 
-/** After a fault that loses the engine: repeatable work starts again while nothing went out; else it ends honestly. */
-function afterLoss(code: FailCode): FaultRow["allowed"] {
+/**
+ * Correct outcomes after the engine is lost. A repeatable request of which no token was delivered is retried; any other
+ * fails with `code`, and the error says whether it ran.
+ */
+function outcomesAfterEngineLoss(code: FailCode): Fault["allowed"] {
     return (cfg, step) => {
-        if (BEFORE_SENT.includes(step)) return ["whole", "whole after retry"];
-        const wentOut = cfg.streamed && isStreaming(step);
-        if (cfg.repeatable && !wentOut) return ["whole after retry"];
+        if (STEPS_BEFORE_SEND.includes(step)) return ["whole", "whole after retry"];
+        const wasDelivered = cfg.streamed && isStreaming(step);
+        if (cfg.repeatable && !wasDelivered) return ["whole after retry"];
         return [`${code}, ran ${isStreaming(step) ? "yes" : "unknown"}`];
     };
 }
 
-function lost(world: World): { attempt: string; generation: string; next: number } {
-    const { attempt, generation, next } = world.connection!;
+function connectionOf(simulation: RequestSimulation): { attempt: string; generation: string; next: number } {
+    const { attempt, generation, nextIndex: next } = simulation.connection!;
     return { attempt, generation: generation ?? "none", next };
 }
 
-/** All faults. After each, everything goes well again, so that what is seen is what the fault did. */
-export const FAULTS: readonly FaultRow[] = [
+/** All faults. No further fault follows the one applied, so the outcome shows the effect of this fault alone. */
+export const FAULTS: readonly Fault[] = [
     {
         name: "endpoint refuses",
-        apply: world => {
-            const { attempt } = lost(world);
-            world.event({ kind: "endpointRefused", attempt, detail: "no room" });
+        apply: simulation => {
+            const { attempt } = connectionOf(simulation);
+            simulation.handle({ kind: "endpointRefused", attempt, detail: "no room" });
+        },
+        impossible: {
+            steps: [...STEPS_BEFORE_SEND, ...STEPS_AFTER_HEAD, "settled"],
+            why: "a refusal answers the first bytes",
         },
-        impossible: { steps: [...BEFORE_SENT, ...ANSWERED, "settled"], why: "a refusal answers the first bytes" },
         allowed: () => ["whole after retry"],
     },
     {
         name: "endpoint cannot be reached",
-        apply: world => world.lose("connect"),
-        impossible: { steps: [...UNPLACED, "first byte sent", ...ANSWERED, "settled"], why: "the connection stands" },
+        apply: simulation => simulation.breakConnection("connect"),
+        impossible: {
+            steps: [...STEPS_BEFORE_ADMISSION, "first byte sent", ...STEPS_AFTER_HEAD, "settled"],
+            why: "the connection stands",
+        },
         allowed: () => ["whole after retry"],
     },
     {
         name: "endpoint dies",
-        apply: world => world.reclaim(),
-        impossible: noEndpointYet,
+        apply: simulation => simulation.loseGeneration(),
+        impossible: impossibleWithoutEndpoint,
         allowed: (cfg, step) => {
             const code = step === "first byte sent" ? FailCode.EndpointLost : FailCode.StreamIncomplete;
-            return step === "admitted" || step === "connecting" ? ["whole after retry"] : afterLoss(code)(cfg, step);
+            return step === "admitted" || step === "connecting"
+                ? ["whole after retry"]
+                : outcomesAfterEngineLoss(code)(cfg, step);
         },
     },
     {
         name: "connection resets, generation lives",
-        apply: world => world.lose("reset"),
+        apply: simulation => simulation.breakConnection("reset"),
         impossible: {
-            steps: [...BEFORE_SENT, "first byte sent", "settled"],
+            steps: [...STEPS_BEFORE_SEND, "first byte sent", "settled"],
             why: "no generation is known yet, or it is done",
         },
         allowed: () => ["whole"],
     },
     {
         name: "endpoint stalls",
-        apply: world => world.lose(world.state.tokenSeen ? "idle" : "firstToken"),
-        impossible: { steps: [...BEFORE_SENT, "settled"], why: "nothing is awaited" },
+        apply: simulation => simulation.breakConnection(simulation.state.tokenSeen ? "idle" : "firstToken"),
+        impossible: { steps: [...STEPS_BEFORE_SEND, "settled"], why: "nothing is awaited" },
         allowed: (cfg, step) =>
             step === "first byte sent"
                 ? cfg.repeatable ? ["whole after retry"] : [`${FailCode.EndpointSilent}, ran unknown`]
@@ -123,198 +147,214 @@
     },
     {
         name: "endpoint answers nonsense",
-        apply: world => world.lose("invalid"),
-        impossible: { steps: [...BEFORE_SENT, "settled"], why: "nothing is awaited" },
+        apply: simulation => simulation.breakConnection("invalid"),
+        impossible: { steps: [...STEPS_BEFORE_SEND, "settled"], why: "nothing is awaited" },
         allowed: (cfg, step) => {
-            const wentOut = cfg.streamed && isStreaming(step);
-            if (cfg.repeatable && !wentOut) return ["whole after retry"];
+            const wasDelivered = cfg.streamed && isStreaming(step);
+            if (cfg.repeatable && !wasDelivered) return ["whole after retry"];
             return [`${FailCode.EndpointInvalid}, ran ${isStreaming(step) ? "yes" : "unknown"}`];
         },
     },
     {
         name: "endpoint repeats a token",
-        apply: world => {
-            const { attempt, generation, next } = lost(world);
-            for (let index = 0; index < next; index++) world.event({ kind: "token", attempt, generation, index });
+        apply: simulation => {
+            const { attempt, generation, next } = connectionOf(simulation);
+            for (let index = 0; index < next; index++) simulation.handle({ kind: "token", attempt, generation, index });
         },
-        impossible: noAnswerYet,
+        impossible: impossibleWithoutAnswer,
         allowed: () => ["whole"],
     },
     {
         name: "endpoint skips a token",
-        apply: world => {
-            const { attempt, generation, next } = lost(world);
-            world.event({ kind: "token", attempt, generation, index: next + 1 });
+        apply: simulation => {
+            const { attempt, generation, next } = connectionOf(simulation);
+            simulation.handle({ kind: "token", attempt, generation, index: next + 1 });
         },
         impossible: {
-            steps: [...noAnswerYet.steps, "before the last token"],
-            why: `${noAnswerYet.why}; after the last there is none to come early`,
+            steps: [...impossibleWithoutAnswer.steps, "before the last token"],
+            why: `${impossibleWithoutAnswer.why}; after the last there is none to come early`,
         },
         allowed: () => ["whole"],
     },
     {
         name: "endpoint ends early",
-        apply: world => {
-            const { attempt, generation } = lost(world);
-            world.event({ kind: "finished", attempt, generation, total: TOKENS });
+        apply: simulation => {
+            const { attempt, generation } = connectionOf(simulation);
+            simulation.handle({ kind: "finished", attempt, generation, total: TOKEN_COUNT });
         },
-        impossible: noAnswerYet,
+        impossible: impossibleWithoutAnswer,
         allowed: () => ["whole"],
     },
     {
         name: "answer of another request or attempt",
-        apply: world => {
-            const { generation, next } = lost(world);
-            world.event({ kind: "opened", attempt: "other.1", generation: "g-other" });
-            world.event({ kind: "token", attempt: "other.1", generation, index: next });
-            world.event({ kind: "finished", attempt: "other.1", generation, total: next });
+        apply: simulation => {
+            const { generation, next } = connectionOf(simulation);
+            simulation.handle({ kind: "opened", attempt: "other.1", generation: "g-other" });
+            simulation.handle({ kind: "token", attempt: "other.1", generation, index: next });
+            simulation.handle({ kind: "finished", attempt: "other.1", generation, total: next });
         },
-        impossible: { steps: [...UNPLACED, "settled"], why: "no connection is open" },
+        impossible: { steps: [...STEPS_BEFORE_ADMISSION, "settled"], why: "no connection is open" },
         allowed: () => ["whole"],
     },
     {
         name: "endpoint lies about its generation",
-        apply: world => {
-            const { attempt, next } = lost(world);
-            world.event({ kind: "opened", attempt, generation: "g-other" });
-            world.event({ kind: "token", attempt, generation: "g-other", index: next });
+        apply: simulation => {
+            const { attempt, next } = connectionOf(simulation);
+            simulation.handle({ kind: "opened", attempt, generation: "g-other" });
+            simulation.handle({ kind: "token", attempt, generation: "g-other", index: next });
         },
-        impossible: noAnswerYet,
+        impossible: impossibleWithoutAnswer,
         allowed: () => ["whole"],
     },
     {
         name: "answer after the end",
-        apply: world => {
-            world.event({ kind: "token", attempt: "r.1", generation: "g1", index: TOKENS });
-            world.event({ kind: "lost", attempt: "r.1", cause: "reset", detail: "late" });
-            world.event({ kind: "endpointRefused", attempt: "r.1", detail: "late" });
+        apply: simulation => {
+            simulation.handle({ kind: "token", attempt: "r.1", generation: "g1", index: TOKEN_COUNT });
+            simulation.handle({ kind: "lost", attempt: "r.1", cause: "reset", detail: "late" });
+            simulation.handle({ kind: "endpointRefused", attempt: "r.1", detail: "late" });
+        },
+        impossible: {
+            steps: [...STEPS_BEFORE_SEND, "first byte sent", ...STEPS_AFTER_HEAD],
+            why: "the request has not ended",
         },
-        impossible: { steps: [...BEFORE_SENT, "first byte sent", ...ANSWERED], why: "the request has not ended" },
         allowed: () => ["whole"],
     },
     {
         name: "caller leaves",
-        apply: world => world.event({ kind: "callerGone" }),
-        impossible: never,
+        apply: simulation => simulation.handle({ kind: "callerGone" }),
+        impossible: possibleAtEveryStep,
         allowed: (_cfg, step) => step === "settled" ? ["whole"] : ["caller gone"],
     },
     {
         name: "deadline passes",
-        apply: world => world.event({ kind: "deadline" }),
-        impossible: never,
+        apply: simulation => simulation.handle({ kind: "deadline" }),
+        impossible: possibleAtEveryStep,
         allowed: (_cfg, step) => {
             if (step === "settled") return ["whole"];
-            const ran = BEFORE_SENT.includes(step) ? "no" : isStreaming(step) ? "yes" : "unknown";
+            const ran = STEPS_BEFORE_SEND.includes(step) ? "no" : isStreaming(step) ? "yes" : "unknown";
             return [`${FailCode.DeadlinePassed}, ran ${ran}`];
         },
     },
     {
         name: "host is told to stop",
-        apply: world => world.event({ kind: "stopping" }),
-        impossible: never,
-        allowed: (_cfg, step) => UNPLACED.includes(step) ? [`${FailCode.Stopping}, ran no`] : ["whole"],
+        apply: simulation => simulation.handle({ kind: "stopping" }),
+        impossible: possibleAtEveryStep,
+        allowed: (_cfg, step) => STEPS_BEFORE_ADMISSION.includes(step) ? [`${FailCode.Stopping}, ran no`] : ["whole"],
     },
     {
         name: "no endpoint has room",
-        apply: world =>
-            world.event({ kind: "notAdmitted", code: FailCode.WaitTooLong, detail: "full", retryAfterMs: 500 }),
+        apply: simulation =>
+            simulation.handle({
+                kind: "notAdmitted",
+                code: FailCode.WaitTooLong,
+                detail: "full",
+                retryAfterMs: 500,
+            }),
         impossible: { steps: [...STEPS.slice(2)], why: "it has been placed" },
         allowed: () => [`${FailCode.WaitTooLong}, ran no`],
     },
     {
         name: "connection resets, then the endpoint dies",
-        apply: world => (world.lose("reset"), world.reclaim()),
+        apply: simulation => (simulation.breakConnection("reset"), simulation.loseGeneration()),
         impossible: {
-            steps: [...BEFORE_SENT, "first byte sent", "settled"],
+            steps: [...STEPS_BEFORE_SEND, "first byte sent", "settled"],
             why: "no generation is known yet, or it is done",
         },
-        allowed: afterLoss(FailCode.StreamIncomplete),
+        allowed: outcomesAfterEngineLoss(FailCode.StreamIncomplete),
     },
     {
         name: "endpoint dies, then the next one too",
-        apply: world => {
-            world.reclaim();
-            for (let round = 0; round < 6 && !world.ended; round++) world.advance();
-            if (!world.ended) world.reclaim();
+        apply: simulation => {
+            simulation.loseGeneration();
+            for (let round = 0; round < 6 && !simulation.finalResult; round++) simulation.advance();
+            if (!simulation.finalResult) simulation.loseGeneration();
         },
-        impossible: { steps: [...BEFORE_SENT, "settled"], why: "covered by the endpoint that cannot be reached" },
+        impossible: { steps: [...STEPS_BEFORE_SEND, "settled"], why: "covered by the endpoint that cannot be reached" },
         allowed: (cfg, step) => {
             const code = step === "first byte sent" ? FailCode.EndpointLost : FailCode.StreamIncomplete;
-            return [...afterLoss(code)(cfg, step), `${FailCode.StreamIncomplete}, ran yes`];
+            return [...outcomesAfterEngineLoss(code)(cfg, step), `${FailCode.StreamIncomplete}, ran yes`];
         },
     },
     {
         name: "request is quarantined as it waits",
-        apply: world => {
-            world.isQuarantined = true;
+        apply: simulation => {
+            simulation.isQuarantined = true;
         },
         impossible: {
-            steps: ["admitted", "connecting", "first byte sent", ...ANSWERED, "settled"],
+            steps: ["admitted", "connecting", "first byte sent", ...STEPS_AFTER_HEAD, "settled"],
             why: "what was begun goes on",
         },
         allowed: () => [`${FailCode.Quarantined}, ran no`],
     },
     {
         name: "endpoint dies, and the request is quarantined for it",
-        apply: world => {
-            world.isQuarantined = true;
-            world.reclaim();
+        apply: simulation => {
+            simulation.isQuarantined = true;
+            simulation.loseGeneration();
         },
-        impossible: noEndpointYet,
+        impossible: impossibleWithoutEndpoint,
         allowed: (cfg, step) => {
             if (step === "admitted" || step === "connecting") return [`${FailCode.Quarantined}, ran no`];
-            const wentOut = cfg.streamed && isStreaming(step);
+            const wasDelivered = cfg.streamed && isStreaming(step);
             const ran = isStreaming(step) ? "yes" : "unknown";
-            if (cfg.repeatable && !wentOut) return [`${FailCode.Quarantined}, ran ${ran}`];
-            return afterLoss(step === "first byte sent" ? FailCode.EndpointLost : FailCode.StreamIncomplete)(cfg, step);
+            if (cfg.repeatable && !wasDelivered) return [`${FailCode.Quarantined}, ran ${ran}`];
+            return outcomesAfterEngineLoss(
+                step === "first byte sent" ? FailCode.EndpointLost : FailCode.StreamIncomplete,
+            )(cfg, step);
         },
     },
     {
         name: "endpoint dies while the host stops",
-        apply: world => (world.event({ kind: "stopping" }), world.reclaim()),
-        impossible: { steps: [...UNPLACED, "settled"], why: "no endpoint is involved" },
+        apply: simulation => (simulation.handle({ kind: "stopping" }), simulation.loseGeneration()),
+        impossible: { steps: [...STEPS_BEFORE_ADMISSION, "settled"], why: "no endpoint is involved" },
         allowed: (cfg, step) => {
             const code = step === "first byte sent" ? FailCode.EndpointLost : FailCode.StreamIncomplete;
-            return step === "admitted" || step === "connecting" ? ["whole after retry"] : afterLoss(code)(cfg, step);
+            return step === "admitted" || step === "connecting"
+                ? ["whole after retry"]
+                : outcomesAfterEngineLoss(code)(cfg, step);
         },
     },
 ];
 
-/** The ways to make a request that the matrix is run for. */
-export const REQUESTS: readonly { readonly name: string; readonly cfg: WorldCfg }[] = [
-    { name: "repeatable, streamed", cfg: { repeatable: true, streamed: true, tokens: TOKENS } },
-    { name: "repeatable, whole", cfg: { repeatable: true, streamed: false, tokens: TOKENS } },
-    { name: "not repeatable, streamed", cfg: { repeatable: false, streamed: true, tokens: TOKENS } },
-    { name: "not repeatable, whole", cfg: { repeatable: false, streamed: false, tokens: TOKENS } },
+/** Kinds of requests that the matrix covers. */
+export const REQUEST_KINDS: readonly { readonly name: string; readonly cfg: SimulationCfg }[] = [
+    { name: "repeatable, streamed", cfg: { repeatable: true, streamed: true, tokens: TOKEN_COUNT } },
+    { name: "repeatable, whole", cfg: { repeatable: true, streamed: false, tokens: TOKEN_COUNT } },
+    { name: "not repeatable, streamed", cfg: { repeatable: false, streamed: true, tokens: TOKEN_COUNT } },
+    { name: "not repeatable, whole", cfg: { repeatable: false, streamed: false, tokens: TOKEN_COUNT } },
 ];
 
-/** What a cell showed. */
-export interface Cell {
+/** Result of one fault at one step. */
+export interface CellResult {
     readonly outcome: string;
     readonly allowed: readonly string[];
-    readonly breaches: readonly string[];
+    readonly violations: readonly string[];
 }
 
 /**
- * Runs one cell; undefined where the fault cannot occur.
+ * Runs one fault at one step; undefined if the fault cannot occur there.
  *
  * @example
  * ```ts
  * runCell(FAULTS[0]!, "first byte sent", REQUESTS[0]!.cfg)?.outcome; // "whole after retry"
  * ```
  */
-export function runCell(fault: FaultRow, step: StepName, cfg: WorldCfg): Cell | undefined {
+export function runCell(fault: Fault, step: StepName, cfg: SimulationCfg): CellResult | undefined {
     if (fault.impossible.steps.includes(step)) return undefined;
-    const world = new World(cfg);
-    REACH[step](world);
-    fault.apply(world);
-    world.finish();
-    return { outcome: world.outcome(), allowed: fault.allowed(cfg, step), breaches: world.check() };
+    const simulation = new RequestSimulation(cfg);
+    ADVANCE_TO[step](simulation);
+    fault.apply(simulation);
+    simulation.runToEnd();
+    return {
+        outcome: simulation.describeOutcome(),
+        allowed: fault.allowed(cfg, step),
+        violations: simulation.findViolations(),
+    };
 }
 
-/** The matrix as Markdown, one table for each way to make a request. */
+/** Renders the matrix as Markdown, one table for each kind of request. */
 export function renderMatrix(): string {
-    const tables = REQUESTS.map(({ name, cfg }) => {
+    const tables = REQUEST_KINDS.map(({ name, cfg }) => {
         const head = `| fault | ${STEPS.join(" | ")} |\n|${"---|".repeat(STEPS.length + 1)}`;
         const rows = FAULTS.map(fault => {
             const cells = STEPS.map(step => runCell(fault, step, cfg)?.outcome ?? "-");
--- a/packages/standins/src/host-list-server.ts
+++ b/packages/standins/src/host-list-server.ts
@@ -1,12 +1,12 @@
 /**
- * The platform's host list as a stand-in: live and leaving machines, told with a lag.
+ * A stand-in for the platform's host list: lists live and leaving machines, and shows changes with a lag.
  *
  * @module
  */
 import Fastify, { type FastifyInstance } from "fastify";
 import type { AddressInfo } from "node:net";
 
-/** A machine as the platform lists it. `peer` is set for entry hosts, `endpoint` for machines of endpoints. */
+/** A listed machine. `peer` is set for hosts, `endpoint` for machines that run an endpoint. */
 export interface ListedHost {
     readonly name: string;
     readonly hall: string;
@@ -15,7 +15,7 @@
     readonly endpoint?: string;
 }
 
-/** A running stand-in host list. */
+/** A stand-in host list that listens on a local port. */
 export class HostListServer {
     private readonly changes: { readonly at: number; readonly hosts: readonly ListedHost[] }[] = [];
     private readonly app: FastifyInstance = Fastify({ forceCloseConnections: true });
@@ -27,7 +27,7 @@
         }));
     }
 
-    /** Starts the list; changes show after `lagMs`. */
+    /** Starts the service on a free port. Changes become visible after `lagMs`. */
     static async start(lagMs: number): Promise<HostListServer> {
         const server = new HostListServer(lagMs);
         await server.app.listen({ host: "127.0.0.1", port: 0 });
@@ -35,12 +35,11 @@
         return server;
     }
 
-    /** Sets the true list. The first one shows at once. */
+    /** Replaces the list. The first list is visible at once, later ones after the lag. */
     set(hosts: readonly ListedHost[]): void {
         this.changes.push({ at: this.changes.length === 0 ? -Infinity : performance.now(), hosts });
     }
 
-    /** Ends the list's service. */
     async stop(): Promise<void> {
         await this.app.close();
     }
--- a/packages/standins/src/kv-server.ts
+++ b/packages/standins/src/kv-server.ts
@@ -1,6 +1,6 @@
 /**
- * The key-value stand-in: the JSON form of the etcd v3 API, as far as the adapter uses it (range, txn, leases, watch),
- * with outages, slowness, lost replies and old reads on demand. It counts its calls.
+ * A stand-in for the platform's key-value service. It serves those parts of etcd's v3 JSON API that the adapter uses (range,
+ * txn, leases, watch), counts the calls, and injects outages, delays, lost replies and stale reads on demand.
  *
  * @module
  */
@@ -18,8 +18,8 @@
 
 interface Watcher {
     readonly key: string;
-    readonly end: string;
-    readonly out: ServerResponse;
+    readonly rangeEnd: string;
+    readonly response: ServerResponse;
 }
 
 interface Compare {
@@ -35,24 +35,26 @@
     readonly request_delete_range?: { readonly key: string; readonly range_end?: string };
 }
 
-/** Faults of the platform's service. */
+/** Faults that the service injects while they are set. */
 export interface KvFaults {
+    /** Each request's connection is closed without a reply. */
     down: boolean;
+    /** Delay before each request is handled. */
     slowMs: number;
-    /** So many coming writes take effect without a reply. */
+    /** Number of transactions that will take effect without a reply. */
     loseReplies: number;
-    /** Reads answer as of this revision. */
+    /** Revision at which reads are answered; undefined for the newest. */
     readAtRevision: number | undefined;
-    /** Watches stay open but say nothing. */
+    /** Watches stay open but send no changes. */
     muteWatches: boolean;
 }
 
 const MAX_VALUE_BYTES = 1_048_576;
 
-const text = (encoded: string | undefined): string => Buffer.from(encoded ?? "", "base64").toString("utf8");
-const base64 = (value: string): string => Buffer.from(value, "utf8").toString("base64");
+const decodeBase64 = (encoded: string | undefined): string => Buffer.from(encoded ?? "", "base64").toString("utf8");
+const encodeBase64 = (value: string): string => Buffer.from(value, "utf8").toString("base64");
 
-/** A running stand-in key-value service. */
+/** A stand-in key-value service that listens on a local port. */
 export class KvServer {
     readonly faults: KvFaults = {
         down: false,
@@ -62,7 +64,7 @@
         muteWatches: false,
     };
     readonly calls = { reads: 0, writes: 0, watches: 0 };
-    private readonly data = new Map<string, Entry>();
+    private readonly entries = new Map<string, Entry>();
     private readonly history: { readonly revision: number; readonly key: string; readonly entry: Entry | undefined }[] =
         [];
     private readonly leases = new Map<string, { ttlMs: number; timer: NodeJS.Timeout }>();
@@ -81,10 +83,10 @@
                 reply.raw.destroy();
             }
         });
-        this.routes();
+        this.addRoutes();
     }
 
-    /** Starts the service on a port of the system's choice. */
+    /** Starts the service on a free port. */
     static async start(): Promise<KvServer> {
         const server = new KvServer();
         await server.app.listen({ host: "127.0.0.1", port: 0 });
@@ -92,30 +94,29 @@
         return server;
     }
 
-    /** Ends the service. */
     async stop(): Promise<void> {
-        for (const watcher of this.watchers) watcher.out.destroy();
+        for (const watcher of this.watchers) watcher.response.destroy();
         for (const lease of this.leases.values()) clearTimeout(lease.timer);
         await this.app.close();
     }
 
-    /** Makes the service unreachable, open watches included, or brings it back. */
+    /** Starts or ends an outage. An outage also closes the open watches. */
     setDown(down: boolean): void {
         this.faults.down = down;
         if (!down) return;
-        for (const watcher of this.watchers) watcher.out.destroy();
+        for (const watcher of this.watchers) watcher.response.destroy();
         this.watchers.clear();
     }
 
-    private routes(): void {
+    private addRoutes(): void {
         this.app.post("/v3/kv/range", req => this.range(req.body as { key: string; range_end?: string }));
         this.app.post(
             "/v3/kv/txn",
             (req, reply) => this.txn(req.body as { compare?: Compare[]; success?: Op[]; failure?: Op[] }, reply),
         );
-        this.app.post("/v3/lease/grant", req => this.grant(Number((req.body as { TTL: string }).TTL)));
+        this.app.post("/v3/lease/grant", req => this.grantLease(Number((req.body as { TTL: string }).TTL)));
         this.app.post("/v3/lease/keepalive", req => this.keepAlive(String((req.body as { ID: string }).ID)));
-        this.app.post("/v3/lease/revoke", req => this.revoke(String((req.body as { ID: string }).ID)));
+        this.app.post("/v3/lease/revoke", req => this.revokeLease(String((req.body as { ID: string }).ID)));
         this.app.post("/v3/watch", (req, reply) => this.watch(req.body as never, reply));
     }
 
@@ -125,18 +126,18 @@
 
     private range(body: { key: string; range_end?: string }): object {
         this.calls.reads += 1;
-        const key = text(body.key);
-        const end = text(body.range_end);
+        const key = decodeBase64(body.key);
+        const end = decodeBase64(body.range_end);
         const at = this.faults.readAtRevision;
-        const data = at === undefined ? this.data : this.dataAt(at);
+        const data = at === undefined ? this.entries : this.entriesAt(at);
         const kvs = [...data].filter(([name]) =>
             end === "" ? name === key : name >= key && (end === "\0" || name < end)
         )
-            .sort(([a], [b]) => a < b ? -1 : 1).map(([name, entry]) => encode(name, entry));
+            .sort(([a], [b]) => a < b ? -1 : 1).map(([name, entry]) => encodeEntry(name, entry));
         return { header: at === undefined ? this.header() : { revision: String(at) }, kvs, count: String(kvs.length) };
     }
 
-    private dataAt(revision: number): Map<string, Entry> {
+    private entriesAt(revision: number): Map<string, Entry> {
         const data = new Map<string, Entry>();
         for (const change of this.history) {
             if (change.revision > revision) break;
@@ -151,14 +152,14 @@
         reply: FastifyReply,
     ): object | undefined {
         this.calls.writes += 1;
-        const succeeded = (body.compare ?? []).every(compare => this.holds(compare));
+        const succeeded = (body.compare ?? []).every(compare => this.conditionHolds(compare));
         const ops = (succeeded ? body.success : body.failure) ?? [];
-        if (ops.some(op => text(op.request_put?.value).length > MAX_VALUE_BYTES)) {
+        if (ops.some(op => decodeBase64(op.request_put?.value).length > MAX_VALUE_BYTES)) {
             reply.code(400);
             return { code: 3, message: "etcdserver: request is too large" };
         }
         if (ops.length > 0) this.revision += 1;
-        for (const op of ops) this.apply(op);
+        for (const op of ops) this.applyOp(op);
         if (this.faults.loseReplies > 0) {
             this.faults.loseReplies -= 1;
             reply.hijack();
@@ -168,19 +169,19 @@
         return { header: this.header(), succeeded };
     }
 
-    private holds(compare: Compare): boolean {
-        const entry = this.data.get(text(compare.key));
-        if (compare.target === "VALUE") return entry !== undefined && entry.value === text(compare.value);
+    private conditionHolds(compare: Compare): boolean {
+        const entry = this.entries.get(decodeBase64(compare.key));
+        if (compare.target === "VALUE") return entry !== undefined && entry.value === decodeBase64(compare.value);
         if (compare.target === "CREATE") return (entry?.createRevision ?? 0) === Number(compare.create_revision ?? 0);
         return (entry?.modRevision ?? 0) === Number(compare.mod_revision ?? 0);
     }
 
-    private apply(op: Op): void {
+    private applyOp(op: Op): void {
         if (op.request_put) {
-            const key = text(op.request_put.key);
-            const old = this.data.get(key);
-            this.set(key, {
-                value: text(op.request_put.value),
+            const key = decodeBase64(op.request_put.key);
+            const old = this.entries.get(key);
+            this.setEntry(key, {
+                value: decodeBase64(op.request_put.value),
                 createRevision: old?.createRevision ?? this.revision,
                 modRevision: this.revision,
                 version: (old?.version ?? 0) + 1,
@@ -188,38 +189,40 @@
             });
         }
         if (op.request_delete_range) {
-            const key = text(op.request_delete_range.key);
-            const end = text(op.request_delete_range.range_end);
-            const names = [...this.data.keys()].filter(name => end === "" ? name === key : name >= key && name < end);
-            for (const name of names) this.set(name, undefined);
+            const key = decodeBase64(op.request_delete_range.key);
+            const end = decodeBase64(op.request_delete_range.range_end);
+            const names = [...this.entries.keys()].filter(name =>
+                end === "" ? name === key : name >= key && name < end
+            );
+            for (const name of names) this.setEntry(name, undefined);
         }
     }
 
-    private set(key: string, entry: Entry | undefined): void {
-        if (entry) this.data.set(key, entry);
-        else this.data.delete(key);
+    private setEntry(key: string, entry: Entry | undefined): void {
+        if (entry) this.entries.set(key, entry);
+        else this.entries.delete(key);
         this.history.push({ revision: this.revision, key, entry });
         if (this.faults.muteWatches) return;
         for (const watcher of this.watchers) {
-            if (watcher.end === "" ? key === watcher.key : key >= watcher.key && key < watcher.end) {
-                this.tell(watcher, key, entry, this.revision);
+            if (watcher.rangeEnd === "" ? key === watcher.key : key >= watcher.key && key < watcher.rangeEnd) {
+                this.sendChange(watcher, key, entry, this.revision);
             }
         }
     }
 
-    private tell(watcher: Watcher, key: string, entry: Entry | undefined, revision: number): void {
+    private sendChange(watcher: Watcher, key: string, entry: Entry | undefined, revision: number): void {
         const event = entry
-            ? { type: "PUT", kv: encode(key, entry) }
-            : { type: "DELETE", kv: { key: base64(key), mod_revision: String(revision) } };
-        watcher.out.write(
+            ? { type: "PUT", kv: encodeEntry(key, entry) }
+            : { type: "DELETE", kv: { key: encodeBase64(key), mod_revision: String(revision) } };
+        watcher.response.write(
             `${JSON.stringify({ result: { header: { revision: String(revision) }, events: [event] } })}\n`,
         );
     }
 
-    private grant(ttlS: number): object {
+    private grantLease(ttlS: number): object {
         this.calls.writes += 1;
         const id = String(this.nextLease++);
-        this.leases.set(id, { ttlMs: ttlS * 1000, timer: setTimeout(() => this.expire(id), ttlS * 1000) });
+        this.leases.set(id, { ttlMs: ttlS * 1000, timer: setTimeout(() => this.endLease(id), ttlS * 1000) });
         return { header: this.header(), ID: id, TTL: String(ttlS) };
     }
 
@@ -230,18 +233,18 @@
         return { result: { header: this.header(), ID: id, TTL: String((lease?.ttlMs ?? 0) / 1000) } };
     }
 
-    private revoke(id: string): object {
+    private revokeLease(id: string): object {
         this.calls.writes += 1;
-        this.expire(id);
+        this.endLease(id);
         return { header: this.header() };
     }
 
-    private expire(id: string): void {
+    private endLease(id: string): void {
         clearTimeout(this.leases.get(id)?.timer);
         this.leases.delete(id);
-        const held = [...this.data].filter(([, entry]) => entry.lease === id).map(([key]) => key);
+        const held = [...this.entries].filter(([, entry]) => entry.lease === id).map(([key]) => key);
         if (held.length > 0) this.revision += 1;
-        for (const key of held) this.set(key, undefined);
+        for (const key of held) this.setEntry(key, undefined);
     }
 
     private watch(
@@ -250,26 +253,30 @@
     ): void {
         this.calls.watches += 1;
         reply.hijack();
-        const out = reply.raw;
-        out.writeHead(200, { "content-type": "application/json" });
-        out.write(`${JSON.stringify({ result: { header: this.header(), created: true } })}\n`);
-        const watcher = { key: text(body.create_request.key), end: text(body.create_request.range_end), out };
+        const response = reply.raw;
+        response.writeHead(200, { "content-type": "application/json" });
+        response.write(`${JSON.stringify({ result: { header: this.header(), created: true } })}\n`);
+        const watcher = {
+            key: decodeBase64(body.create_request.key),
+            rangeEnd: decodeBase64(body.create_request.range_end),
+            response,
+        };
         const from = Number(body.create_request.start_revision ?? this.revision + 1);
         for (const change of this.history) {
-            const matches = watcher.end === ""
+            const matches = watcher.rangeEnd === ""
                 ? change.key === watcher.key
-                : change.key >= watcher.key && change.key < watcher.end;
-            if (change.revision >= from && matches) this.tell(watcher, change.key, change.entry, change.revision);
+                : change.key >= watcher.key && change.key < watcher.rangeEnd;
+            if (change.revision >= from && matches) this.sendChange(watcher, change.key, change.entry, change.revision);
         }
         this.watchers.add(watcher);
-        out.on("close", () => this.watchers.delete(watcher));
+        response.on("close", () => this.watchers.delete(watcher));
     }
 }
 
-function encode(key: string, entry: Entry): object {
+function encodeEntry(key: string, entry: Entry): object {
     return {
-        key: base64(key),
-        value: base64(entry.value),
+        key: encodeBase64(key),
+        value: encodeBase64(entry.value),
         create_revision: String(entry.createRevision),
         mod_revision: String(entry.modRevision),
         version: String(entry.version),
--- a/packages/standins/src/stage.ts
+++ b/packages/standins/src/local-cluster.ts
@@ -1,5 +1,6 @@
 /**
- * Stand-ins and daemons together in one process, for the demo, for tests and for measurements over sockets.
+ * Starts daemons together with the stand-ins for their environment in one process: for the demo, for tests and for
+ * benchmarks over sockets.
  *
  * @module
  */
@@ -13,66 +14,69 @@
 import { KvServer } from "./kv-server.js";
 import { PlainServer } from "./plain-server.js";
 
-/** What to set up. */
-export interface StageCfg {
+/** What {@link startStage} starts. */
+export interface LocalClusterCfg {
     readonly halls: readonly string[];
     readonly hostsPerHall?: number;
     readonly enginesPerHall: number;
     readonly engine?: Partial<EngineServerCfg>;
-    /** Settings on top of those that the stage needs. */
+    /** Settings merged over the default ones, by path. */
     readonly tree?: Tree;
-    /** Daemon settings on top, as `section.key`. */
+    /** Daemon flags that override the default ones, as `section.key`. */
     readonly flags?: Readonly<Record<string, string>>;
-    /** Fixed ports of callers and operators, the first hall's first; else the system chooses. */
+    /**
+     * Ports for callers and operators of the first host; the other initial hosts take the next ones.
+     * Hosts added later, and all hosts by default, listen on free ports.
+     */
     readonly ports?: { readonly callers: number; readonly operators: number };
     readonly log?: (line: string) => void;
 }
 
-/** A host of the stage. */
-export interface StageHost {
+/** A host of the cluster with its daemon. */
+export interface ClusterHost {
     readonly name: string;
     readonly hall: string;
     daemon: Daemon;
 }
 
-/** All that runs. */
+/** A running cluster. */
 export interface Stage {
     readonly kv: KvServer;
     readonly hostList: HostListServer;
     readonly engines: readonly { readonly hall: string; readonly server: EngineServer }[];
-    readonly plain: readonly { readonly hall: string; readonly server: PlainServer }[];
-    readonly hosts: readonly StageHost[];
-    /** A key of the workspace `foremen`, `clerks`, `studios` or `members`. */
+    readonly plainServices: readonly { readonly hall: string; readonly server: PlainServer }[];
+    readonly hosts: readonly ClusterHost[];
+    /** Returns the API key of a workspace, one of {@link WORKSPACES}; an empty string for any other. */
     readonly keyOf: (workspace: string) => string;
     readonly operatorToken: string;
-    /** What the log said, where no other place was given. */
+    /** Lines that the daemons logged. Empty if {@link LocalClusterCfg.log} is given. */
     readonly logLines: readonly string[];
-    /** Starts another daemon of the same kind in a hall. */
-    addHost(hall: string, name: string): Promise<StageHost>;
+    /** Starts another daemon in a hall and adds it to the host list. */
+    addHost(hall: string, name: string): Promise<ClusterHost>;
     stop(): Promise<void>;
 }
 
-/** Workspaces of both deployments. */
+/** Workspaces of the two example deployments. */
 export const WORKSPACES = ["foremen", "clerks", "studios", "members"] as const;
 const MODEL = "summary-8b";
 const PEER_SECRET_BYTES = 24;
 
 /**
- * Starts everything and waits until each daemon is ready.
+ * Starts a cluster and waits until each daemon has read the settings.
  *
  * @example
  * ```ts
- * const stage = await startStage({ halls: ["k1"], enginesPerHall: 2 });
- * await stage.stop();
+ * const cluster = await startStage({ halls: ["k1"], enginesPerHall: 2 });
+ * await cluster.stop();
  * ```
  */
-export async function startStage(cfg: StageCfg): Promise<Stage> {
+export async function startStage(cfg: LocalClusterCfg): Promise<Stage> {
     const kv = await KvServer.start();
     const hostList = await HostListServer.start(0);
     const engines = await Promise.all(
         cfg.halls.flatMap(hall =>
-            Array.from({ length: cfg.enginesPerHall }, async (_, at) => {
-                const name = `engine-${hall}-${at + 1}`;
+            Array.from({ length: cfg.enginesPerHall }, async (_, index) => {
+                const name = `engine-${hall}-${index + 1}`;
                 return { hall, server: await EngineServer.start({ name, models: [MODEL], ...cfg.engine }) };
             })
         ),
@@ -82,13 +86,13 @@
     );
     const keys = new Map(WORKSPACES.map(name => [name as string, `dp-${randomBytes(12).toString("hex")}`]));
     const operatorToken = `op-${randomBytes(12).toString("hex")}`;
-    const tree = treeOf(cfg, engines, plain, keys, operatorToken);
+    const tree = initialSettings(cfg, engines, plain, keys, operatorToken);
     await writeSettings(kv.url, tree);
     const logLines: string[] = [];
     const secret = randomBytes(PEER_SECRET_BYTES).toString("hex");
-    const addHost = async (hall: string, name: string, at?: number): Promise<StageHost> => {
-        const log = createLog("info", lineStream(cfg.log ?? (line => logLines.push(line))));
-        const read = readConfig({ flags: flagsOf(cfg, { hall, name, kv, hostList, secret, at }) });
+    const addHost = async (hall: string, name: string, at?: number): Promise<ClusterHost> => {
+        const log = createLog("info", createLineStream(cfg.log ?? (line => logLines.push(line))));
+        const read = readConfig({ flags: daemonFlags(cfg, { hall, name, kv, hostList, secret, at }) });
         if (!read.ok) throw new Error(JSON.stringify(read.errors));
         const host = { name, hall, daemon: await startDaemon(read.cfg, log) };
         await waitUntil(() => host.daemon.host.feed.directory !== undefined);
@@ -97,16 +101,16 @@
     const names = cfg.halls.flatMap(hall =>
         Array.from(
             { length: cfg.hostsPerHall ?? 1 },
-            (_, at) => ({ hall, name: `${hall}-${String.fromCharCode(97 + at)}` }),
+            (_, index) => ({ hall, name: `${hall}-${String.fromCharCode(97 + index)}` }),
         )
     );
-    const hosts: StageHost[] = [];
-    for (const [at, { hall, name }] of names.entries()) hosts.push(await addHost(hall, name, at));
-    hostList.set(hosts.map(listed));
-    const addLater = async (hall: string, name: string): Promise<StageHost> => {
+    const hosts: ClusterHost[] = [];
+    for (const [index, { hall, name }] of names.entries()) hosts.push(await addHost(hall, name, index));
+    hostList.set(hosts.map(listedHostOf));
+    const addHostAndList = async (hall: string, name: string): Promise<ClusterHost> => {
         const host = await addHost(hall, name);
         hosts.push(host);
-        hostList.set(hosts.map(listed));
+        hostList.set(hosts.map(listedHostOf));
         return host;
     };
     const stop = async (): Promise<void> => {
@@ -118,24 +122,24 @@
         kv,
         hostList,
         engines,
-        plain,
+        plainServices: plain,
         hosts,
         keyOf: workspace => keys.get(workspace) ?? "",
         operatorToken,
         logLines,
-        addHost: addLater,
+        addHost: addHostAndList,
         stop,
     };
 }
 
-function listed({ name, hall, daemon }: StageHost): ListedHost {
+function listedHostOf({ name, hall, daemon }: ClusterHost): ListedHost {
     return { name, hall, state: "live", peer: daemon.peerAddress };
 }
 
-function treeOf(
-    cfg: StageCfg,
+function initialSettings(
+    cfg: LocalClusterCfg,
     engines: Stage["engines"],
-    plain: Stage["plain"],
+    plain: Stage["plainServices"],
     keys: ReadonlyMap<string, string>,
     operatorToken: string,
 ): Tree {
@@ -152,9 +156,9 @@
     };
     for (const hall of cfg.halls) tree[`hall/${hall}`] = {};
     for (const [workspace, key] of keys) tree[`key/${workspace}-1`] = { workspace, hash: hashSecret(key) };
-    for (const [at, { hall, server }] of engines.entries()) {
+    for (const [index, { hall, server }] of engines.entries()) {
         const memory = String(server.model.cfg.memoryTokens);
-        tree[`endpoint/engine-${at + 1}`] = {
+        tree[`endpoint/engine-${index + 1}`] = {
             "url": server.url,
             "service": "scribe",
             hall,
@@ -162,8 +166,8 @@
             "memory-tokens": memory,
         };
     }
-    for (const [at, { hall, server }] of plain.entries()) {
-        tree[`endpoint/desk-${at + 1}`] = { url: server.url, service: "desk", hall };
+    for (const [index, { hall, server }] of plain.entries()) {
+        tree[`endpoint/desk-${index + 1}`] = { url: server.url, service: "desk", hall };
     }
     for (const [path, node] of Object.entries(cfg.tree ?? {})) tree[path] = { ...tree[path], ...node };
     return tree;
@@ -178,10 +182,10 @@
         undefined,
         signal,
     );
-    if (result.kind !== "accepted") throw new Error(`the first settings were not accepted: ${JSON.stringify(result)}`);
+    if (result.kind !== "accepted") throw new Error(`the initial settings were rejected: ${JSON.stringify(result)}`);
 }
 
-interface FlagParts {
+interface DaemonFlagsCfg {
     readonly hall: string;
     readonly name: string;
     readonly kv: KvServer;
@@ -190,7 +194,10 @@
     readonly at: number | undefined;
 }
 
-function flagsOf(cfg: StageCfg, { hall, name, kv, hostList, secret, at }: FlagParts): Record<string, string> {
+function daemonFlags(
+    cfg: LocalClusterCfg,
+    { hall, name, kv, hostList, secret, at }: DaemonFlagsCfg,
+): Record<string, string> {
     const port = (first: number | undefined): string =>
         first === undefined || at === undefined ? "0" : String(first + at);
     return {
@@ -206,32 +213,32 @@
     };
 }
 
-function lineStream(take: (line: string) => void): Writable {
+function createLineStream(onLine: (line: string) => void): Writable {
     return new Writable({
         write: (chunk: Buffer, _encoding, done) => {
-            take(chunk.toString("utf8").trimEnd());
+            onLine(chunk.toString("utf8").trimEnd());
             done();
         },
     });
 }
 
-const WAIT_MS = 10_000;
-const LOOK_MS = 10;
+const WAIT_TIMEOUT_MS = 10_000;
+const POLL_INTERVAL_MS = 10;
 
 /**
- * Waits until something holds; throws after ten seconds.
+ * Polls a condition until it holds; throws after ten seconds.
  *
  * @example
  * ```ts
- * await waitUntil(() => engine.cancelled.length === 1);
+ * await waitUntil(() => engine.cancelledGenerations.length === 1);
  * ```
  */
-export async function waitUntil(holds: () => boolean | Promise<boolean>): Promise<void> {
-    const until = performance.now() + WAIT_MS;
-    while (!await holds()) {
-        if (performance.now() > until) {
-            throw new Error(`did not come to hold within ${WAIT_MS} ms: ${holds.toString()}`);
+export async function waitUntil(condition: () => boolean | Promise<boolean>): Promise<void> {
+    const deadline = performance.now() + WAIT_TIMEOUT_MS;
+    while (!await condition()) {
+        if (performance.now() > deadline) {
+            throw new Error(`condition did not hold within ${WAIT_TIMEOUT_MS} ms: ${condition.toString()}`);
         }
-        await new Promise(resolve => setTimeout(resolve, LOOK_MS));
+        await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
     }
 }
--- a/packages/standins/src/mutation.ts
+++ b/packages/standins/src/mutation.ts
@@ -1,16 +1,16 @@
 /**
- * A change that breaks one promise in the code, and the tests that must notice.
+ * A change to the source that breaks one guarantee, and the tests that must detect it.
  *
  * @module
  */
 
-/** One of them. */
+/** A replacement of a piece of source that must make a test fail. */
 export interface Mutation {
     readonly promise: string;
     readonly file: string;
-    /** Stands in the file once. */
+    /** Occurs exactly once in the file. */
     readonly find: string;
     readonly replace: string;
-    /** Of these one at least must fail. */
+    /** Test files of which at least one must fail. */
     readonly tests: readonly string[];
 }
--- a/packages/standins/src/plain-server.ts
+++ b/packages/standins/src/plain-server.ts
@@ -1,5 +1,5 @@
 /**
- * A plain HTTP service as a stand-in: it counts what it ran, and can refuse, stall or break off.
+ * A stand-in for a plain HTTP service: counts the calls that ran, and can refuse calls, leave them unanswered or break off answers.
  *
  * @module
  */
@@ -7,38 +7,38 @@
 import type { AddressInfo, Socket } from "node:net";
 import { gzipSync } from "node:zlib";
 
-/** A fault for one coming call. */
+/** A fault injected into one call. */
 export type PlainFault =
     | "refuse"
-    | "breakBefore"
-    | "runThenBreak"
-    | "never"
+    | "closeBeforeRun"
+    | "closeAfterRun"
+    | "noAnswer"
     | "error"
-    /** A whole answer whose end only its connection tells. */
+    /** A whole answer without a length: the end of the connection ends it. */
     | "unframed"
     /** The first half of such an answer; {@link PlainServer.resetHalves} cuts it there. */
     | "unframedHalf"
-    /** An answer in gzip. */
+    /** An answer encoded with gzip. */
     | "encoded"
-    /** An answer that has no body by its status. */
+    /** An answer with status 204 and no body. */
     | "noBody"
-    /** An answer that is longer than what connections buffer. */
+    /** An answer longer than the buffers of connections. */
     | "long";
 
-/** Length of a long answer. */
-export const LONG_BYTES = 12_000_000;
+/** Length of the `long` answer's body. */
+export const LONG_ANSWER_BYTES = 12_000_000;
 
 const UNFRAMED_HEAD = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nconnection: close\r\n\r\n";
 
-/** A running stand-in service. */
+/** A stand-in service that listens on a local port. */
 export class PlainServer {
     readonly faults: PlainFault[] = [];
-    /** How often each call ran, by `METHOD /path#body`. */
-    readonly ran = new Map<string, number>();
+    /** Number of runs of each call, by `METHOD /path#body`. */
+    readonly runsByCall = new Map<string, number>();
     private readonly app: FastifyInstance = Fastify({ forceCloseConnections: true });
-    /** Answers that were taken to their end. */
-    taken = 0;
-    private readonly halfway: Socket[] = [];
+    /** Number of answers that were sent whole. */
+    sentAnswers = 0;
+    private readonly halfSentSockets: Socket[] = [];
     url = "";
 
     private constructor(private readonly name: string) {
@@ -48,16 +48,16 @@
             const fault = this.faults.shift();
             if (fault === "refuse") return reply.code(503).header("x-ran", "no").send("refused");
             if (fault === "error") return reply.code(500).send("failed");
-            if (fault === "never") return reply.hijack();
-            if (fault === "breakBefore") {
+            if (fault === "noAnswer") return reply.hijack();
+            if (fault === "closeBeforeRun") {
                 reply.hijack();
                 reply.raw.destroy();
                 return reply;
             }
             const body = typeof req.body === "string" ? req.body : "";
             const call = `${req.method} ${req.url}#${body}`;
-            this.ran.set(call, (this.ran.get(call) ?? 0) + 1);
-            if (fault === "runThenBreak") {
+            this.runsByCall.set(call, (this.runsByCall.get(call) ?? 0) + 1);
+            if (fault === "closeAfterRun") {
                 reply.hijack();
                 reply.raw.destroy();
                 return reply;
@@ -71,19 +71,19 @@
             if (fault === "unframedHalf") {
                 reply.hijack();
                 req.socket.write(UNFRAMED_HEAD + answer.slice(0, answer.length / 2));
-                this.halfway.push(req.socket);
+                this.halfSentSockets.push(req.socket);
                 return reply;
             }
             reply.header("content-type", "application/json");
-            reply.raw.on("finish", () => this.taken += 1);
-            if (fault === "long") return reply.send("x".repeat(LONG_BYTES));
+            reply.raw.on("finish", () => this.sentAnswers += 1);
+            if (fault === "long") return reply.send("x".repeat(LONG_ANSWER_BYTES));
             if (fault === "noBody") return reply.code(204).send();
             if (fault === "encoded") return reply.header("content-encoding", "gzip").send(gzipSync(answer));
             return reply.send(answer);
         });
     }
 
-    /** Starts the service on a port of the system's choice. */
+    /** Starts the service on a free port. */
     static async start(name: string): Promise<PlainServer> {
         const server = new PlainServer(name);
         await server.app.listen({ host: "127.0.0.1", port: 0 });
@@ -91,12 +91,11 @@
         return server;
     }
 
-    /** Resets the connections of answers that are halfway. */
-    resetHalves(): void {
-        for (const socket of this.halfway.splice(0)) socket.resetAndDestroy();
+    /** Resets the connections of all half-sent answers. */
+    resetHalfSent(): void {
+        for (const socket of this.halfSentSockets.splice(0)) socket.resetAndDestroy();
     }
 
-    /** Ends the service. */
     async stop(): Promise<void> {
         await this.app.close();
     }
--- a/packages/standins/src/print-faults.ts
+++ b/packages/standins/src/print-faults.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run faults`: writes the fault matrix, as it was just run, into docs/FAULTS.md.
+ * `npm run faults`: runs the fault matrix and writes it into docs/FAULTS.md.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import { renderMatrix } from "./fault-matrix.js";
 
 const PAGE = new URL("../../../docs/FAULTS.md", import.meta.url);
-/** What stands above this mark is written by hand. */
+/** The text above this mark is written by hand and kept. */
 const MARK = "<!-- printed by npm run faults -->";
 
 const page = readFileSync(PAGE, "utf8");
