--- a/packages/standins/src/quarantine-model.ts
+++ b/packages/standins/src/quarantine-model.ts
@@ -1,6 +1,6 @@
 /**
- * Drawn days on which some requests end the endpoints that run them, on a virtual clock: each host decides by the very modules that
- * daemons run, and hears of the others' endings by messages that are late or lost.
+ * Simulates random days, on a virtual clock, on which some requests crash the endpoints that run them. Each host decides with the
+ * modules that daemons use, and learns of crashes that other hosts saw from messages that are delayed or lost.
  *
  * @module
  */
@@ -18,68 +18,72 @@
 import TinyQueue from "tinyqueue";
 import { type RandomGenerator, uniformFloat64, xoroshiro128plus } from "./random.js";
 
-/** A day that is drawn. */
-export interface QuarantineDay {
+/** Configuration of a simulated day. */
+export interface QuarantineDayCfg {
     readonly seed: number;
     readonly hosts: number;
     readonly endpoints: number;
     readonly seconds: number;
-    /** Requests that end what runs them; each comes again and again. */
-    readonly guilty: number;
-    /** Whether hosts hold requests back. */
-    readonly isGuarded: boolean;
-    /** Endpoints that end by themselves, and racks of them that end at once, in the whole day. */
+    /** Number of requests that crash each endpoint that runs them. Their callers resend them all day. */
+    readonly fatalRequests: number;
+    /** Whether hosts quarantine requests. */
+    readonly isQuarantineOn: boolean;
+    /** Number of endpoints, and of racks with several endpoints each, that crash during the day for other reasons. */
     readonly crashes: number;
     readonly rackFailures: number;
 }
 
-/** What a day showed. */
+/** Counts of a simulated day. A request is harmless if it crashes no endpoint. */
 export interface QuarantineResult {
-    /** Endpoints that guilty requests ended. */
-    readonly ended: number;
-    readonly innocent: number;
-    /** Innocent streams that were lost with their endpoints. */
-    readonly lost: number;
-    /** Innocent requests that were refused as quarantined, */
-    readonly quarantined: number;
-    /** and those that were asked to come back while one like them was tried. */
-    readonly askedBack: number;
-    /** From the third ending of a guilty request until every host holds it back, in milliseconds. */
-    readonly newsMs: readonly number[];
-    /** Guilty requests that were begun after their third ending. */
-    readonly begunAfterThird: number;
+    /** Endpoint crashes that fatal requests caused. */
+    readonly crashesByFatal: number;
+    readonly harmlessRequests: number;
+    /** Harmless streams that were lost in an endpoint's crash. */
+    readonly lostStreams: number;
+    /** Harmless requests that were refused as quarantined. */
+    readonly harmlessQuarantined: number;
+    /** Harmless requests that were told to retry later, because one with the same fingerprint was on trial. */
+    readonly harmlessDeferred: number;
+    /** For each fatal request that caused three crashes: time until every host quarantined it, in ms; NaN for never. */
+    readonly propagationMs: readonly number[];
+    /** Runs of fatal requests that started after their third crash. */
+    readonly runsAfterThreshold: number;
 }
 
-/** Places of an endpoint, as the users' engines have them, of which half are taken. */
-const SLOTS = 24;
-const LOAD = 0.5;
-const STREAM_MS = 5_000;
-const SHORT_MS = 200;
-/** Share of innocent requests that are alike, such as lookups without a body, and how many kinds of them there are. */
-const ALIKE_SHARE = 0.2;
-const ALIKE_KINDS = 5;
-/** Share of streams that a copy is kept of, which go on elsewhere. */
-const COPIED_SHARE = 0.7;
-/** A guilty request ends its endpoint after up to so long, and comes again after as long in the mean. */
-const FATAL_MS = 500;
-const AGAIN_MS = 1_200;
-const AWAY_MS = 3_000;
-const RACK = 4;
-/** From an endpoint's end until a host has found it out; a message's way; the share of messages that are lost. */
-const CONFIRM_MS = 5;
-const WAY_MS = [1, 8] as const;
-const LOSS = 0.01;
+/** Number of requests that an endpoint runs at once, as the users' engines do. */
+const SLOTS_PER_ENDPOINT = 24;
+/** Mean share of slots in use. */
+const UTILIZATION = 0.5;
+const MEAN_STREAM_MS = 5_000;
+const MEAN_LOOKUP_MS = 200;
+/** Share of harmless requests that share a fingerprint, such as lookups without a body, and the number of such fingerprints. */
+const LOOKUP_SHARE = 0.2;
+const LOOKUP_KINDS = 5;
+/** Share of streams of which another endpoint holds a copy, so that they continue there after a crash. */
+const REPLICATED_SHARE = 0.7;
+/** A fatal request crashes its endpoint within this time. */
+const MAX_CRASH_DELAY_MS = 500;
+/** Mean time after which its caller resends a fatal request. */
+const MEAN_RESEND_MS = 1_200;
+const RESTART_MS = 3_000;
+const RACK_SIZE = 4;
+/** Time from a crash until the hosts with requests at the endpoint detect it. */
+const CRASH_DETECTION_MS = 5;
+/** Range of the delay of messages between hosts. */
+const MESSAGE_DELAY_MS = [1, 8] as const;
+const MESSAGE_LOSS = 0.01;
 const FANOUT = 6;
-const PROBE_EVERY_MS = 500;
-const THIRD = 3;
+const SYNC_INTERVAL_MS = 500;
+/** Number of crashes after which a request is to be quarantined. */
+const THRESHOLD = 3;
 
 interface Run {
     readonly fingerprint: string;
     readonly attempt: string;
     readonly host: Host;
-    readonly beganAt: number;
+    readonly startedAt: number;
     readonly endsAt: number;
-    readonly isGuilty: boolean;
+    readonly isFatal: boolean;
     readonly wasSuspect: boolean;
 }
 
@@ -93,67 +97,77 @@
     state: Quarantine;
 }
 
-interface Due {
+interface TimedEvent {
     readonly at: number;
     readonly run: () => void;
 }
 
-/** Plays a day. */
-export function playQuarantineDay(day: QuarantineDay): QuarantineResult {
-    return new Play(day).run();
+/** Simulates a day. The same configuration gives the same result. */
+export function simulateQuarantineDay(day: QuarantineDayCfg): QuarantineResult {
+    return new DaySimulation(day).run();
 }
 
-class Play {
+/** State of a simulated day. */
+class DaySimulation {
     private now = 0;
     private readonly random: RandomGenerator;
-    private readonly due = new TinyQueue<Due>([], (a, b) => a.at - b.at);
+    private readonly queue = new TinyQueue<TimedEvent>([], (a, b) => a.at - b.at);
     private readonly hosts: readonly Host[];
     private readonly endpoints: readonly Endpoint[];
-    private lives = 0;
-    private attempts = 0;
-    private readonly endings = new Map<string, number>();
-    private readonly thirdAt = new Map<string, number>();
-    private readonly knownAt = new Map<string, number>();
-    private readonly count = { ended: 0, innocent: 0, lost: 0, quarantined: 0, askedBack: 0, begunAfterThird: 0 };
+    private lifeCount = 0;
+    private attemptCount = 0;
+    private readonly crashCounts = new Map<string, number>();
+    private readonly thresholdReachedAt = new Map<string, number>();
+    private readonly quarantinedEverywhereAt = new Map<string, number>();
+    private readonly counts = {
+        crashesByFatal: 0,
+        harmlessRequests: 0,
+        lostStreams: 0,
+        harmlessQuarantined: 0,
+        harmlessDeferred: 0,
+        runsAfterThreshold: 0,
+    };
 
-    constructor(private readonly day: QuarantineDay) {
+    constructor(private readonly day: QuarantineDayCfg) {
         this.random = xoroshiro128plus(day.seed);
         this.hosts = Array.from({ length: day.hosts }, () => ({ state: EMPTY_QUARANTINE }));
         this.endpoints = Array.from({ length: day.endpoints }, () => this.newEndpoint());
     }
 
     run(): QuarantineResult {
-        const { seconds, guilty, crashes, rackFailures } = this.day;
+        const { seconds, fatalRequests, crashes, rackFailures } = this.day;
         const end = seconds * 1_000;
-        for (let at = 0; at < guilty; at++) this.comeAgain(`guilty-${at}`);
-        for (let at = 0; at < crashes; at++) this.after(this.between(0, end), () => this.endSome(1));
-        for (let at = 0; at < rackFailures; at++) this.after(this.between(0, end), () => this.endSome(RACK));
-        this.arrive();
-        for (const host of this.hosts) this.after(this.between(0, PROBE_EVERY_MS), () => this.probe(host));
-        for (let next = this.due.pop(); next && next.at < end; next = this.due.pop()) {
+        for (let i = 0; i < fatalRequests; i++) this.scheduleFatalRequest(`guilty-${i}`);
+        for (let i = 0; i < crashes; i++) this.schedule(this.uniform(0, end), () => this.crashUpTo(1));
+        for (let i = 0; i < rackFailures; i++) this.schedule(this.uniform(0, end), () => this.crashUpTo(RACK_SIZE));
+        this.handleHarmlessArrival();
+        for (const host of this.hosts) this.schedule(this.uniform(0, SYNC_INTERVAL_MS), () => this.syncWithPeer(host));
+        for (let next = this.queue.pop(); next && next.at < end; next = this.queue.pop()) {
             this.now = next.at;
             next.run();
         }
         return {
-            ...this.count,
-            newsMs: [...this.thirdAt].flatMap(([name, at]) => (this.knownAt.get(name) ?? NaN) - at),
+            ...this.counts,
+            propagationMs: [...this.thresholdReachedAt].flatMap(([name, at]) =>
+                (this.quarantinedEverywhereAt.get(name) ?? NaN) - at
+            ),
         };
     }
 
     private newEndpoint(): Endpoint {
-        this.lives += 1;
-        return { life: `e${this.lives}`, isUp: true, runs: new Set() };
+        this.lifeCount += 1;
+        return { life: `e${this.lifeCount}`, isUp: true, runs: new Set() };
     }
 
-    private after(ms: number, run: () => void): void {
-        this.due.push({ at: this.now + ms, run });
+    private schedule(ms: number, run: () => void): void {
+        this.queue.push({ at: this.now + ms, run });
     }
 
-    private between(least: number, most: number): number {
+    private uniform(least: number, most: number): number {
         return least + (most - least) * uniformFloat64(this.random);
     }
 
-    private exponential(mean: number): number {
+    private drawExponential(mean: number): number {
         return -Math.log(1 - uniformFloat64(this.random)) * mean;
     }
 
@@ -161,163 +175,183 @@
         return list[Math.floor(uniformFloat64(this.random) * list.length)]!;
     }
 
-    private arrive(): void {
-        const isAlike = uniformFloat64(this.random) < ALIKE_SHARE;
-        const fingerprint = isAlike
-            ? `alike-${Math.floor(this.between(0, ALIKE_KINDS))}`
-            : `own-${this.count.innocent}`;
-        this.count.innocent += 1;
-        this.offer(this.pick(this.hosts), fingerprint, this.exponential(isAlike ? SHORT_MS : STREAM_MS), false);
-        const perMs = this.day.endpoints * SLOTS * LOAD / STREAM_MS;
-        this.after(this.exponential(1 / perMs), () => this.arrive());
+    private handleHarmlessArrival(): void {
+        const isLookup = uniformFloat64(this.random) < LOOKUP_SHARE;
+        const fingerprint = isLookup
+            ? `alike-${Math.floor(this.uniform(0, LOOKUP_KINDS))}`
+            : `own-${this.counts.harmlessRequests}`;
+        this.counts.harmlessRequests += 1;
+        this.handleRequest(
+            this.pick(this.hosts),
+            fingerprint,
+            this.drawExponential(isLookup ? MEAN_LOOKUP_MS : MEAN_STREAM_MS),
+            false,
+        );
+        const arrivalsPerMs = this.day.endpoints * SLOTS_PER_ENDPOINT * UTILIZATION / MEAN_STREAM_MS;
+        this.schedule(this.drawExponential(1 / arrivalsPerMs), () => this.handleHarmlessArrival());
     }
 
-    private comeAgain(fingerprint: string): void {
-        this.after(this.exponential(AGAIN_MS), () => {
-            this.offer(this.pick(this.hosts), fingerprint, Infinity, true);
-            this.comeAgain(fingerprint);
+    private scheduleFatalRequest(fingerprint: string): void {
+        this.schedule(this.drawExponential(MEAN_RESEND_MS), () => {
+            this.handleRequest(this.pick(this.hosts), fingerprint, Infinity, true);
+            this.scheduleFatalRequest(fingerprint);
         });
     }
 
-    /** A request is to be begun, for the first time or to go on from its copy. */
-    private offer(host: Host, fingerprint: string, ms: number, isGuilty: boolean, goesOn = false): void {
+    /** Handles a request at a host: a new one, or one that continues from its copy after a crash. */
+    private handleRequest(host: Host, fingerprint: string, ms: number, isFatal: boolean, isContinuation = false): void {
         const verdict = verdictOf(host.state, fingerprint, this.now);
-        if (this.day.isGuarded && verdict.kind === "quarantined") {
+        if (this.day.isQuarantineOn && verdict.kind === "quarantined") {
             if (verdict.evidencePendingMs > 0) {
-                this.after(verdict.evidencePendingMs, () => this.offer(host, fingerprint, ms, isGuilty, goesOn));
+                this.schedule(
+                    verdict.evidencePendingMs,
+                    () => this.handleRequest(host, fingerprint, ms, isFatal, isContinuation),
+                );
                 return;
             }
-            if (!isGuilty) this.count.quarantined += 1;
+            if (!isFatal) this.counts.harmlessQuarantined += 1;
             return;
         }
-        if (this.day.isGuarded && verdict.kind === "onTrial") {
-            if (!isGuilty) this.count.askedBack += 1;
+        if (this.day.isQuarantineOn && verdict.kind === "onTrial") {
+            if (!isFatal) this.counts.harmlessDeferred += 1;
             return;
         }
         const suspect = isSuspect(host.state, fingerprint);
         const up = this.endpoints.filter(({ isUp }) => isUp);
         if (up.length === 0) return;
-        // A stream goes on where its copy lies, which was chosen before anything was known.
-        const endpoint = suspect && !goesOn ? up.reduce((a, b) => b.runs.size < a.runs.size ? b : a) : this.pick(up);
-        this.begin(endpoint, { fingerprint, host, ms, isGuilty, suspect });
+        // A stream continues at the endpoint with its copy, which was chosen before the request became suspect.
+        const endpoint = suspect && !isContinuation
+            ? up.reduce((a, b) => b.runs.size < a.runs.size ? b : a)
+            : this.pick(up);
+        this.startRun(endpoint, { fingerprint, host, ms, isFatal, suspect });
     }
 
-    private begin(
+    private startRun(
         endpoint: Endpoint,
-        { fingerprint, host, ms, isGuilty, suspect }: {
+        { fingerprint, host, ms, isFatal, suspect }: {
             readonly fingerprint: string;
             readonly host: Host;
             readonly ms: number;
-            readonly isGuilty: boolean;
+            readonly isFatal: boolean;
             readonly suspect: boolean;
         },
     ): void {
-        this.attempts += 1;
-        const attempt = `r${this.attempts}`;
+        this.attemptCount += 1;
+        const attempt = `r${this.attemptCount}`;
         const { now: beganAt } = this;
-        const run: Run = { fingerprint, attempt, host, beganAt, endsAt: beganAt + ms, isGuilty, wasSuspect: suspect };
+        const run: Run = {
+            fingerprint,
+            attempt,
+            host,
+            startedAt: beganAt,
+            endsAt: beganAt + ms,
+            isFatal,
+            wasSuspect: suspect,
+        };
         endpoint.runs.add(run);
-        if (suspect) this.tellTrial(run, false);
-        if (isGuilty && (this.endings.get(fingerprint) ?? 0) >= THIRD) this.count.begunAfterThird += 1;
+        if (suspect) this.recordTrial(run, false);
+        if (isFatal && (this.crashCounts.get(fingerprint) ?? 0) >= THRESHOLD) this.counts.runsAfterThreshold += 1;
         const { life } = endpoint;
-        if (isGuilty) this.after(this.between(0, FATAL_MS), () => this.endBy(endpoint, life, run));
-        else this.after(ms, () => this.finish(endpoint, run));
+        if (isFatal) this.schedule(this.uniform(0, MAX_CRASH_DELAY_MS), () => this.crashByFatal(endpoint, life, run));
+        else this.schedule(ms, () => this.finishRun(endpoint, run));
     }
 
-    private endBy(endpoint: Endpoint, life: string, { fingerprint }: Run): void {
+    private crashByFatal(endpoint: Endpoint, life: string, { fingerprint }: Run): void {
         if (endpoint.life !== life || !endpoint.isUp) return;
-        const endings = (this.endings.get(fingerprint) ?? 0) + 1;
-        this.endings.set(fingerprint, endings);
-        if (endings === THIRD) this.thirdAt.set(fingerprint, this.now);
-        this.count.ended += 1;
-        this.end(endpoint);
+        const endings = (this.crashCounts.get(fingerprint) ?? 0) + 1;
+        this.crashCounts.set(fingerprint, endings);
+        if (endings === THRESHOLD) this.thresholdReachedAt.set(fingerprint, this.now);
+        this.counts.crashesByFatal += 1;
+        this.crashEndpoint(endpoint);
     }
 
-    private finish(endpoint: Endpoint, run: Run): void {
+    private finishRun(endpoint: Endpoint, run: Run): void {
         if (!endpoint.runs.delete(run)) return;
-        if (run.wasSuspect) this.tellTrial(run, true);
+        if (run.wasSuspect) this.recordTrial(run, true);
         if (isSuspect(run.host.state, run.fingerprint)) {
-            this.follow(run.host, clearRequest(run.host.state, run.fingerprint, this.now));
+            this.applyStep(run.host, clearRequest(run.host.state, run.fingerprint, this.now));
         }
     }
 
-    private endSome(count: number): void {
+    private crashUpTo(count: number): void {
         const up = this.endpoints.filter(({ isUp }) => isUp);
-        for (const endpoint of up.slice(0, count)) this.end(endpoint);
+        for (const endpoint of up.slice(0, count)) this.crashEndpoint(endpoint);
     }
 
-    /** Ends a life with all that runs there; hosts find it out a moment later. */
-    private end(endpoint: Endpoint): void {
+    /** Crashes an endpoint with all its runs. The hosts of the runs detect it after a delay. */
+    private crashEndpoint(endpoint: Endpoint): void {
         const { life } = endpoint;
         const runs = [...endpoint.runs];
         endpoint.isUp = false;
         endpoint.runs.clear();
-        this.after(AWAY_MS, () => Object.assign(endpoint, this.newEndpoint(), { runs: endpoint.runs }));
-        const at = this.now;
+        this.schedule(RESTART_MS, () => Object.assign(endpoint, this.newEndpoint(), { runs: endpoint.runs }));
+        const crashedAt = this.now;
         for (const host of new Set(runs.map(({ host }) => host))) {
-            const own = runs.filter(run => run.host === host);
-            this.after(CONFIRM_MS, () => {
-                this.see(host, life, at, own);
-                for (const run of own) this.goOn(run);
+            const runsOfHost = runs.filter(run => run.host === host);
+            this.schedule(CRASH_DETECTION_MS, () => {
+                this.recordCrash(host, life, crashedAt, runsOfHost);
+                for (const run of runsOfHost) this.continueElsewhere(run);
             });
         }
     }
 
-    private see(host: Host, life: string, at: number, runs: readonly Run[]): void {
-        const requests = runs.map(({ fingerprint, beganAt, wasSuspect }) => ({
+    private recordCrash(host: Host, life: string, crashedAt: number, runs: readonly Run[]): void {
+        const requests = runs.map(({ fingerprint, startedAt: beganAt, wasSuspect }) => ({
             fingerprint,
-            ranMs: at - beganAt,
+            ranMs: crashedAt - beganAt,
             wasSuspect,
             cleared: false,
         }));
-        const endings = [{ life, agoMs: this.now - at, requests }];
-        for (const run of runs) if (run.wasSuspect) this.tellTrial(run, true);
-        this.follow(host, mergeNews(host.state, { endings, trials: [] }, this.now));
+        const endings = [{ life, agoMs: this.now - crashedAt, requests }];
+        for (const run of runs) if (run.wasSuspect) this.recordTrial(run, true);
+        this.applyStep(host, mergeNews(host.state, { endings, trials: [] }, this.now));
     }
 
-    private goOn({ host, fingerprint, endsAt, isGuilty }: Run): void {
-        if (uniformFloat64(this.random) < COPIED_SHARE) {
-            this.offer(host, fingerprint, Math.max(0, endsAt - this.now), isGuilty, true);
+    private continueElsewhere({ host, fingerprint, endsAt, isFatal }: Run): void {
+        if (uniformFloat64(this.random) < REPLICATED_SHARE) {
+            this.handleRequest(host, fingerprint, Math.max(0, endsAt - this.now), isFatal, true);
         }
-        else if (!isGuilty) this.count.lost += 1;
+        else if (!isFatal) this.counts.lostStreams += 1;
     }
 
-    private tellTrial({ host, fingerprint, attempt }: Run, isOver: boolean): void {
+    private recordTrial({ host, fingerprint, attempt }: Run, isOver: boolean): void {
         const trials = [{ attempt, fingerprint, agoMs: 0, isOver }];
-        this.follow(host, mergeNews(host.state, { endings: [], trials }, this.now));
+        this.applyStep(host, mergeNews(host.state, { endings: [], trials }, this.now));
     }
 
-    private follow(host: Host, { state, news }: QuarantineStep): void {
+    private applyStep(host: Host, { state, news }: QuarantineStep): void {
         host.state = state;
-        if (!this.day.isGuarded || !news) return;
-        this.noteKnown();
-        for (let sent = 0; sent < FANOUT && this.hosts.length > 1; sent++) this.send(this.pick(this.hosts), news);
+        if (!this.day.isQuarantineOn || !news) return;
+        this.recordPropagation();
+        for (let sent = 0; sent < FANOUT && this.hosts.length > 1; sent++) this.sendNews(this.pick(this.hosts), news);
     }
 
-    private send(to: Host, news: QuarantineNews): void {
-        if (uniformFloat64(this.random) < LOSS) return;
+    private sendNews(to: Host, news: QuarantineNews): void {
+        if (uniformFloat64(this.random) < MESSAGE_LOSS) return;
         const sentAt = this.now;
-        this.after(this.between(...WAY_MS), () => {
-            // What is told is as old as it was when it was sent: the way is not known to the receiver.
-            this.follow(to, mergeNews(to.state, news, Math.max(sentAt, this.now)));
+        this.schedule(this.uniform(...MESSAGE_DELAY_MS), () => {
+            // The ages in the message are those at sending: the receiver does not know the delay.
+            this.applyStep(to, mergeNews(to.state, news, Math.max(sentAt, this.now)));
         });
     }
 
-    private probe(host: Host): void {
+    private syncWithPeer(host: Host): void {
         const other = this.pick(this.hosts);
         if (host.state.digest !== other.state.digest) {
-            this.send(other, allEndingNews(host.state, this.now));
-            this.send(host, allEndingNews(other.state, this.now));
+            this.sendNews(other, allEndingNews(host.state, this.now));
+            this.sendNews(host, allEndingNews(other.state, this.now));
         }
-        this.after(PROBE_EVERY_MS, () => this.probe(host));
+        this.schedule(SYNC_INTERVAL_MS, () => this.syncWithPeer(host));
     }
 
-    /** Notes which guilty requests all hosts hold back by now. */
-    private noteKnown(): void {
-        for (const name of this.thirdAt.keys()) {
-            if (this.knownAt.has(name)) continue;
-            const isKnown = this.hosts.every(({ state }) => verdictOf(state, name, this.now).kind === "quarantined");
-            if (isKnown) this.knownAt.set(name, this.now);
+    /** Records the time for each fatal request that all hosts have quarantined by now. */
+    private recordPropagation(): void {
+        for (const name of this.thresholdReachedAt.keys()) {
+            if (this.quarantinedEverywhereAt.has(name)) continue;
+            const isQuarantinedEverywhere = this.hosts.every(({ state }) =>
+                verdictOf(state, name, this.now).kind === "quarantined"
+            );
+            if (isQuarantinedEverywhere) this.quarantinedEverywhereAt.set(name, this.now);
         }
     }
 }
--- a/packages/standins/src/random.ts
+++ b/packages/standins/src/random.ts
@@ -1,5 +1,5 @@
 /**
- * Seeded random numbers.
+ * Seeded random number generation.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 const BITS = 0x3fff_ffff;
 
 /**
- * A number from 0 up to, but not with, 1. Advances the generator.
+ * Draws a number from 0 (inclusive) to 1 (exclusive). Advances the generator.
  *
  * @example
  * ```ts
--- a/packages/standins/src/run-mutations.ts
+++ b/packages/standins/src/run-mutations.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run test:mutations`: proves that the checks bite. Each mutation breaks one promise in the code; the tests named
- * with it must then fail. The files are put back whatever happens.
+ * `npm run test:mutations`: checks that the tests detect broken guarantees. Applies each mutation to its source file and runs
+ * its tests, at least one of which must fail; the file is restored afterwards in any case.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import type { Mutation } from "./mutation.js";
 import { MUTATIONS } from "./mutations.js";
 
-/** Whether the tests fail with the mutation in place. */
+/** Whether the mutation's tests fail while it is applied. */
 function isCaught({ file, find, replace, tests }: Mutation): boolean {
     const source = readFileSync(file, "utf8");
-    if (source.split(find).length !== 2) throw new Error(`${file} must hold this once: ${find}`);
+    if (source.split(find).length !== 2) throw new Error(`${file} must contain this text exactly once: ${find}`);
     try {
         writeFileSync(file, source.replace(find, () => replace));
         return spawnSync("npx", ["ava", ...tests], { stdio: "ignore" }).status !== 0;
@@ -22,14 +22,14 @@
     }
 }
 
-/** With words after the command, only promises that hold one of them. */
-const words = process.argv.slice(2);
-const chosen = MUTATIONS.filter(({ promise }) => words.length === 0 || words.some(word => promise.includes(word)));
-let missed = 0;
+/** Arguments of the command; if there are any, only mutations whose promise contains one of them are run. */
+const filters = process.argv.slice(2);
+const chosen = MUTATIONS.filter(({ promise }) => filters.length === 0 || filters.some(word => promise.includes(word)));
+let missedCount = 0;
 for (const mutation of chosen) {
     const caught = isCaught(mutation);
-    if (!caught) missed += 1;
+    if (!caught) missedCount += 1;
     process.stdout.write(`${caught ? "caught" : "MISSED"}: ${mutation.promise} (${mutation.file})\n`);
 }
-process.stdout.write(`${chosen.length - missed} of ${chosen.length} mutations caught\n`);
-process.exitCode = missed === 0 ? 0 : 1;
+process.stdout.write(`${chosen.length - missedCount} of ${chosen.length} mutations caught\n`);
+process.exitCode = missedCount === 0 ? 0 : 1;
--- a/packages/standins/src/traffic.ts
+++ b/packages/standins/src/traffic.ts
@@ -7,30 +7,30 @@
 import { type RandomGenerator, uniformFloat64, xoroshiro128plus } from "./random.js";
 
 /** One kind of request in a deployment's traffic. */
-export interface Stream {
+export interface RequestClass {
     readonly workspace: string;
     readonly service: string;
     readonly model: string;
     readonly priority: "live" | "normal" | "batch";
     /** Requests a second on average. */
-    readonly rate: number;
+    readonly requestsPerS: number;
     /** Rate is this many times higher within a burst; bursts last a fifth of each period. */
-    readonly burst: number;
+    readonly burstFactor: number;
     readonly burstPeriodMs: number;
     /** Median and spread (sigma of the logarithm) of the prompt, in tokens. */
-    readonly prompt: readonly [median: number, sigma: number];
+    readonly promptLength: readonly [median: number, sigma: number];
     /** Median and spread of the output, in tokens. */
-    readonly output: readonly [median: number, sigma: number];
+    readonly outputLength: readonly [median: number, sigma: number];
     readonly maxOutput: number;
     /** How many prompt starts the requests share; 0 for none. */
-    readonly prefixes: number;
+    readonly sharedPrefixes: number;
 }
 
 /** One request of the traffic. */
 export interface Arrival {
     readonly at: number;
     readonly id: string;
-    readonly stream: Stream;
+    readonly requestClass: RequestClass;
     readonly promptTokens: number;
     readonly output: number;
     readonly prefix: string;
@@ -39,7 +39,7 @@
 /** A deployment's traffic. */
 export interface Deployment {
     readonly name: "kigali" | "clayhollow";
-    readonly streams: readonly Stream[];
+    readonly requestClasses: readonly RequestClass[];
 }
 
 const BURST_SHARE = 0.2;
@@ -47,32 +47,32 @@
 /** The time-sheet assistant: live summaries in bursts, with clerks' reconciliations through the day. */
 export const KIGALI: Deployment = {
     name: "kigali",
-    streams: [
+    requestClasses: [
         {
             workspace: "foremen",
             service: "scribe",
             model: "summary-8b",
             priority: "live",
-            rate: 6,
-            burst: 4,
+            requestsPerS: 6,
+            burstFactor: 4,
             burstPeriodMs: 60_000,
-            prompt: [600, 0.5],
-            output: [180, 0.6],
+            promptLength: [600, 0.5],
+            outputLength: [180, 0.6],
             maxOutput: 2_000,
-            prefixes: 0,
+            sharedPrefixes: 0,
         },
         {
             workspace: "clerks",
             service: "scribe",
             model: "summary-8b",
             priority: "normal",
-            rate: 2.2,
-            burst: 1,
+            requestsPerS: 2.2,
+            burstFactor: 1,
             burstPeriodMs: 60_000,
-            prompt: [3_000, 0.5],
-            output: [500, 1.2],
+            promptLength: [3_000, 0.5],
+            outputLength: [500, 1.2],
             maxOutput: 16_000,
-            prefixes: 6,
+            sharedPrefixes: 6,
         },
     ],
 };
@@ -80,32 +80,32 @@
 /** Kiln bookings: long logbook summaries over shared prompts, with short plans between them. */
 export const CLAYHOLLOW: Deployment = {
     name: "clayhollow",
-    streams: [
+    requestClasses: [
         {
             workspace: "studios",
             service: "scribe",
             model: "summary-8b",
             priority: "normal",
-            rate: 1.7,
-            burst: 2,
+            requestsPerS: 1.7,
+            burstFactor: 2,
             burstPeriodMs: 90_000,
-            prompt: [5_000, 0.6],
-            output: [900, 1.0],
+            promptLength: [5_000, 0.6],
+            outputLength: [900, 1.0],
             maxOutput: 24_000,
-            prefixes: 10,
+            sharedPrefixes: 10,
         },
         {
             workspace: "members",
             service: "scribe",
             model: "summary-8b",
             priority: "normal",
-            rate: 4,
-            burst: 1,
+            requestsPerS: 4,
+            burstFactor: 1,
             burstPeriodMs: 60_000,
-            prompt: [800, 0.5],
-            output: [220, 0.7],
+            promptLength: [800, 0.5],
+            outputLength: [220, 0.7],
             maxOutput: 4_000,
-            prefixes: 0,
+            sharedPrefixes: 0,
         },
     ],
 };
@@ -114,17 +114,17 @@
 export const DEPLOYMENTS = { kigali: KIGALI, clayhollow: CLAYHOLLOW } as const;
 
 /** A log-normal draw with a given median. */
-function logNormal(random: RandomGenerator, median: number, sigma: number): number {
+function drawLogNormal(random: RandomGenerator, median: number, sigma: number): number {
     const radius = Math.sqrt(-2 * Math.log(1 - uniformFloat64(random)));
     return median * Math.exp(sigma * radius * Math.cos(2 * Math.PI * uniformFloat64(random)));
 }
 
-function draw(random: RandomGenerator, [median, sigma]: readonly [number, number], most: number): number {
-    return Math.max(1, Math.min(most, Math.round(logNormal(random, median, sigma))));
+function drawLength(random: RandomGenerator, [median, sigma]: readonly [number, number], max: number): number {
+    return Math.max(1, Math.min(max, Math.round(drawLogNormal(random, median, sigma))));
 }
 
-function inBurst(stream: Stream, at: number): boolean {
-    return at % stream.burstPeriodMs < stream.burstPeriodMs * BURST_SHARE;
+function isInBurst(requestClass: RequestClass, at: number): boolean {
+    return at % requestClass.burstPeriodMs < requestClass.burstPeriodMs * BURST_SHARE;
 }
 
 /**
@@ -144,28 +144,35 @@
     seed: number,
 ): readonly Arrival[] {
     const arrivals: Arrival[] = [];
-    for (const [at, stream] of deployment.streams.entries()) {
-        arrivals.push(...streamArrivals(stream, durationMs, scale, xoroshiro128plus(seed * 31 + at)));
+    for (const [index, requestClass] of deployment.requestClasses.entries()) {
+        arrivals.push(...arrivalsOfClass(requestClass, durationMs, scale, xoroshiro128plus(seed * 31 + index)));
     }
     return arrivals.sort((a, b) => a.at - b.at);
 }
 
-function streamArrivals(stream: Stream, durationMs: number, scale: number, random: RandomGenerator): Arrival[] {
+function arrivalsOfClass(
+    requestClass: RequestClass,
+    durationMs: number,
+    scale: number,
+    random: RandomGenerator,
+): Arrival[] {
     const arrivals: Arrival[] = [];
-    const peak = stream.rate * stream.burst * scale / 1000;
+    const peakPerMs = requestClass.requestsPerS * requestClass.burstFactor * scale / 1000;
     let at = 0;
     for (;;) {
-        at += -Math.log(1 - uniformFloat64(random)) / peak;
+        at += -Math.log(1 - uniformFloat64(random)) / peakPerMs;
         if (at >= durationMs) return arrivals;
         // Thinning: candidates come at the burst's rate, and outside of bursts only some of them stay.
-        if (!inBurst(stream, at) && uniformFloat64(random) > 1 / stream.burst) continue;
-        const prefix = stream.prefixes === 0 ? "" : `book-${Math.floor(uniformFloat64(random) * stream.prefixes)}`;
+        if (!isInBurst(requestClass, at) && uniformFloat64(random) > 1 / requestClass.burstFactor) continue;
+        const prefix = requestClass.sharedPrefixes === 0
+            ? ""
+            : `book-${Math.floor(uniformFloat64(random) * requestClass.sharedPrefixes)}`;
         arrivals.push({
             at,
-            id: `${stream.workspace}-${arrivals.length}`,
-            stream,
-            promptTokens: draw(random, stream.prompt, 20_000),
-            output: draw(random, stream.output, stream.maxOutput),
+            id: `${requestClass.workspace}-${arrivals.length}`,
+            requestClass: requestClass,
+            promptTokens: drawLength(random, requestClass.promptLength, 20_000),
+            output: drawLength(random, requestClass.outputLength, requestClass.maxOutput),
             prefix,
         });
     }
--- a/packages/standins/test/bad-input.test.ts
+++ b/packages/standins/test/bad-input.test.ts
@@ -3,16 +3,16 @@
 import { request } from "undici";
 import { type Stage, startStage } from "../src/index.js";
 
-async function stageFor(t: ExecutionContext): Promise<Stage> {
-    const stage = await startStage({
+async function startCluster(t: ExecutionContext): Promise<Stage> {
+    const cluster = await startStage({
         halls: ["k1"],
         enginesPerHall: 1,
         engine: { speed: 20 },
         tree: { root: { "max-body": "100k", "first-token-timeout": "500ms" } },
         flags: { "callers.body-timeout": "400ms" },
     });
-    t.teardown(() => stage.stop());
-    return stage;
+    t.teardown(() => cluster.stop());
+    return cluster;
 }
 
 interface Answer {
@@ -21,10 +21,10 @@
     readonly ran: string | undefined;
 }
 
-async function post(stage: Stage, body: string, headers: Record<string, string> = {}): Promise<Answer> {
-    const res = await request(`${stage.hosts[0]!.daemon.callersUrl}/v1/chat/completions`, {
+async function post(cluster: Stage, body: string, headers: Record<string, string> = {}): Promise<Answer> {
+    const res = await request(`${cluster.hosts[0]!.daemon.callersUrl}/v1/chat/completions`, {
         method: "POST",
-        headers: { authorization: `Bearer ${stage.keyOf("members")}`, ...headers },
+        headers: { authorization: `Bearer ${cluster.keyOf("members")}`, ...headers },
         body,
     });
     const text = await res.body.text();
@@ -32,7 +32,7 @@
     return { status: res.statusCode, code: error?.code, ran: error?.ran };
 }
 
-const good = { model: "summary-8b", messages: [{ role: "user", content: "x" }] };
+const validRequest = { model: "summary-8b", messages: [{ role: "user", content: "x" }] };
 
 const BODIES: readonly {
     readonly name: string;
@@ -44,47 +44,57 @@
     { name: "not JSON", body: '{"model":', status: 400, code: "bad_request" },
     { name: "a number", body: "7", status: 400, code: "bad_request" },
     { name: "null", body: "null", status: 400, code: "bad_request" },
-    { name: "no model", body: JSON.stringify({ messages: good.messages }), status: 400, code: "bad_request" },
-    { name: "messages of text", body: JSON.stringify({ ...good, messages: "hi" }), status: 400, code: "bad_request" },
-    { name: "a negative bound", body: JSON.stringify({ ...good, max_tokens: -1 }), status: 400, code: "bad_request" },
+    { name: "no model", body: JSON.stringify({ messages: validRequest.messages }), status: 400, code: "bad_request" },
+    {
+        name: "messages of text",
+        body: JSON.stringify({ ...validRequest, messages: "hi" }),
+        status: 400,
+        code: "bad_request",
+    },
+    {
+        name: "a negative bound",
+        body: JSON.stringify({ ...validRequest, max_tokens: -1 }),
+        status: 400,
+        code: "bad_request",
+    },
     {
         name: "an absurd bound",
-        body: JSON.stringify({ ...good, max_tokens: 5_000_000 }),
+        body: JSON.stringify({ ...validRequest, max_tokens: 5_000_000 }),
         status: 400,
         code: "bad_request",
     },
-    { name: "two choices", body: JSON.stringify({ ...good, n: 2 }), status: 400, code: "bad_request" },
+    { name: "two choices", body: JSON.stringify({ ...validRequest, n: 2 }), status: 400, code: "bad_request" },
     {
         name: "more than the workspace may send",
-        body: JSON.stringify({ ...good, pad: "x".repeat(200_000) }),
+        body: JSON.stringify({ ...validRequest, pad: "x".repeat(200_000) }),
         status: 413,
         code: "body_too_large",
     },
 ];
 
 test("each wrong body gets its typed error, and none runs", async t => {
-    const stage = await stageFor(t);
+    const cluster = await startCluster(t);
     for (const { name, body, status, code } of BODIES) {
-        t.deepEqual(await post(stage, body), { status, code, ran: "no" }, name);
+        t.deepEqual(await post(cluster, body), { status, code, ran: "no" }, name);
     }
-    t.is((await post(stage, "x".repeat(120_000), { "content-type": "text/plain" })).status, 413);
-    t.is(stage.engines[0]!.server.runs.size, 0);
+    t.is((await post(cluster, "x".repeat(120_000), { "content-type": "text/plain" })).status, 413);
+    t.is(cluster.engines[0]!.server.runsByRequest.size, 0);
 });
 
 test("fields that the system does not know reach the engine", async t => {
-    const stage = await stageFor(t);
-    const res = await request(`${stage.hosts[0]!.daemon.callersUrl}/v1/chat/completions`, {
+    const cluster = await startCluster(t);
+    const res = await request(`${cluster.hosts[0]!.daemon.callersUrl}/v1/chat/completions`, {
         method: "POST",
-        headers: { authorization: `Bearer ${stage.keyOf("members")}` },
-        body: JSON.stringify({ ...good, x_output: 3, x_tag: "seen" }),
+        headers: { authorization: `Bearer ${cluster.keyOf("members")}` },
+        body: JSON.stringify({ ...validRequest, x_output: 3, x_tag: "seen" }),
     });
     const answer = await res.body.json() as { choices: { message: { content: string } }[] };
     t.regex(answer.choices[0]!.message.content, /^seen\.\S+\.0 seen\.\S+\.1 seen\.\S+\.2 $/);
 });
 
 /** Writes bytes to the callers' port and gives all that comes back until the connection ends. */
-function raw(stage: Stage, bytes: string): Promise<string> {
-    const { port } = new URL(stage.hosts[0]!.daemon.callersUrl);
+function sendRaw(cluster: Stage, bytes: string): Promise<string> {
+    const { port } = new URL(cluster.hosts[0]!.daemon.callersUrl);
     return new Promise((resolve, reject) => {
         let answer = "";
         const socket = connect(Number(port), "127.0.0.1", () => socket.write(bytes));
@@ -96,42 +106,42 @@
 }
 
 test("a caller that sends half a body and stalls is ended in time, and nothing runs", async t => {
-    const stage = await stageFor(t);
+    const cluster = await startCluster(t);
     const head = `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${
-        stage.keyOf("members")
+        cluster.keyOf("members")
     }\r\ncontent-length: 100\r\n\r\n{"mod`;
-    t.regex(await raw(stage, head), /^HTTP\/1\.1 408 /);
-    t.is(stage.engines[0]!.server.runs.size, 0);
+    t.regex(await sendRaw(cluster, head), /^HTTP\/1\.1 408 /);
+    t.is(cluster.engines[0]!.server.runsByRequest.size, 0);
 });
 
 test("a head that is too large, or is none, is refused", async t => {
-    const stage = await stageFor(t);
+    const cluster = await startCluster(t);
     t.regex(
-        await raw(stage, `GET /v1/models HTTP/1.1\r\nhost: x\r\nx-pad: ${"x".repeat(40_000)}\r\n\r\n`),
+        await sendRaw(cluster, `GET /v1/models HTTP/1.1\r\nhost: x\r\nx-pad: ${"x".repeat(40_000)}\r\n\r\n`),
         /^HTTP\/1\.1 431 /,
     );
-    t.regex(await raw(stage, "no such protocol\r\n\r\n"), /^HTTP\/1\.1 400 /);
+    t.regex(await sendRaw(cluster, "no such protocol\r\n\r\n"), /^HTTP\/1\.1 400 /);
 });
 
 test("requests that are pipelined are answered one after the other", async t => {
-    const stage = await stageFor(t);
+    const cluster = await startCluster(t);
     const one = (tag: string, last: boolean): string => {
-        const body = JSON.stringify({ ...good, x_output: 2, x_tag: tag });
-        return `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${stage.keyOf("members")}\r\n`
+        const body = JSON.stringify({ ...validRequest, x_output: 2, x_tag: tag });
+        return `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${cluster.keyOf("members")}\r\n`
             + `${last ? "connection: close\r\n" : ""}content-length: ${body.length}\r\n\r\n${body}`;
     };
-    const answer = await raw(stage, one("first", false) + one("second", true));
+    const answer = await sendRaw(cluster, one("first", false) + one("second", true));
     t.is(answer.split("HTTP/1.1 200").length - 1, 2);
     t.true(answer.indexOf("first.") > 0 && answer.indexOf("first.") < answer.indexOf("second."));
 });
 
 test("a caller's text is never in a log", async t => {
-    const stage = await stageFor(t);
+    const cluster = await startCluster(t);
     await post(
-        stage,
-        JSON.stringify({ ...good, messages: [{ role: "user", content: "a secret of the kiln" }], x_output: 1 }),
+        cluster,
+        JSON.stringify({ ...validRequest, messages: [{ role: "user", content: "a secret of the kiln" }], x_output: 1 }),
     );
-    await post(stage, "a secret of the kiln");
-    t.true(stage.logLines.length > 0);
-    t.false(stage.logLines.some(line => line.includes("kiln") || line.includes(stage.keyOf("members"))));
+    await post(cluster, "a secret of the kiln");
+    t.true(cluster.logLines.length > 0);
+    t.false(cluster.logLines.some(line => line.includes("kiln") || line.includes(cluster.keyOf("members"))));
 });
--- a/packages/standins/test/capacity.test.ts
+++ b/packages/standins/test/capacity.test.ts
@@ -1,11 +1,11 @@
 import { ownerReportIntervalMs } from "@drumpaddle/hall";
 import test from "ava";
 import { readFileSync } from "node:fs";
-import { MESSAGES_PER_ROUND, perHost, PLAN, renderCapacity, roles, type Slopes } from "../src/capacity.js";
+import { perHost, PLAN, PROBE_MESSAGES_PER_ROUND, renderCapacity, roleCosts, type Slopes } from "../src/capacity.js";
 
-const BEAT_MS = 250;
+const PROBE_INTERVAL_MS = 250;
 
-function pageSlopes(page: string): Slopes {
+function slopesIn(page: string): Slopes {
     const json = /```json\n([\s\S]*?)\n```/.exec(page)?.[1];
     if (json === undefined) throw new Error("docs/CAPACITY.md holds no slopes: run npm run bench:capacity -- --write");
     return JSON.parse(json) as Slopes;
@@ -15,14 +15,26 @@
     const page = readFileSync(new URL("../../../docs/CAPACITY.md", import.meta.url), "utf8");
     const { hallHosts } = perHost();
     t.true(
-        page.includes(renderCapacity(pageSlopes(page), ownerReportIntervalMs(hallHosts), BEAT_MS, MESSAGES_PER_ROUND)),
+        page.includes(
+            renderCapacity(
+                slopesIn(page),
+                ownerReportIntervalMs(hallHosts),
+                PROBE_INTERVAL_MS,
+                PROBE_MESSAGES_PER_ROUND,
+            ),
+        ),
     );
 });
 
 test("at the plan's size control stays within its budget, by the page's slopes", t => {
     const page = readFileSync(new URL("../../../docs/CAPACITY.md", import.meta.url), "utf8");
     const { hallHosts } = perHost();
-    const uses = roles(pageSlopes(page), ownerReportIntervalMs(hallHosts), BEAT_MS, MESSAGES_PER_ROUND);
+    const uses = roleCosts(
+        slopesIn(page),
+        ownerReportIntervalMs(hallHosts),
+        PROBE_INTERVAL_MS,
+        PROBE_MESSAGES_PER_ROUND,
+    );
     const sum = (of: (use: typeof uses[number]) => number): number => uses.reduce((total, use) => total + of(use), 0);
     t.true(sum(use => use.cores) <= PLAN.budget.cores);
     t.true(sum(use => use.bytesPerS) <= PLAN.budget.bytesPerS);
--- a/packages/standins/test/engine-faults.test.ts
+++ b/packages/standins/test/engine-faults.test.ts
@@ -3,23 +3,23 @@
 import { type CallerResult, callOnce, type EngineFault, type Stage, startStage, waitUntil } from "../src/index.js";
 
 /** Above the time to a first token where all tests and other work share the machine (1,256 ms seen), so that only faults are late. */
-const QUICK = { "idle-timeout": "3s", "first-token-timeout": "3s", "connect-timeout": "3s" };
+const SHORT_TIMEOUTS = { "idle-timeout": "3s", "first-token-timeout": "3s", "connect-timeout": "3s" };
 
-async function stageFor(t: ExecutionContext, members: Record<string, string> = {}, engines = 2): Promise<Stage> {
-    const stage = await startStage({
+async function startCluster(t: ExecutionContext, members: Record<string, string> = {}, engines = 2): Promise<Stage> {
+    const cluster = await startStage({
         halls: ["k1"],
         enginesPerHall: engines,
         engine: { speed: 20 },
-        tree: { root: QUICK, "workspace/members": members },
+        tree: { root: SHORT_TIMEOUTS, "workspace/members": members },
     });
-    t.teardown(() => stage.stop());
-    return stage;
+    t.teardown(() => cluster.stop());
+    return cluster;
 }
 
-function send(stage: Stage, headers: { tag?: string; output?: number } = {}): Promise<CallerResult> {
+function send(cluster: Stage, headers: { tag?: string; output?: number } = {}): Promise<CallerResult> {
     return callOnce({
-        url: stage.hosts[0]!.daemon.callersUrl,
-        key: stage.keyOf("members"),
+        url: cluster.hosts[0]!.daemon.callersUrl,
+        key: cluster.keyOf("members"),
         model: "summary-8b",
         tag: headers.tag ?? "t",
         promptTokens: 50,
@@ -27,8 +27,11 @@
     });
 }
 
-function runsOf(stage: Stage): number {
-    return stage.engines.flatMap(({ server }) => [...server.runs.values()]).reduce((sum, runs) => sum + runs, 0);
+function countRuns(cluster: Stage): number {
+    return cluster.engines.flatMap(({ server }) => [...server.runsByRequest.values()]).reduce(
+        (sum, runs) => sum + runs,
+        0,
+    );
 }
 
 interface Case {
@@ -41,17 +44,17 @@
 
 const CASES: readonly Case[] = [
     { fault: { kind: "refuse" }, outcome: "whole", runs: 1 },
-    { fault: { kind: "failUnproven" }, outcome: "whole", runs: 1 },
+    { fault: { kind: "serverError" }, outcome: "whole", runs: 1 },
     { fault: { kind: "html" }, outcome: "whole", runs: 1 },
-    { fault: { kind: "never" }, outcome: "whole", runs: 1 },
-    { fault: { kind: "dieBeforeHead" }, outcome: "whole", runs: 1 },
+    { fault: { kind: "noAnswer" }, outcome: "whole", runs: 1 },
+    { fault: { kind: "closeBeforeHead" }, outcome: "whole", runs: 1 },
     { fault: { kind: "resetAt", at: 5 }, outcome: "whole", runs: 1 },
-    { fault: { kind: "reclaimedAt", at: 5 }, outcome: "failed", runs: 1, code: "stream_incomplete" },
+    { fault: { kind: "loseGenerationAt", at: 5 }, outcome: "failed", runs: 1, code: "stream_incomplete" },
     { fault: { kind: "stallAt", at: 5 }, outcome: "whole", runs: 1 },
     { fault: { kind: "repeatAt", at: 5 }, outcome: "whole", runs: 1 },
     { fault: { kind: "skipAt", at: 5 }, outcome: "whole", runs: 1 },
     { fault: { kind: "swapAt", at: 5 }, outcome: "whole", runs: 1 },
-    { fault: { kind: "crossAt", at: 5 }, outcome: "whole", runs: 1 },
+    { fault: { kind: "foreignTokenAt", at: 5 }, outcome: "whole", runs: 1 },
     { fault: { kind: "otherGenerationAt", at: 5 }, outcome: "whole", runs: 1 },
     { fault: { kind: "halfChunkAt", at: 5 }, outcome: "whole", runs: 1 },
     { fault: { kind: "hugeChunkAt", at: 5 }, outcome: "failed", runs: 1, code: "endpoint_invalid_answer" },
@@ -60,89 +63,89 @@
 
 for (const { fault, outcome, runs, code } of CASES) {
     test(`an engine that does ${fault.kind}`, async t => {
-        const stage = await stageFor(t);
-        stage.engines[0]!.server.faults.push(fault);
-        const result = await send(stage);
+        const cluster = await startCluster(t);
+        cluster.engines[0]!.server.faults.push(fault);
+        const result = await send(cluster);
         t.is(result.outcome, outcome, JSON.stringify(result));
         t.is(result.code, code);
-        t.is(runsOf(stage), runs);
+        t.is(countRuns(cluster), runs);
     });
 }
 
 test("a request that may not be repeated is never sent twice", async t => {
-    const stage = await stageFor(t, { repeatable: "false" });
-    for (const kind of ["failUnproven", "never", "dieBeforeHead"] as const) {
-        for (const { server } of stage.engines) server.faults.push({ kind });
-        const result = await send(stage);
+    const cluster = await startCluster(t, { repeatable: "false" });
+    for (const kind of ["serverError", "noAnswer", "closeBeforeHead"] as const) {
+        for (const { server } of cluster.engines) server.faults.push({ kind });
+        const result = await send(cluster);
         t.is(result.outcome, "failed", kind);
         t.is(result.ran, "unknown", kind);
-        for (const { server } of stage.engines) server.faults.length = 0;
+        for (const { server } of cluster.engines) server.faults.length = 0;
     }
-    t.is(runsOf(stage), 0);
+    t.is(countRuns(cluster), 0);
 });
 
 test("a refusal that proves that nothing ran lets even such a request try elsewhere", async t => {
-    const stage = await stageFor(t, { repeatable: "false" });
-    stage.engines[0]!.server.faults.push({ kind: "refuse" });
-    t.is((await send(stage)).outcome, "whole");
-    t.is(runsOf(stage), 1);
+    const cluster = await startCluster(t, { repeatable: "false" });
+    cluster.engines[0]!.server.faults.push({ kind: "refuse" });
+    t.is((await send(cluster)).outcome, "whole");
+    t.is(countRuns(cluster), 1);
 });
 
 /** Requests within which each of three engines surely had its turn. */
-const MOST_TURNS = 30;
+const MAX_TURNS = 30;
 
 test("endpoints that refuse for want of room are not ejected, those that fail are", async t => {
-    const stage = await stageFor(t, {}, 3);
+    const cluster = await startCluster(t, {}, 3);
     // Few enough that the budget of retries, three to begin with, is not what is tested.
-    const failuresAfter = async (kind: "refuse" | "failUnproven"): Promise<number> => {
-        const { faults } = stage.engines[0]!.server;
+    const failuresAfter = async (kind: "refuse" | "serverError"): Promise<number> => {
+        const { faults } = cluster.engines[0]!.server;
         faults.push({ kind });
         // Equal endpoints take turns, and a slow machine makes them unequal for a while: engine-1's turn comes soon.
-        for (let sent = 0; faults.length > 0 && sent < MOST_TURNS; sent++) {
-            t.is((await send(stage)).outcome, "whole");
+        for (let sent = 0; faults.length > 0 && sent < MAX_TURNS; sent++) {
+            t.is((await send(cluster)).outcome, "whole");
         }
         t.is(faults.length, 0);
-        return stage.hosts[0]!.daemon.host.engines.view.endpoints.get("engine-1")!.breaker.failures;
+        return cluster.hosts[0]!.daemon.host.engines.view.endpoints.get("engine-1")!.breaker.failures;
     };
     t.is(await failuresAfter("refuse"), 0);
-    t.is(await failuresAfter("failUnproven"), 1);
+    t.is(await failuresAfter("serverError"), 1);
 });
 
 test("answers of requests that run at once are never crossed", async t => {
     // A machine that is busy must not make a first token late: the retries would use up their budget.
-    const stage = await stageFor(t, { "first-token-timeout": "60s", "idle-timeout": "60s" });
+    const cluster = await startCluster(t, { "first-token-timeout": "60s", "idle-timeout": "60s" });
     const results = await Promise.all(
-        Array.from({ length: 40 }, (_, at) => send(stage, { tag: `t${at}`, output: 5 + at })),
+        Array.from({ length: 40 }, (_, index) => send(cluster, { tag: `t${index}`, output: 5 + index })),
     );
     const bad = results.filter(result => result.outcome !== "whole");
     t.deepEqual(bad, [], JSON.stringify(bad));
 });
 
 test("an endpoint that is leaving gets nothing new, whichever source says so", async t => {
-    const stage = await stageFor(t);
-    const [first, second] = stage.engines.map(({ server }) => server);
-    const host = stage.hosts[0]!.daemon.host;
+    const cluster = await startCluster(t);
+    const [first, second] = cluster.engines.map(({ server }) => server);
+    const host = cluster.hosts[0]!.daemon.host;
     const leaving = (at: number) => [...host.engines.view.endpoints.values()][at]!.leavingBy;
     first!.leaving = true;
     await waitUntil(() => leaving(0).includes("endpoint"));
-    stage.hostList.set([{ name: "m", hall: "k1", state: "live", endpoint: "engine-1" }]);
-    for (let at = 0; at < 5; at++) t.is((await send(stage)).outcome, "whole");
-    t.is(first!.runs.size, 0);
-    t.is(second!.runs.size, 5);
-    stage.hostList.set([{ name: "m", hall: "k1", state: "leaving", endpoint: "engine-2" }]);
+    cluster.hostList.set([{ name: "m", hall: "k1", state: "live", endpoint: "engine-1" }]);
+    for (let index = 0; index < 5; index++) t.is((await send(cluster)).outcome, "whole");
+    t.is(first!.runsByRequest.size, 0);
+    t.is(second!.runsByRequest.size, 5);
+    cluster.hostList.set([{ name: "m", hall: "k1", state: "leaving", endpoint: "engine-2" }]);
     await waitUntil(() => leaving(1).includes("hostList"));
-    const refused = await send(stage);
+    const refused = await send(cluster);
     t.deepEqual([refused.code, refused.ran], ["no_endpoint", "no"]);
-    t.is(second!.runs.size, 5);
+    t.is(second!.runsByRequest.size, 5);
 });
 
 test("a planned stop finishes what runs, refuses what is new, and tells peers", async t => {
-    const stage = await stageFor(t);
-    const daemon = stage.hosts[0]!.daemon;
-    const running = send(stage, { output: 400 });
+    const cluster = await startCluster(t);
+    const daemon = cluster.hosts[0]!.daemon;
+    const running = send(cluster, { output: 400 });
     await waitUntil(() => daemon.host.runs.size === 1);
     const stopped = daemon.stop();
-    const late = await send(stage);
+    const late = await send(cluster);
     t.deepEqual([late.outcome, late.code, late.ran], ["refused", "host_stopping", "no"]);
     const ready = await request(`${daemon.operatorsUrl}/readyz`);
     t.is(ready.statusCode, 503);
@@ -152,23 +155,23 @@
 });
 
 test("a stopping host with nothing left to serve still answers callers that the balancer sends", async t => {
-    const stage = await stageFor(t, {}, 1);
-    const daemon = stage.hosts[0]!.daemon;
+    const cluster = await startCluster(t, {}, 1);
+    const daemon = cluster.hosts[0]!.daemon;
     const stopped = daemon.stop();
-    const refused = await send(stage);
+    const refused = await send(cluster);
     t.deepEqual([refused.outcome, refused.code, refused.ran], ["refused", "host_stopping", "no"]);
     await new Promise(resolve => setTimeout(resolve, 500));
-    const later = await send(stage);
+    const later = await send(cluster);
     t.deepEqual([later.outcome, later.code, later.ran], ["refused", "host_stopping", "no"]);
     await stopped;
 });
 
 test("waiting requests are answered as not run when the host is told to stop", async t => {
-    const stage = await stageFor(t, { "gap-target": "1ms" }, 1);
-    const daemon = stage.hosts[0]!.daemon;
-    const running = send(stage, { output: 300 });
+    const cluster = await startCluster(t, { "gap-target": "1ms" }, 1);
+    const daemon = cluster.hosts[0]!.daemon;
+    const running = send(cluster, { output: 300 });
     await waitUntil(() => daemon.host.engines.view.placed.size === 1);
-    const waiting = send(stage);
+    const waiting = send(cluster);
     await waitUntil(() => daemon.host.engines.view.waiting.length === 1);
     const stopped = daemon.stop();
     const refused = await waiting;
@@ -178,11 +181,11 @@
 });
 
 test("a caller that reads nothing does not fill the daemon's memory, and is given up in time", async t => {
-    const stage = await stageFor(t, { "caller-stall-timeout": "2s" });
+    const cluster = await startCluster(t, { "caller-stall-timeout": "2s" });
     const controller = new AbortController();
-    const res = await request(`${stage.hosts[0]!.daemon.callersUrl}/v1/chat/completions`, {
+    const res = await request(`${cluster.hosts[0]!.daemon.callersUrl}/v1/chat/completions`, {
         method: "POST",
-        headers: { authorization: `Bearer ${stage.keyOf("members")}` },
+        headers: { authorization: `Bearer ${cluster.keyOf("members")}` },
         body: JSON.stringify({
             model: "summary-8b",
             stream: true,
@@ -193,10 +196,10 @@
         signal: controller.signal,
     });
     t.is(res.statusCode, 200);
-    await waitUntil(() => stage.logLines.some(line => line.includes("outcome=caller_gone")));
-    await waitUntil(() => stage.engines.some(({ server }) => server.cancelled.length === 1));
-    const made = stage.engines.reduce((sum, { server }) => sum + server.tokensMade, 0);
-    const line = stage.logLines.find(other => other.includes("outcome=caller_gone")) ?? "";
+    await waitUntil(() => cluster.logLines.some(line => line.includes("outcome=caller_gone")));
+    await waitUntil(() => cluster.engines.some(({ server }) => server.cancelledGenerations.length === 1));
+    const made = cluster.engines.reduce((sum, { server }) => sum + server.tokensGenerated, 0);
+    const line = cluster.logLines.find(other => other.includes("outcome=caller_gone")) ?? "";
     const passed = Number(/ tokens=(\d+)/.exec(line)?.[1]);
     t.log(`${made} tokens made, ${passed} read from the engine`);
     t.true(passed < made / 2, `${passed} of ${made} tokens were read for a caller that reads none`);
--- a/packages/standins/test/faults.test.ts
+++ b/packages/standins/test/faults.test.ts
@@ -1,16 +1,16 @@
 import test from "ava";
 import fc from "fast-check";
 import { readFileSync } from "node:fs";
-import { FAULTS, renderMatrix, REQUESTS, runCell, STEPS } from "../src/fault-matrix.js";
-import { World } from "../src/fault-world.js";
+import { FAULTS, renderMatrix, REQUEST_KINDS, runCell, STEPS } from "../src/fault-matrix.js";
+import { RequestSimulation } from "../src/request-simulation.js";
 
-for (const { name, cfg } of REQUESTS) {
+for (const { name, cfg } of REQUEST_KINDS) {
     test(`every fault at every step ends as allowed: ${name}`, t => {
         for (const fault of FAULTS) {
             for (const step of STEPS) {
                 const cell = runCell(fault, step, cfg);
                 if (!cell) continue;
-                t.deepEqual(cell.breaches, [], `${fault.name} at ${step}`);
+                t.deepEqual(cell.violations, [], `${fault.name} at ${step}`);
                 t.true(
                     cell.allowed.includes(cell.outcome),
                     `${fault.name} at ${step}: ${cell.outcome}, allowed ${cell.allowed.join(" or ")}`,
@@ -25,49 +25,52 @@
     t.true(page.includes(renderMatrix()), "run npm run faults");
 });
 
-/** Anything that can happen, in any order, as a function on the world. */
-const happening = fc.oneof(
-    { weight: 8, arbitrary: fc.constant((world: World) => world.advance()) },
-    fc.constant((world: World) => world.begin()),
-    fc.constant((world: World) => world.lose("reset")),
-    fc.constant((world: World) => world.lose("idle")),
-    fc.constant((world: World) => world.lose("invalid")),
-    fc.constant((world: World) => world.reclaim()),
-    fc.constant((world: World) => world.event({ kind: "stopping" })),
-    fc.constant((world: World) => {
+/** Anything that can happen, in any order, as a function on the simulation. */
+const randomEvent = fc.oneof(
+    { weight: 8, arbitrary: fc.constant((simulation: RequestSimulation) => simulation.advance()) },
+    fc.constant((simulation: RequestSimulation) => simulation.startGeneration()),
+    fc.constant((simulation: RequestSimulation) => simulation.breakConnection("reset")),
+    fc.constant((simulation: RequestSimulation) => simulation.breakConnection("idle")),
+    fc.constant((simulation: RequestSimulation) => simulation.breakConnection("invalid")),
+    fc.constant((simulation: RequestSimulation) => simulation.loseGeneration()),
+    fc.constant((simulation: RequestSimulation) => simulation.handle({ kind: "stopping" })),
+    fc.constant((simulation: RequestSimulation) => {
         // An engine refuses only what it has not begun; that is its part of the bargain.
-        const connection = world.connection;
-        if (connection && connection.generation === undefined && world.state.record.sent.includes(connection.attempt)) {
-            world.event({ kind: "endpointRefused", attempt: connection.attempt, detail: "no room" });
+        const connection = simulation.connection;
+        if (
+            connection && connection.generation === undefined
+            && simulation.state.record.sent.includes(connection.attempt)
+        ) {
+            simulation.handle({ kind: "endpointRefused", attempt: connection.attempt, detail: "no room" });
         }
     }),
-    fc.constant((world: World) => {
-        const connection = world.connection;
-        if (connection && connection.generation === undefined) world.lose("connect");
+    fc.constant((simulation: RequestSimulation) => {
+        const connection = simulation.connection;
+        if (connection && connection.generation === undefined) simulation.breakConnection("connect");
     }),
     fc.record({
         attempt: fc.constantFrom("r.1", "r.2", "r.3", "other.1"),
         generation: fc.constantFrom("g1", "g2", "g3", "gx"),
         index: fc.nat(5),
     })
-        .map(token => (world: World) => {
+        .map(token => (simulation: RequestSimulation) => {
             // A forged token of the current attempt and generation cannot be told from a true one; all others must be.
-            const current = world.connection;
+            const current = simulation.connection;
             if (
                 current && token.attempt === current.attempt && token.generation === current.generation
-                && token.index >= current.next
+                && token.index >= current.nextIndex
             ) return;
-            world.event({ kind: "token", ...token });
+            simulation.handle({ kind: "token", ...token });
         }),
     fc.record({
         attempt: fc.constantFrom("r.1", "r.2", "other.1"),
         generation: fc.constantFrom("g1", "g2", "gx"),
         total: fc.nat(5),
     })
-        .map(end => (world: World) => {
-            const current = world.connection;
+        .map(end => (simulation: RequestSimulation) => {
+            const current = simulation.connection;
             if (current && end.attempt === current.attempt && end.generation === current.generation) return;
-            world.event({ kind: "finished", ...end });
+            simulation.handle({ kind: "finished", ...end });
         }),
 );
 
@@ -80,19 +83,19 @@
         tokens: fc.integer({ min: 1, max: 5 }),
     });
     fc.assert(
-        fc.property(cfgs, fc.array(happening, { maxLength: 40 }), (cfg, happenings) => {
-            const world = new World(cfg);
-            for (const happen of happenings) happen(world);
-            world.finish();
-            t.deepEqual(world.check(), []);
+        fc.property(cfgs, fc.array(randomEvent, { maxLength: 40 }), (cfg, happenings) => {
+            const simulation = new RequestSimulation(cfg);
+            for (const happen of happenings) happen(simulation);
+            simulation.runToEnd();
+            t.deepEqual(simulation.findViolations(), []);
             t.truthy(
-                world.ended,
+                simulation.finalResult,
                 `every request ends: ${
                     JSON.stringify({
-                        state: world.state,
-                        connection: world.connection,
-                        waiting: world.waiting,
-                        alive: [...world.alive.keys()],
+                        state: simulation.state,
+                        connection: simulation.connection,
+                        waiting: simulation.isAwaitingAdmission,
+                        alive: [...simulation.liveGenerations.keys()],
                     })
                 }`,
             );
--- a/packages/standins/test/kv-contract.ts
+++ b/packages/standins/test/kv-contract.ts
@@ -8,7 +8,7 @@
 import { waitUntil } from "../src/index.js";
 
 /** An implementation of the interface with the means to make its service fail. */
-export interface Subject {
+export interface KeyValueFixture {
     readonly kv: KeyValue;
     /** The same client with an address at which nothing listens. */
     readonly nowhere: KeyValue;
@@ -19,7 +19,7 @@
 const { signal } = new AbortController();
 
 /** Declares the contract's tests for one implementation. */
-export function testContract(name: string, start: (t: ExecutionContext) => Promise<Subject>): void {
+export function testContract(name: string, start: (t: ExecutionContext) => Promise<KeyValueFixture>): void {
     test(`${name}: what is written is read, alone and by prefix`, async t => {
         const { kv } = await start(t);
         t.deepEqual(await kv.get("a/1", signal), { ok: true, value: undefined });
@@ -58,9 +58,9 @@
     test(`${name}: of many writers under one condition one wins`, async t => {
         const { kv } = await start(t);
         const writes = await Promise.all(
-            Array.from({ length: 20 }, (_, at) =>
+            Array.from({ length: 20 }, (_, index) =>
                 kv.commit(
-                    { conditions: [{ key: "k", modRevision: 0 }], puts: [{ key: "k", value: String(at) }] },
+                    { conditions: [{ key: "k", modRevision: 0 }], puts: [{ key: "k", value: String(index) }] },
                     signal,
                 )),
         );
@@ -68,7 +68,7 @@
     });
 
     test(`${name}: an outage is told apart from a lost reply`, async t => {
-        const { kv, nowhere, setDown, loseReply } = await start(t);
+        const { kv, nowhere: nowhere, setDown, loseReply } = await start(t);
         loseReply();
         t.like(await kv.commit({ conditions: [], puts: [{ key: "k", value: "1" }] }, signal), {
             ok: false,
--- a/packages/standins/test/memory.test.ts
+++ b/packages/standins/test/memory.test.ts
@@ -1,7 +1,7 @@
 import test, { type ExecutionContext } from "ava";
 import { request } from "node:http";
 import { type Stage, startStage, waitUntil } from "../src/index.js";
-import { LONG_BYTES } from "../src/plain-server.js";
+import { LONG_ANSWER_BYTES } from "../src/plain-server.js";
 
 /** The least budget that a host may have: 6 MB, of which bodies get three quarters. */
 const MEMORY_MB = "82";
@@ -14,21 +14,21 @@
     readonly broken: boolean;
 }
 
-async function stageFor(t: ExecutionContext, memoryMb = MEMORY_MB): Promise<Stage> {
-    const stage = await startStage({
+async function startCluster(t: ExecutionContext, memoryMb = MEMORY_MB): Promise<Stage> {
+    const cluster = await startStage({
         halls: ["k1"],
         enginesPerHall: 1,
         engine: { speed: 200 },
         tree: { "service/desk": {} },
         flags: { "host.memory": memoryMb },
     });
-    t.teardown(() => stage.stop());
-    return stage;
+    t.teardown(() => cluster.stop());
+    return cluster;
 }
 
 /** Posts parts of a body; with a length told in the head, or without. Reads the answer when told to. */
 function post(
-    stage: Stage,
+    cluster: Stage,
     parts: readonly string[],
     { length, readAfter = Promise.resolve(), path = "/v1/completions" }: {
         readonly length?: number;
@@ -38,11 +38,11 @@
 ): Promise<Answer> {
     return new Promise((resolve, reject) => {
         const headers = {
-            "authorization": `Bearer ${stage.keyOf("members")}`,
+            "authorization": `Bearer ${cluster.keyOf("members")}`,
             "content-type": "application/json",
             ...(length === undefined ? {} : { "content-length": length }),
         };
-        const req = request(`${stage.hosts[0]!.daemon.callersUrl}${path}`, { method: "POST", headers });
+        const req = request(`${cluster.hosts[0]!.daemon.callersUrl}${path}`, { method: "POST", headers });
         req.on("error", reject);
         req.on("response", res => {
             let body = "";
@@ -62,8 +62,8 @@
 }
 
 test("a body for which there is no room is refused before it is read, as not run", async t => {
-    const stage = await stageFor(t);
-    const { status, headers, body } = await post(stage, [], { length: 4_800_000 });
+    const cluster = await startCluster(t);
+    const { status, headers, body } = await post(cluster, [], { length: 4_800_000 });
     t.is(status, 503);
     t.is(headers["x-ran"], "no");
     t.is(headers["retry-after"], "1");
@@ -71,16 +71,16 @@
 });
 
 test("a body whose length is not told is refused when it outgrows the room for it", async t => {
-    const stage = await stageFor(t);
-    const { status, headers } = await post(stage, Array.from({ length: 100 }, () => "x".repeat(50_000)));
+    const cluster = await startCluster(t);
+    const { status, headers } = await post(cluster, Array.from({ length: 100 }, () => "x".repeat(50_000)));
     t.is(status, 503);
     t.is(headers["x-ran"], "no");
-    t.is(stage.engines[0]!.server.tokensMade, 0);
-    await waitUntil(() => stage.hosts[0]!.daemon.host.memory.held.body === 0);
+    t.is(cluster.engines[0]!.server.tokensGenerated, 0);
+    await waitUntil(() => cluster.hosts[0]!.daemon.host.memory.held.body === 0);
 });
 
 test("a caller that reads nothing for a while gets its stream whole, and is held within the budget meanwhile", async t => {
-    const stage = await stageFor(t, "90");
+    const cluster = await startCluster(t, "90");
     let read = (): void => undefined;
     const readAfter = new Promise<void>(resolve => read = resolve);
     const body = JSON.stringify({
@@ -92,8 +92,8 @@
         // An event of this size fills what connections buffer within some hundred.
         x_tag: "t".repeat(8_000),
     });
-    const answer = post(stage, [body], { length: Buffer.byteLength(body), readAfter });
-    const { memory } = stage.hosts[0]!.daemon.host;
+    const answer = post(cluster, [body], { length: Buffer.byteLength(body), readAfter });
+    const { memory } = cluster.hosts[0]!.daemon.host;
     await waitUntil(() => memory.held.unread > 1_000_000);
     // Long enough for all of it to come, were it not held back.
     await new Promise(resolve => setTimeout(resolve, 1_000));
@@ -108,17 +108,17 @@
 });
 
 test("a plain service's long answer is taken from it while its caller reads nothing, and is whole in the end", async t => {
-    const stage = await stageFor(t, "200");
-    const [service] = stage.plain;
+    const cluster = await startCluster(t, "200");
+    const [service] = cluster.plainServices;
     service!.server.faults.push("long");
     let read = (): void => undefined;
     const readAfter = new Promise<void>(resolve => read = resolve);
-    const answer = post(stage, ["body"], { length: 4, readAfter, path: "/services/desk/holds" });
-    await waitUntil(() => service!.server.taken === 1);
-    const { memory } = stage.hosts[0]!.daemon.host;
+    const answer = post(cluster, ["body"], { length: 4, readAfter, path: "/services/desk/holds" });
+    await waitUntil(() => service!.server.sentAnswers === 1);
+    const { memory } = cluster.hosts[0]!.daemon.host;
     t.true(memory.held.unread > 0);
     read();
     const { status, broken, body } = await answer;
-    t.like({ status, broken, length: body.length }, { status: 200, broken: false, length: LONG_BYTES });
+    t.like({ status, broken, length: body.length }, { status: 200, broken: false, length: LONG_ANSWER_BYTES });
     await waitUntil(() => memory.held.unread === 0);
 });
--- a/packages/standins/test/mutations.test.ts
+++ b/packages/standins/test/mutations.test.ts
@@ -25,5 +25,5 @@
 
 test("mutations have names of their own", t => {
     const promises = MUTATIONS.map(({ promise }) => promise);
-    t.deepEqual(promises.filter((promise, at) => promises.indexOf(promise) !== at), []);
+    t.deepEqual(promises.filter((promise, index) => promises.indexOf(promise) !== index), []);
 });
--- a/packages/standins/test/openai.test.ts
+++ b/packages/standins/test/openai.test.ts
@@ -4,19 +4,19 @@
 
 const MODEL = "summary-8b";
 
-async function stageFor(t: ExecutionContext, limits: Record<string, string> = {}): Promise<Stage> {
-    const stage = await startStage({
+async function startCluster(t: ExecutionContext, limits: Record<string, string> = {}): Promise<Stage> {
+    const cluster = await startStage({
         halls: ["k1"],
         enginesPerHall: 1,
         engine: { speed: 20 },
         tree: { "workspace/members": limits },
     });
-    t.teardown(() => stage.stop());
-    return stage;
+    t.teardown(() => cluster.stop());
+    return cluster;
 }
 
-function clientOf(stage: Stage, apiKey = stage.keyOf("members"), maxRetries = 0): OpenAI {
-    return new OpenAI({ baseURL: `${stage.hosts[0]!.daemon.callersUrl}/v1`, apiKey, maxRetries });
+function clientOf(cluster: Stage, apiKey = cluster.keyOf("members"), maxRetries = 0): OpenAI {
+    return new OpenAI({ baseURL: `${cluster.hosts[0]!.daemon.callersUrl}/v1`, apiKey, maxRetries });
 }
 
 /** A body whose answer is known; the extra fields reach the stand-in engine untouched. */
@@ -34,8 +34,8 @@
 }
 
 test("a streamed answer comes whole and in order", async t => {
-    const stage = await stageFor(t);
-    const stream = await clientOf(stage).chat.completions.create(bodyOf(true, 30));
+    const cluster = await startCluster(t);
+    const stream = await clientOf(cluster).chat.completions.create(bodyOf(true, 30));
     const texts: string[] = [];
     for await (const chunk of stream) texts.push(chunk.choices[0]?.delta.content ?? "");
     t.deepEqual(texts.filter(text => text !== "").map(text => Number(text.trim().split(".")[2])), [
@@ -44,52 +44,52 @@
 });
 
 test("an answer that is not streamed comes as one body with its usage", async t => {
-    const stage = await stageFor(t);
-    const answer = await clientOf(stage).chat.completions.create(bodyOf(false, 12));
+    const cluster = await startCluster(t);
+    const answer = await clientOf(cluster).chat.completions.create(bodyOf(false, 12));
     t.is(answer.choices[0]?.message.content?.trim().split(" ").length, 12);
     t.is(answer.choices[0]?.finish_reason, "stop");
     t.is(answer.usage?.completion_tokens, 12);
 });
 
 test("plain completions and the list of models work", async t => {
-    const stage = await stageFor(t);
-    const answer = await clientOf(stage).completions.create({ model: MODEL, prompt: "hello", max_tokens: 3 });
+    const cluster = await startCluster(t);
+    const answer = await clientOf(cluster).completions.create({ model: MODEL, prompt: "hello", max_tokens: 3 });
     t.is(answer.choices[0]?.text.trim().split(" ").length, 3);
-    const models = await clientOf(stage).models.list();
+    const models = await clientOf(cluster).models.list();
     t.deepEqual(models.data.map(model => model.id), [MODEL]);
 });
 
 test("an answer that the caller gives up is cancelled at the engine", async t => {
-    const stage = await stageFor(t);
-    const stream = await clientOf(stage).chat.completions.create(bodyOf(true, 5_000));
+    const cluster = await startCluster(t);
+    const stream = await clientOf(cluster).chat.completions.create(bodyOf(true, 5_000));
     for await (const chunk of stream) {
         if (chunk.choices[0]?.delta.content?.includes(".10 ")) break;
     }
-    const engine = stage.engines[0]!.server;
-    await waitUntil(() => engine.cancelled.length === 1);
+    const engine = cluster.engines[0]!.server;
+    await waitUntil(() => engine.cancelledGenerations.length === 1);
     t.is(engine.model.load().running, 0);
 });
 
 test("wrong requests get typed errors that say that nothing ran", async t => {
-    const stage = await stageFor(t);
+    const cluster = await startCluster(t);
     const cases = [
         {
-            send: () => clientOf(stage, "wrong").chat.completions.create(bodyOf(false, 1)),
+            send: () => clientOf(cluster, "wrong").chat.completions.create(bodyOf(false, 1)),
             type: AuthenticationError,
             code: "invalid_api_key",
         },
         {
-            send: () => clientOf(stage).chat.completions.create({ ...bodyOf(false, 1), model: "none" }),
+            send: () => clientOf(cluster).chat.completions.create({ ...bodyOf(false, 1), model: "none" }),
             type: NotFoundError,
             code: "model_not_found",
         },
         {
-            send: () => clientOf(stage).chat.completions.create({ ...bodyOf(false, 1), messages: [] }),
+            send: () => clientOf(cluster).chat.completions.create({ ...bodyOf(false, 1), messages: [] }),
             type: BadRequestError,
             code: "bad_request",
         },
         {
-            send: () => clientOf(stage).chat.completions.create({ ...bodyOf(false, 1), max_tokens: 9_000_000 }),
+            send: () => clientOf(cluster).chat.completions.create({ ...bodyOf(false, 1), max_tokens: 9_000_000 }),
             type: BadRequestError,
             code: "bad_request",
         },
@@ -100,13 +100,13 @@
         t.is((err as APIError).code, code);
         t.is(((err as APIError).error as { ran: string }).ran, "no");
     }
-    t.is(stage.engines[0]!.server.runs.size, 0);
+    t.is(cluster.engines[0]!.server.runsByRequest.size, 0);
 });
 
 test("a refusal for a limit has a status that the client retries, and says when", async t => {
-    const stage = await stageFor(t, { "requests-per-minute": "1" });
-    await clientOf(stage).chat.completions.create(bodyOf(false, 1));
-    const err = await t.throwsAsync(clientOf(stage).chat.completions.create(bodyOf(false, 1)), {
+    const cluster = await startCluster(t, { "requests-per-minute": "1" });
+    await clientOf(cluster).chat.completions.create(bodyOf(false, 1));
+    const err = await t.throwsAsync(clientOf(cluster).chat.completions.create(bodyOf(false, 1)), {
         instanceOf: RateLimitError,
     });
     t.is(err?.headers.get("x-should-retry"), "true");
@@ -115,9 +115,9 @@
 });
 
 test("a refusal by a full engine is retried by the client until there is room", async t => {
-    const stage = await stageFor(t, { attempts: "1" });
-    stage.engines[0]!.server.faults.push({ kind: "refuse", retryAfterS: 0 });
-    const answer = await clientOf(stage, undefined, 2).chat.completions.create(bodyOf(false, 4));
+    const cluster = await startCluster(t, { attempts: "1" });
+    cluster.engines[0]!.server.faults.push({ kind: "refuse", retryAfterS: 0 });
+    const answer = await clientOf(cluster, undefined, 2).chat.completions.create(bodyOf(false, 4));
     t.is(answer.choices[0]?.message.content?.trim().split(" ").length, 4);
-    t.is(stage.engines[0]!.server.runs.size, 1);
+    t.is(cluster.engines[0]!.server.runsByRequest.size, 1);
 });
--- a/packages/standins/test/plain-answers.test.ts
+++ b/packages/standins/test/plain-answers.test.ts
@@ -3,15 +3,15 @@
 import { gunzipSync } from "node:zlib";
 import { type Stage, startStage, waitUntil } from "../src/index.js";
 
-async function stageFor(t: ExecutionContext): Promise<Stage> {
-    const stage = await startStage({
+async function startCluster(t: ExecutionContext): Promise<Stage> {
+    const cluster = await startStage({
         halls: ["k1"],
         enginesPerHall: 1,
         tree: { "service/desk": {} },
         flags: { "log.requests": "true" },
     });
-    t.teardown(() => stage.stop());
-    return stage;
+    t.teardown(() => cluster.stop());
+    return cluster;
 }
 
 interface Answer {
@@ -23,21 +23,21 @@
 }
 
 /** Node's own client: undici takes a reset for the end of an answer without a length. */
-function callDesk(stage: Stage, method: "GET" | "POST", key?: string): Promise<Answer> {
+function callDesk(cluster: Stage, method: "GET" | "POST", key?: string): Promise<Answer> {
     const headers = {
-        authorization: `Bearer ${stage.keyOf("members")}`,
+        authorization: `Bearer ${cluster.keyOf("members")}`,
         ...(key === undefined ? {} : { "idempotency-key": key }),
     };
     return new Promise((resolve, reject) => {
         let answered = false;
         let broken = false;
-        const req = request(`${stage.hosts[0]!.daemon.callersUrl}/services/desk/holds`, { method, headers }, res => {
+        const req = request(`${cluster.hosts[0]!.daemon.callersUrl}/services/desk/holds`, { method, headers }, res => {
             answered = true;
             const chunks: Buffer[] = [];
             res.on("data", (chunk: Buffer) => {
                 chunks.push(chunk);
                 // A reset discards what its receiver has not read: it comes behind what has arrived here.
-                stage.plain[0]!.server.resetHalves();
+                cluster.plainServices[0]!.server.resetHalfSent();
             });
             res.on("error", () => broken = true);
             res.on("close", () => {
@@ -54,17 +54,17 @@
     });
 }
 
-async function recordedAnswer(stage: Stage, key: string): Promise<Answer> {
-    let answer = await callDesk(stage, "POST", key);
+async function recordedAnswer(cluster: Stage, key: string): Promise<Answer> {
+    let answer = await callDesk(cluster, "POST", key);
     await waitUntil(async () => {
-        answer = await callDesk(stage, "POST", key);
+        answer = await callDesk(cluster, "POST", key);
         return answer.status !== 409;
     });
     return answer;
 }
 
-function runs(stage: Stage): number {
-    return [...stage.plain[0]!.server.ran.values()].reduce((sum, count) => sum + count, 0);
+function countRuns(cluster: Stage): number {
+    return [...cluster.plainServices[0]!.server.runsByCall.values()].reduce((sum, count) => sum + count, 0);
 }
 
 function framingOf({ headers }: Answer): readonly (string | undefined)[] {
@@ -74,56 +74,56 @@
 const UNFRAMED = [undefined, undefined];
 
 test("an answer that its connection alone ends reaches its caller likewise", async t => {
-    const stage = await stageFor(t);
-    stage.plain[0]!.server.faults.push("unframed");
-    const answer = await callDesk(stage, "GET");
+    const cluster = await startCluster(t);
+    cluster.plainServices[0]!.server.faults.push("unframed");
+    const answer = await callDesk(cluster, "GET");
     t.deepEqual([answer.status, answer.whole, framingOf(answer)], [200, true, UNFRAMED]);
     t.is((JSON.parse(answer.body.toString()) as { url: string }).url, "/holds");
 });
 
 test("an answer that has no body leaves its caller's connection open", async t => {
-    const stage = await stageFor(t);
-    stage.plain[0]!.server.faults.push("noBody");
-    const answer = await callDesk(stage, "GET");
+    const cluster = await startCluster(t);
+    cluster.plainServices[0]!.server.faults.push("noBody");
+    const answer = await callDesk(cluster, "GET");
     t.deepEqual([answer.status, answer.whole, answer.headers.connection], [204, true, "keep-alive"]);
 });
 
 test("an answer without a length whose connection is reset is broken off and counted as lost", async t => {
-    const stage = await stageFor(t);
-    stage.plain[0]!.server.faults.push("unframedHalf");
-    const answer = await callDesk(stage, "GET");
+    const cluster = await startCluster(t);
+    cluster.plainServices[0]!.server.faults.push("unframedHalf");
+    const answer = await callDesk(cluster, "GET");
     t.deepEqual([answer.status, answer.whole], [200, false]);
-    const ended = stage.logLines.filter(line => line.includes("call_ended"));
+    const ended = cluster.logLines.filter(line => line.includes("call_ended"));
     t.is(ended.length, 1);
     t.regex(ended[0]!, /outcome=endpoint_lost/);
 });
 
 test("a cut answer is not recorded under its caller's key", async t => {
-    const stage = await stageFor(t);
-    stage.plain[0]!.server.faults.push("unframedHalf");
-    await callDesk(stage, "POST", "cut");
+    const cluster = await startCluster(t);
+    cluster.plainServices[0]!.server.faults.push("unframedHalf");
+    await callDesk(cluster, "POST", "cut");
     // Records are written in order, so a later one shows that the first would stand by now.
-    await callDesk(stage, "POST", "later");
-    await recordedAnswer(stage, "later");
-    const again = await callDesk(stage, "POST", "cut");
+    await callDesk(cluster, "POST", "later");
+    await recordedAnswer(cluster, "later");
+    const again = await callDesk(cluster, "POST", "cut");
     t.deepEqual([again.status, again.headers["x-recorded"], again.headers["x-ran"]], [409, undefined, "unknown"]);
-    t.is(runs(stage), 2);
+    t.is(countRuns(cluster), 2);
 });
 
 test("a recorded answer that its connection alone ended is given again likewise", async t => {
-    const stage = await stageFor(t);
-    stage.plain[0]!.server.faults.push("unframed");
-    const first = await callDesk(stage, "POST", "unframed");
-    const again = await recordedAnswer(stage, "unframed");
+    const cluster = await startCluster(t);
+    cluster.plainServices[0]!.server.faults.push("unframed");
+    const first = await callDesk(cluster, "POST", "unframed");
+    const again = await recordedAnswer(cluster, "unframed");
     t.deepEqual([again.headers["x-recorded"], framingOf(again)], ["true", UNFRAMED]);
     t.deepEqual(again.body, first.body);
 });
 
 test("a recorded answer keeps its encoding", async t => {
-    const stage = await stageFor(t);
-    stage.plain[0]!.server.faults.push("encoded");
-    const first = await callDesk(stage, "POST", "encoded");
-    const again = await recordedAnswer(stage, "encoded");
+    const cluster = await startCluster(t);
+    cluster.plainServices[0]!.server.faults.push("encoded");
+    const first = await callDesk(cluster, "POST", "encoded");
+    const again = await recordedAnswer(cluster, "encoded");
     t.deepEqual([again.headers["x-recorded"], again.headers["content-encoding"]], ["true", "gzip"]);
     t.deepEqual(again.body, first.body);
     t.is((JSON.parse(gunzipSync(again.body).toString()) as { url: string }).url, "/holds");
--- a/packages/standins/test/rolling.test.ts
+++ b/packages/standins/test/rolling.test.ts
@@ -2,13 +2,13 @@
 import { type CallerResult, callOnce, type Stage, startStage, waitUntil } from "../src/index.js";
 
 /** Sends to whichever host is ready, as the platform's balancer does, again if it is refused as not run. */
-async function sendBalanced(stage: Stage, tag: string): Promise<CallerResult> {
+async function sendBalanced(cluster: Stage, tag: string): Promise<CallerResult> {
     for (;;) {
-        const ready = stage.hosts.filter(host => !host.daemon.host.runs.stopping);
+        const ready = cluster.hosts.filter(host => !host.daemon.host.runs.stopping);
         const host = ready[Number(/\d+/.exec(tag)) % ready.length]!;
         const result = await callOnce({
             url: host.daemon.callersUrl,
-            key: stage.keyOf("members"),
+            key: cluster.keyOf("members"),
             model: "summary-8b",
             tag,
             promptTokens: 50,
@@ -20,37 +20,37 @@
 }
 
 /** Calls that begin before each stop, so that each has some to lose, however fast hosts are replaced. */
-const CALLS_PER_STOP = 6;
+const MIN_CALLS_PER_STOP = 6;
 
 test("replacing every host of a hall one after the other, under load, loses no request", async t => {
-    const stage = await startStage({
+    const cluster = await startStage({
         halls: ["k1"],
         hostsPerHall: 3,
         enginesPerHall: 2,
         engine: { speed: 10 },
         flags: { "control.heartbeat": "100ms" },
     });
-    t.teardown(() => stage.stop());
-    await waitUntil(() => stage.hosts.every(host => host.daemon.host.peers?.live.length === 3));
+    t.teardown(() => cluster.stop());
+    await waitUntil(() => cluster.hosts.every(host => host.daemon.host.peers?.live.length === 3));
     let replacing = true;
     const results: Promise<CallerResult>[] = [];
     const load = (async () => {
-        for (let at = 0; replacing; at++) {
-            results.push(sendBalanced(stage, `t${at}`));
+        for (let index = 0; replacing; index++) {
+            results.push(sendBalanced(cluster, `t${index}`));
             await new Promise(resolve => setTimeout(resolve, 15));
         }
     })();
-    for (const old of [...stage.hosts]) {
+    for (const old of [...cluster.hosts]) {
         const before = results.length;
-        await stage.addHost("k1", `${old.name}-next`);
-        await waitUntil(() => results.length >= before + CALLS_PER_STOP);
+        await cluster.addHost("k1", `${old.name}-next`);
+        await waitUntil(() => results.length >= before + MIN_CALLS_PER_STOP);
         await old.daemon.stop();
-        (stage.hosts as typeof old[]).splice(stage.hosts.indexOf(old), 1);
+        (cluster.hosts as typeof old[]).splice(cluster.hosts.indexOf(old), 1);
     }
     replacing = false;
     await load;
     const outcomes = (await Promise.all(results)).map(result => result.outcome);
-    t.true(outcomes.length >= 3 * CALLS_PER_STOP);
+    t.true(outcomes.length >= 3 * MIN_CALLS_PER_STOP);
     t.deepEqual(outcomes.filter(outcome => outcome !== "whole"), []);
-    t.is(stage.hosts.length, 3);
+    t.is(cluster.hosts.length, 3);
 });
