--- a/packages/standins/src/bench-capacity.ts
+++ b/packages/standins/src/bench-capacity.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:capacity`: measures the slopes that docs/CAPACITY.md rests on, and prints them with the table that they
- * give; `--write` puts both into the page.
+ * `npm run bench:capacity`: measures the unit costs ("slopes") for docs/CAPACITY.md and prints them with the tables computed from
+ * them; `--write` also writes both into the page.
  *
  * @module
  */
@@ -45,13 +45,13 @@
 const US_PER_MS = 1_000;
 const BYTES_PER_MB = 1_000_000;
 const PAGE = new URL("../../../docs/CAPACITY.md", import.meta.url);
-/** What stands above this mark is written by hand. */
+/** The text above this mark is written by hand and kept. */
 const MARK = "<!-- printed by npm run bench:capacity -- --write -->";
 
-/** One collection leaves some garbage of the call before it. */
+/** A single collection leaves some garbage of the preceding call. */
 const GC_ROUNDS = 4;
 
-/** Mean processor time of a call, in microseconds; the first calls only warm up. */
+/** Measures the mean processor time of a call, in microseconds, after some calls to warm up. */
 function timeUs(times: number, run: (at: number) => void): number {
     for (let index = 0; index < times / 5; index++) run(index);
     const before = process.cpuUsage();
@@ -60,7 +60,7 @@
     return (user + system) / times;
 }
 
-/** Heap that a value takes, in bytes. Needs `--expose-gc`, else it is rough. */
+/** Measures the memory that a value takes, in bytes. Without `--expose-gc` the result is imprecise. */
 function heapOf<T>(make: () => T): { readonly bytes: number; readonly value: T } {
     const gc = (globalThis as { gc?: () => void }).gc ?? (() => undefined);
     const collect = (): void => {
@@ -86,8 +86,8 @@
     };
 }
 
-/** A host of the plan's size with its streams running. */
-function createPlanHost(): { state: SchedulerState; tell: (event: SchedulerEvent, now: number) => void } {
+/** Creates the scheduler of a host of the planned size, with its streams running. */
+function createPlanHost(): { state: SchedulerState; handle: (event: SchedulerEvent, now: number) => void } {
     const models = Array.from({ length: PLAN.models }, (_, index) => `m${index}`);
     const endpoints = Array.from(
         { length: PLAN_HOST.hallWorkers },
@@ -95,12 +95,12 @@
     );
     const host = {
         state: decide(createScheduler(), { kind: "endpoints", endpoints }, -100_000).state,
-        tell(event: SchedulerEvent, now: number): void {
+        handle(event: SchedulerEvent, now: number): void {
             host.state = decide(host.state, event, now).state;
         },
     };
     for (let index = 0; index < PLAN_HOST.streams; index++) {
-        host.tell({ kind: "arrive", job: createJob(`r${index}`, index), avoid: [], retry: false }, index);
+        host.handle({ kind: "arrive", job: createJob(`r${index}`, index), avoid: [], retry: false }, index);
     }
     return host;
 }
@@ -114,12 +114,12 @@
         const stream = at % streams;
         const next = ((produced.get(stream) ?? 0) + PROGRESS_EVERY) % 3_500;
         produced.set(stream, next);
-        host.tell({ kind: "progress", job: `r${stream}`, produced: next, meanGapMs: 25, maxGapMs: 30 }, 1_000 + at);
+        host.handle({ kind: "progress", job: `r${stream}`, produced: next, meanGapMs: 25, maxGapMs: 30 }, 1_000 + at);
     });
     const requestUs = timeUs(2_000, at => {
         const id = `n${at}`;
-        host.tell({ kind: "arrive", job: createJob(id, at), avoid: [], retry: false }, 100_000 + at);
-        host.tell({ kind: "ended", job: id, outcome: "whole", produced: 200 }, 100_000 + at);
+        host.handle({ kind: "arrive", job: createJob(id, at), avoid: [], retry: false }, 100_000 + at);
+        host.handle({ kind: "ended", job: id, outcome: "whole", produced: 200 }, 100_000 + at);
     });
     return { progressUs, requestUs, streamBytes: made.bytes / streams };
 }
@@ -145,7 +145,7 @@
     return receiveDetectorMessage(createDetector(info(0), []), "10.0.1.1:7080", { kind: "members", news }, env).state;
 }
 
-/** One message of the detector: made, sent, read, taken in. */
+/** Measures encoding and decoding a probe of the failure detector. */
 function measureDetector(): Pick<Slopes, "heartbeatUs" | "heartbeatBytes"> {
     let state = createPlanDetector();
     const messageOf = (at: number): FrameMessage => {
@@ -154,7 +154,7 @@
             intervalMs: PROBE_INTERVAL_MS,
             random: () => 0.5,
         });
-        // Those probed have answered.
+        // Treats all probed hosts as having answered.
         state = { ...step.state, unanswered: new Map() };
         const [first] = step.send;
         const message = { ...first!.message, store: [1, 520, 520, 100] };
@@ -196,13 +196,13 @@
         endpointOwner(id, host.state.endpoints.values().length, hosts) === hosts[0]
     );
     const others = owned.map(endpoint => ({ ...one, endpoint }));
-    // A round as a host has it: its own telling, encoded, and what every other host tells it, decoded and taken in.
+    // A host's round: it encodes its own messages, and decodes and handles the messages of every other host.
     const tellRoundUs = timeUs(60, at => {
         const now = at * ownerReportIntervalMs(PLAN_HOST.hallHosts);
         const round = runLoadRound(share, host.state.endpoints, hosts, now);
         share = round.state;
         for (const { message } of round.send) encodeFrame(message);
-        for (const event of round.events) host.tell(event, 500_000 + now);
+        for (const event of round.events) host.handle(event, 500_000 + now);
         for (const from of hosts.slice(1)) {
             for (
                 const message of [{ kind: "held", held: others }, {
@@ -215,7 +215,7 @@
                 encodeAndDecode(message);
                 const heard = receiveLoadMessage(share, from, message, host.state, now);
                 share = heard.state;
-                for (const event of heard.events) host.tell(event, 500_000 + now);
+                for (const event of heard.events) host.handle(event, 500_000 + now);
             }
         }
     });
@@ -239,7 +239,7 @@
     };
 }
 
-/** The plan's tree: each workspace with two settings of its own and two keys. */
+/** Creates the settings tree of the planned size: each workspace has two settings and two keys of its own. */
 function createPlanTree(): Tree {
     const tree: Record<string, Record<string, string>> = { "root": { attempts: "3" }, "service/s": { kind: "engine" } };
     for (let index = 0; index < PLAN.halls; index++) tree[`hall/hall-${index}`] = { region: `region-${index % 2}` };
@@ -283,7 +283,7 @@
         treeBytes: size(first, Object.keys(first.parts)),
         editBytes: size(next, changed),
         adoptMs: adoptUs / US_PER_MS,
-        // Old and new stand side by side while requests of the old one end.
+        // Doubled: the old settings remain in memory while requests that started under them are running.
         settingsMb: 2 * adopted.bytes / BYTES_PER_MB,
     };
 }
@@ -345,7 +345,7 @@
     return Object.fromEntries(entries) as Slopes;
 }
 
-// Memory first, while little else is on the heap.
+// Measures memory first, while the heap holds little else.
 const slopes = roundSlopes({
     ...measureMemory(),
     ...measureSettings(),
--- a/packages/standins/src/bench-daemon.ts
+++ b/packages/standins/src/bench-daemon.ts
@@ -1,5 +1,6 @@
 /**
- * A daemon in a process of its own for measurements: says where it listens, and what it used when asked.
+ * Runs a daemon in its own process for benchmarks. It sends its URL to the parent process once it is ready, and answers
+ * each message with its processor time and memory; the message `end` stops it.
  *
  * @module
  */
@@ -18,8 +19,8 @@
 };
 const read = readConfig({ flags });
 if (!read.ok) throw new Error(JSON.stringify(read.errors));
-const nowhere = new Writable({ write: (_chunk, _encoding, done) => done() });
-const daemon = await startDaemon(read.cfg, createLog("info", nowhere));
+const discard = new Writable({ write: (_chunk, _encoding, done) => done() });
+const daemon = await startDaemon(read.cfg, createLog("info", discard));
 await waitUntil(() => daemon.host.feed.directory !== undefined);
 process.send?.({ url: daemon.callersUrl });
 process.on("message", message => {
--- a/packages/standins/src/bench-path.ts
+++ b/packages/standins/src/bench-path.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run bench:path`: what a daemon adds to a direct connection to the same stand-in engine, as ratios and differences
- * in one run. The daemon runs in a process of its own, so that its processor time and memory are its own; the engine and
- * the callers share this one.
+ * `npm run bench:path`: measures the overhead of a daemon against direct connections to the same stand-in engines. The daemon
+ * runs in its own process, so that its processor time and memory can be measured separately; the engines and the callers
+ * share this process.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 import { type CallerResult, callOnce } from "./caller.js";
 import { startEngineFarm } from "./engine-farm.js";
 
-/** Streams start spread over this time: 35 a second at 350 streams, above the plan's 21 a host. */
+/** Time over which the streams start: 35 a second at 350 streams, above the 21 a second of a host of the planned size. */
 const RAMP_UP_MS = 10_000;
 
 interface Options {
@@ -24,10 +24,10 @@
     readonly engines: number;
 }
 
-/** What the daemon's process says of itself. */
+/** Resource usage that the daemon's process reports. */
 interface Usage {
     readonly cpuMs: number;
-    /** Of which in the kernel. */
+    /** Part of `cpuMs` spent in the kernel. */
     readonly kernelMs: number;
     readonly rssBytes: number;
     readonly heapBytes: number;
@@ -45,7 +45,7 @@
     const dispatcher = new Agent({ connections: options.streams * 2 });
     const output = Math.round(options.seconds * options.rate / options.streams);
     const results: CallerResult[] = await Promise.all(Array.from({ length: options.streams }, async (_, index) => {
-        // Streams start apart, as requests do, so that prefill and token times are spread.
+        // Staggers the starts, as those of real requests are, so that prefills and tokens don't coincide.
         await new Promise(resolve => setTimeout(resolve, index * RAMP_UP_MS / options.streams));
         const url = urls[index % urls.length]!;
         return callOnce({ url, key, model: "summary-8b", tag: `s${index}`, promptTokens: 200, output, dispatcher });
--- a/packages/standins/src/bench-policy.ts
+++ b/packages/standins/src/bench-policy.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run bench:policy`: the decisions side by side on the same traffic and engines, over seeds, on a virtual clock.
+ * `npm run bench:policy`: compares variants of the scheduling policy on the same simulated traffic and engines, over several
+ * seeds.
  *
  * @module
  */
@@ -11,7 +12,7 @@
 import { DEPLOYMENTS, generateTraffic } from "./traffic.js";
 import { PROFILES, type VariantName, VARIANTS } from "./variants.js";
 
-/** Seeds below this were used while tuning; reports use this and later ones. */
+/** The first seed for reports. Lower seeds are for tuning, so that reports use traffic that nothing was tuned on. */
 const FIRST_REPORTED_SEED = 1_000;
 const LAG_MS = [500, 5_000] as const;
 const REPORT_LOSS = 0.1;
@@ -34,7 +35,7 @@
     readonly loss?: number;
 }
 
-/** What the table shows of a run; the lower is better but for `good`. */
+/** Columns of the table. Lower is better, except for `good` and `within 90 %`. */
 const COLUMNS: readonly {
     readonly head: string;
     readonly valueOf: (m: ExperimentResult) => number;
@@ -67,7 +68,7 @@
     return `${shown} (${Math.min(...values).toFixed(digits)}..${Math.max(...values).toFixed(digits)})`;
 }
 
-/** The profile's weights with what the flags override. */
+/** Returns the profile's policy with the values that flags override. */
 function policyOf({ profile, weights, quantile, gap }: Options): Omit<JobPolicy, "priority"> {
     const base = PROFILES[weights ?? profile];
     return { ...base, quantile: quantile ?? base.quantile, gapTargetMs: gap ?? base.gapTargetMs };
--- a/packages/standins/src/bench-quarantine.ts
+++ b/packages/standins/src/bench-quarantine.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run bench:quarantine`: drawn days with requests that end the endpoints that run them, without and with the quarantine.
+ * `npm run bench:quarantine`: simulates random days with requests that crash the endpoints that run them, with and without
+ * the quarantine.
  *
  * @module
  */
@@ -12,10 +13,10 @@
     readonly hosts: string;
 }
 
-/** Endpoints to a host, as the users' fleets have them at the least. */
+/** Endpoints per host: the lowest ratio among the users' fleets. */
 const ENDPOINTS_PER_HOST = 0.7;
 const MIN_ENDPOINTS = 8;
-/** Kinds of days: fatalRuns requests, endpoints that end by themselves, racks that do. */
+/** Kinds of days, by what crashes endpoints: fatal requests, single crashes and failures of racks. */
 const DAY_KINDS = [
     { name: "three guilty", fatalRequests: 3, crashes: 2, rackFailures: 0 },
     { name: "three guilty, racks", fatalRequests: 3, crashes: 2, rackFailures: 3 },
@@ -46,7 +47,7 @@
         };
         return simulateQuarantineDay(day);
     });
-    const fatalRuns = kind.fatalRequests * days;
+    const fatalCount = kind.fatalRequests * days;
     const innocent = sum(results, result => result.harmlessRequests);
     const share = (count: number): string => (10_000 * count / innocent).toFixed(2);
     const news = results.flatMap(({ propagationMs: newsMs }) => newsMs);
@@ -54,10 +55,10 @@
         String(hosts),
         name,
         isGuarded ? "with" : "without",
-        fatalRuns === 0 ? "-" : (sum(results, ({ crashesByFatal: ended }) => ended) / fatalRuns).toFixed(1),
-        fatalRuns === 0
+        fatalCount === 0 ? "-" : (sum(results, ({ crashesByFatal }) => crashesByFatal) / fatalCount).toFixed(1),
+        fatalCount === 0
             ? "-"
-            : (sum(results, ({ runsAfterThreshold: begunAfterThird }) => begunAfterThird) / fatalRuns).toFixed(2),
+            : (sum(results, ({ runsAfterThreshold }) => runsAfterThreshold) / fatalCount).toFixed(2),
         share(sum(results, ({ lostStreams: lost }) => lost)),
         share(sum(results, ({ harmlessQuarantined: quarantined }) => quarantined)),
         share(sum(results, ({ harmlessDeferred: askedBack }) => askedBack)),
--- a/packages/standins/src/bench-spread.ts
+++ b/packages/standins/src/bench-spread.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:spread`: real daemons over sockets, all in one process: how long an accepted edit takes to be in force at
- * every host, what it costs the key-value service, and what the hosts cost while nothing happens.
+ * `npm run bench:spread`: runs daemons over sockets in one process and measures how long an accepted edit takes to come into
+ * force at every host, how many reads of the key-value service it causes, and what idle hosts cost.
  *
  * @module
  */
@@ -49,7 +49,7 @@
     return answer.version;
 }
 
-/** Delays of one edit at each host, from the moment that its operator was told that it is accepted. */
+/** Records, for each host, the time from the operator's answer that an edit is accepted until the edit is in force there. */
 async function measureEdit(cluster: Stage, at: number, delays: TimeHistogram): Promise<void> {
     const inForceAt = new Map<string, number>();
     let listening = true;
--- a/packages/standins/src/demo.ts
+++ b/packages/standins/src/demo.ts
@@ -1,7 +1,9 @@
 /**
- * The demo: stand-ins and three daemons in three halls in one process, with traffic of both deployments.
+ * The demo: runs three daemons in three halls, with their stand-ins, in one process and sends them traffic of both
+ * deployments.
  *
- * `npm run demo` runs for about ten seconds and exits 0 only if every answer was whole; `npm run demo -- --serve` stays up.
+ * `npm run demo` runs for about ten seconds and exits 0 only if every answer was whole; `npm run demo -- --serve`
+ * sends no traffic and serves until SIGTERM.
  *
  * @module
  */
@@ -16,9 +18,9 @@
 const ENGINES_PER_HALL = 3;
 const TRAFFIC_MS = 8_000;
 const SEED = 7;
-/** A gap above this is a stall, letter 1's bound between tokens. */
+/** The required bound on the time between tokens; the time above it counts as stall time. */
 const GAP_TARGET_MS = 44;
-/** The demo's outputs are cut so that it ends soon after its traffic does. */
+/** Limits the outputs, so that the demo ends soon after the last arrival. */
 const MAX_OUTPUT_TOKENS = 400;
 const FIRST_PORTS = { callers: 8080, operators: 9080 };
 
--- a/packages/standins/src/plain-server.ts
+++ b/packages/standins/src/plain-server.ts
@@ -16,7 +16,7 @@
     | "error"
     /** A whole answer without a length: the end of the connection ends it. */
     | "unframed"
-    /** The first half of such an answer; {@link PlainServer.resetHalves} cuts it there. */
+    /** The first half of such an answer, until {@link PlainServer.resetHalfSent} resets the connection. */
     | "unframedHalf"
     /** An answer encoded with gzip. */
     | "encoded"
--- a/packages/standins/src/request-simulation.ts
+++ b/packages/standins/src/request-simulation.ts
@@ -54,7 +54,7 @@
     readonly delivered: DeliveredToken[] = [];
     private bufferedTokens: DeliveredToken[] = [];
     /** Attempts that an engine started to run, in order. */
-    readonly startedAttempts: string[] = [];
+    readonly ranAttempts: string[] = [];
     readonly violations: Violation[] = [];
     connection: Connection | undefined;
     /** Generations that still exist at an engine and can be resumed. */
@@ -118,7 +118,7 @@
                 return;
             }
             this.dispatchCount += 1;
-            if (!this.cfg.repeatable && this.startedAttempts.length > 0) {
+            if (!this.cfg.repeatable && this.ranAttempts.length > 0) {
                 this.violations.push("dispatched again although it may have run");
             }
             this.connection = { attempt, endpoint, generation: undefined, nextIndex: 0, isOpen: true };
@@ -147,9 +147,7 @@
         },
         fail: ({ err }) => {
             this.finalResult = { kind: "failed", err };
-            if (err.ran === "no" && this.startedAttempts.length > 0) {
-                this.violations.push("reported as not run, but ran");
-            }
+            if (err.ran === "no" && this.ranAttempts.length > 0) this.violations.push("said not run, but ran");
         },
     };
 
@@ -170,7 +168,7 @@
         const sent = connection && this.state.record.sent.includes(connection.attempt);
         if (!sent || connection.generation !== undefined) return;
         connection.generation = `g${++this.generationCount}`;
-        this.startedAttempts.push(connection.attempt);
+        this.ranAttempts.push(connection.attempt);
         this.liveGenerations.set(connection.generation, { attempt: connection.attempt, endpoint: connection.endpoint });
     }
 
@@ -240,8 +238,8 @@
         if (this.delivered.some((token, index) => token.index !== index)) {
             violations.push("delivered tokens out of order, twice or with gaps");
         }
-        if (!this.cfg.repeatable && this.startedAttempts.length > 1) {
-            violations.push(`ran ${this.startedAttempts.length} times`);
+        if (!this.cfg.repeatable && this.ranAttempts.length > 1) {
+            violations.push(`ran ${this.ranAttempts.length} times`);
         }
         return violations;
     }
--- a/packages/standins/src/traffic.ts
+++ b/packages/standins/src/traffic.ts
@@ -1,32 +1,32 @@
 /**
- * Traffic of the two deployments from seeded generators: dawn bursts of short live summaries, long reconciliations with
- * a heavy tail, long logbook summaries over shared prompts.
+ * Generates the traffic of two example deployments from a seed: bursts of short live summaries, long reconciliations with a
+ * heavy-tailed length, and long logbook summaries with shared prompt prefixes.
  *
  * @module
  */
 import { type RandomGenerator, uniformFloat64, xoroshiro128plus } from "./random.js";
 
-/** One kind of request in a deployment's traffic. */
+/** A class of requests of one workspace, with its rate and the distributions of its lengths. */
 export interface RequestClass {
     readonly workspace: string;
     readonly service: string;
     readonly model: string;
     readonly priority: "live" | "normal" | "batch";
-    /** Requests a second on average. */
+    /** Requests a second outside of bursts. */
     readonly requestsPerS: number;
-    /** Rate is this many times higher within a burst; bursts last a fifth of each period. */
+    /** Factor by which the rate is higher during a burst. A burst lasts the first fifth of each period. */
     readonly burstFactor: number;
     readonly burstPeriodMs: number;
-    /** Median and spread (sigma of the logarithm) of the prompt, in tokens. */
+    /** Log-normal distribution of the prompt's length: median in tokens, and sigma of the logarithm. */
     readonly promptLength: readonly [median: number, sigma: number];
-    /** Median and spread of the output, in tokens. */
+    /** Log-normal distribution of the output's length: median in tokens, and sigma of the logarithm. */
     readonly outputLength: readonly [median: number, sigma: number];
     readonly maxOutput: number;
-    /** How many prompt starts the requests share; 0 for none. */
+    /** Number of prompt prefixes that the requests share; 0 for none. */
     readonly sharedPrefixes: number;
 }
 
-/** One request of the traffic. */
+/** A generated request. */
 export interface Arrival {
     readonly at: number;
     readonly id: string;
@@ -36,7 +36,7 @@
     readonly prefix: string;
 }
 
-/** A deployment's traffic. */
+/** A deployment with its classes of requests. */
 export interface Deployment {
     readonly name: "kigali" | "clayhollow";
     readonly requestClasses: readonly RequestClass[];
@@ -44,7 +44,7 @@
 
 const BURST_SHARE = 0.2;
 
-/** The time-sheet assistant: live summaries in bursts, with clerks' reconciliations through the day. */
+/** A time-sheet assistant: live summaries in bursts, and clerks' reconciliations at a constant rate. */
 export const KIGALI: Deployment = {
     name: "kigali",
     requestClasses: [
@@ -77,7 +77,7 @@
     ],
 };
 
-/** Kiln bookings: long logbook summaries over shared prompts, with short plans between them. */
+/** A booking system for kilns: long logbook summaries with shared prompt prefixes, and short plans. */
 export const CLAYHOLLOW: Deployment = {
     name: "clayhollow",
     requestClasses: [
@@ -113,7 +113,7 @@
 /** Both deployments by name. */
 export const DEPLOYMENTS = { kigali: KIGALI, clayhollow: CLAYHOLLOW } as const;
 
-/** A log-normal draw with a given median. */
+/** Draws from a log-normal distribution with the given median. */
 function drawLogNormal(random: RandomGenerator, median: number, sigma: number): number {
     const radius = Math.sqrt(-2 * Math.log(1 - uniformFloat64(random)));
     return median * Math.exp(sigma * radius * Math.cos(2 * Math.PI * uniformFloat64(random)));
@@ -128,7 +128,7 @@
 }
 
 /**
- * All requests of a deployment within a time, in order.
+ * Generates all requests of a deployment during `durationMs`, ordered by arrival time.
  *
  * @param scale Multiplies every rate.
  *
@@ -162,7 +162,7 @@
     for (;;) {
         at += -Math.log(1 - uniformFloat64(random)) / peakPerMs;
         if (at >= durationMs) return arrivals;
-        // Thinning: candidates come at the burst's rate, and outside of bursts only some of them stay.
+        // Thinning: candidates are drawn at the rate of bursts, and outside of bursts only a share of them is kept.
         if (!isInBurst(requestClass, at) && uniformFloat64(random) > 1 / requestClass.burstFactor) continue;
         const prefix = requestClass.sharedPrefixes === 0
             ? ""
--- a/packages/standins/src/variants.ts
+++ b/packages/standins/src/variants.ts
@@ -1,6 +1,6 @@
 /**
- * The variants of the decisions that are measured side by side: baselines, the default, each mechanism switched off
- * alone, and the all-knowing comparison.
+ * Variants of the scheduling policy that are compared with each other: simple baselines, the default, the default without one
+ * of its mechanisms, and an oracle that knows the output lengths.
  *
  * @module
  */
@@ -21,7 +21,7 @@
     oracle: false,
 } as const;
 
-/** Variants by name. */
+/** Variants by the name that `bench:policy` takes and prints. */
 export const VARIANTS = {
     "round-robin": { ...BASELINE, choice: "roundRobin" },
     "least-outstanding": { ...BASELINE, choice: "leastOutstanding" },
@@ -39,7 +39,6 @@
     "reports-two-choices": { ...DEFAULT_VARIANT, share: "reports", choice: "twoChoices" },
     "oracle": { ...DEFAULT_VARIANT, oracle: true },
 } as const satisfies Record<string, Variant>;
-/** Name of a variant. */
 export type VariantName = keyof typeof VARIANTS;
 
 const COMMON = {
@@ -54,7 +53,7 @@
     retryShare: 0.1,
 } as const;
 
-/** Each deployment's weights, as its settings would have them. */
+/** Each deployment's job policy, as its settings would give it. */
 export const PROFILES = {
     kigali: { ...COMMON, gapTargetMs: 38, quantile: 0.8, weightTail: 2, weightStall: 0.5 },
     clayhollow: { ...COMMON, quantile: 0.9, weightTail: 0.5, weightStall: 2 },
--- a/packages/standins/test/bad-input.test.ts
+++ b/packages/standins/test/bad-input.test.ts
@@ -72,7 +72,7 @@
     },
 ];
 
-test("each wrong body gets its typed error, and none runs", async t => {
+test("each invalid body is answered with its error code, and does not run", async t => {
     const cluster = await startCluster(t);
     for (const { name, body, status, code } of BODIES) {
         t.deepEqual(await post(cluster, body), { status, code, ran: "no" }, name);
@@ -81,7 +81,7 @@
     t.is(cluster.engines[0]!.server.runsByRequest.size, 0);
 });
 
-test("fields that the system does not know reach the engine", async t => {
+test("unknown fields of the body are passed to the engine", async t => {
     const cluster = await startCluster(t);
     const res = await request(`${cluster.hosts[0]!.daemon.callersUrl}/v1/chat/completions`, {
         method: "POST",
@@ -92,20 +92,20 @@
     t.regex(answer.choices[0]!.message.content, /^seen\.\S+\.0 seen\.\S+\.1 seen\.\S+\.2 $/);
 });
 
-/** Writes bytes to the callers' port and gives all that comes back until the connection ends. */
+/** Writes bytes to the callers' port and returns everything received until the connection closes. */
 function sendRaw(cluster: Stage, bytes: string): Promise<string> {
     const { port } = new URL(cluster.hosts[0]!.daemon.callersUrl);
     return new Promise((resolve, reject) => {
         let answer = "";
         const socket = connect(Number(port), "127.0.0.1", () => socket.write(bytes));
-        socket.setTimeout(8_000, () => socket.destroy(new Error("nothing came back")));
+        socket.setTimeout(8_000, () => socket.destroy(new Error("no answer")));
         socket.on("data", chunk => answer += chunk.toString("latin1"));
         socket.on("error", reject);
         socket.on("close", () => resolve(answer));
     });
 }
 
-test("a caller that sends half a body and stalls is ended in time, and nothing runs", async t => {
+test("a caller that stalls in the middle of its body is answered with 408 after the timeout, and nothing runs", async t => {
     const cluster = await startCluster(t);
     const head = `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${
         cluster.keyOf("members")
@@ -114,7 +114,7 @@
     t.is(cluster.engines[0]!.server.runsByRequest.size, 0);
 });
 
-test("a head that is too large, or is none, is refused", async t => {
+test("a head that is too large or not HTTP is refused", async t => {
     const cluster = await startCluster(t);
     t.regex(
         await sendRaw(cluster, `GET /v1/models HTTP/1.1\r\nhost: x\r\nx-pad: ${"x".repeat(40_000)}\r\n\r\n`),
@@ -123,7 +123,7 @@
     t.regex(await sendRaw(cluster, "no such protocol\r\n\r\n"), /^HTTP\/1\.1 400 /);
 });
 
-test("requests that are pipelined are answered one after the other", async t => {
+test("pipelined requests are answered in order", async t => {
     const cluster = await startCluster(t);
     const one = (tag: string, last: boolean): string => {
         const body = JSON.stringify({ ...validRequest, x_output: 2, x_tag: tag });
@@ -135,7 +135,7 @@
     t.true(answer.indexOf("first.") > 0 && answer.indexOf("first.") < answer.indexOf("second."));
 });
 
-test("a caller's text is never in a log", async t => {
+test("a caller's text and key are never logged", async t => {
     const cluster = await startCluster(t);
     await post(
         cluster,
--- a/packages/standins/test/capacity.test.ts
+++ b/packages/standins/test/capacity.test.ts
@@ -7,11 +7,11 @@
 
 function slopesIn(page: string): Slopes {
     const json = /```json\n([\s\S]*?)\n```/.exec(page)?.[1];
-    if (json === undefined) throw new Error("docs/CAPACITY.md holds no slopes: run npm run bench:capacity -- --write");
+    if (json === undefined) throw new Error("docs/CAPACITY.md has no slopes: run npm run bench:capacity -- --write");
     return JSON.parse(json) as Slopes;
 }
 
-test("docs/CAPACITY.md shows the table that the formulas give for its slopes", t => {
+test("docs/CAPACITY.md shows the tables computed from its slopes", t => {
     const page = readFileSync(new URL("../../../docs/CAPACITY.md", import.meta.url), "utf8");
     const { hallHosts } = perHost();
     t.true(
@@ -26,7 +26,7 @@
     );
 });
 
-test("at the plan's size control stays within its budget, by the page's slopes", t => {
+test("by the slopes in docs/CAPACITY.md, the control plane at the planned size stays within its budget", t => {
     const page = readFileSync(new URL("../../../docs/CAPACITY.md", import.meta.url), "utf8");
     const { hallHosts } = perHost();
     const uses = roleCosts(
--- a/packages/standins/test/engine-faults.test.ts
+++ b/packages/standins/test/engine-faults.test.ts
@@ -2,7 +2,10 @@
 import { request } from "undici";
 import { type CallerResult, callOnce, type EngineFault, type Stage, startStage, waitUntil } from "../src/index.js";
 
-/** Above the time to a first token where all tests and other work share the machine (1,256 ms seen), so that only faults are late. */
+/**
+ * Short timeouts, yet above the time to the first token on a machine that runs all tests and other work at once (1,256 ms were
+ * measured), so that only injected faults run into them.
+ */
 const SHORT_TIMEOUTS = { "idle-timeout": "3s", "first-token-timeout": "3s", "connect-timeout": "3s" };
 
 async function startCluster(t: ExecutionContext, members: Record<string, string> = {}, engines = 2): Promise<Stage> {
@@ -36,7 +39,7 @@
 
 interface Case {
     readonly fault: EngineFault;
-    /** Outcome of a repeatable, streamed request before two engines. */
+    /** Outcome of a repeatable, streamed request if the first of two engines has the fault. */
     readonly outcome: CallerResult["outcome"];
     readonly runs: number;
     readonly code?: string;
@@ -62,7 +65,7 @@
 ];
 
 for (const { fault, outcome, runs, code } of CASES) {
-    test(`an engine that does ${fault.kind}`, async t => {
+    test(`an engine with the fault ${fault.kind}`, async t => {
         const cluster = await startCluster(t);
         cluster.engines[0]!.server.faults.push(fault);
         const result = await send(cluster);
@@ -72,7 +75,7 @@
     });
 }
 
-test("a request that may not be repeated is never sent twice", async t => {
+test("a request that is not repeatable is never sent twice", async t => {
     const cluster = await startCluster(t, { repeatable: "false" });
     for (const kind of ["serverError", "noAnswer", "closeBeforeHead"] as const) {
         for (const { server } of cluster.engines) server.faults.push({ kind });
@@ -84,23 +87,23 @@
     t.is(countRuns(cluster), 0);
 });
 
-test("a refusal that proves that nothing ran lets even such a request try elsewhere", async t => {
+test("a request that is not repeatable is retried elsewhere after a refusal that proves that it did not run", async t => {
     const cluster = await startCluster(t, { repeatable: "false" });
     cluster.engines[0]!.server.faults.push({ kind: "refuse" });
     t.is((await send(cluster)).outcome, "whole");
     t.is(countRuns(cluster), 1);
 });
 
-/** Requests within which each of three engines surely had its turn. */
+/** Number of requests within which each of three engines gets at least one. */
 const MAX_TURNS = 30;
 
-test("endpoints that refuse for want of room are not ejected, those that fail are", async t => {
+test("refusals for lack of room do not count for the circuit breaker, failures do", async t => {
     const cluster = await startCluster(t, {}, 3);
-    // Few enough that the budget of retries, three to begin with, is not what is tested.
+    // One fault at a time, so that the initial retry budget of three is not exhausted.
     const failuresAfter = async (kind: "refuse" | "serverError"): Promise<number> => {
         const { faults } = cluster.engines[0]!.server;
         faults.push({ kind });
-        // Equal endpoints take turns, and a slow machine makes them unequal for a while: engine-1's turn comes soon.
+        // Equal endpoints are chosen in turn, but on a slow machine their loads differ for a while; so sends until engine-1 is chosen.
         for (let sent = 0; faults.length > 0 && sent < MAX_TURNS; sent++) {
             t.is((await send(cluster)).outcome, "whole");
         }
@@ -111,8 +114,8 @@
     t.is(await failuresAfter("serverError"), 1);
 });
 
-test("answers of requests that run at once are never crossed", async t => {
-    // A machine that is busy must not make a first token late: the retries would use up their budget.
+test("answers of concurrent requests are never mixed up", async t => {
+    // Long timeouts: on a busy machine first tokens would run into short ones, and the retries would exhaust their budget.
     const cluster = await startCluster(t, { "first-token-timeout": "60s", "idle-timeout": "60s" });
     const results = await Promise.all(
         Array.from({ length: 40 }, (_, index) => send(cluster, { tag: `t${index}`, output: 5 + index })),
@@ -121,7 +124,7 @@
     t.deepEqual(bad, [], JSON.stringify(bad));
 });
 
-test("an endpoint that is leaving gets nothing new, whichever source says so", async t => {
+test("an endpoint that is leaving gets no new requests, whether it or the host list says so", async t => {
     const cluster = await startCluster(t);
     const [first, second] = cluster.engines.map(({ server }) => server);
     const host = cluster.hosts[0]!.daemon.host;
@@ -139,7 +142,7 @@
     t.is(second!.runsByRequest.size, 5);
 });
 
-test("a planned stop finishes what runs, refuses what is new, and tells peers", async t => {
+test("a stopping host finishes running requests, refuses new ones and is not ready", async t => {
     const cluster = await startCluster(t);
     const daemon = cluster.hosts[0]!.daemon;
     const running = send(cluster, { output: 400 });
@@ -154,7 +157,7 @@
     await stopped;
 });
 
-test("a stopping host with nothing left to serve still answers callers that the balancer sends", async t => {
+test("a stopping host without running requests still answers callers that the load balancer sends", async t => {
     const cluster = await startCluster(t, {}, 1);
     const daemon = cluster.hosts[0]!.daemon;
     const stopped = daemon.stop();
@@ -166,7 +169,7 @@
     await stopped;
 });
 
-test("waiting requests are answered as not run when the host is told to stop", async t => {
+test("waiting requests are refused as not run when the host is stopped", async t => {
     const cluster = await startCluster(t, { "gap-target": "1ms" }, 1);
     const daemon = cluster.hosts[0]!.daemon;
     const running = send(cluster, { output: 300 });
@@ -180,7 +183,7 @@
     await stopped;
 });
 
-test("a caller that reads nothing does not fill the daemon's memory, and is given up in time", async t => {
+test("a caller that reads nothing does not fill the daemon's memory, and is disconnected after the stall timeout", async t => {
     const cluster = await startCluster(t, { "caller-stall-timeout": "2s" });
     const controller = new AbortController();
     const res = await request(`${cluster.hosts[0]!.daemon.callersUrl}/v1/chat/completions`, {
--- a/packages/standins/test/fatal-requests.test.ts
+++ b/packages/standins/test/fatal-requests.test.ts
@@ -2,12 +2,12 @@
 import { request } from "undici";
 import { type Stage, startStage, waitUntil } from "../src/index.js";
 
-const FATAL_PROMPT = "a prompt that ends its engine";
+const FATAL_PROMPT = "a prompt that crashes its engine";
 const TRIES = 6;
-/** Between two tries: an engine is back, and the hosts of a hall have told each other. */
+/** Pause between tries, in which a crashed engine restarts and the hosts of the hall exchange what they saw. */
 const PAUSE_MS = 300;
 
-/** Asks a host for a generation; gives the status and the code of the error. */
+/** Requests a generation from a host; returns the status and the error's code. */
 async function sendPrompt(
     cluster: Stage,
     at: number,
@@ -24,7 +24,7 @@
     return { status: res.statusCode, code };
 }
 
-test("a generation that has ended three engines is begun at no fourth, by no host of the hall", async t => {
+test("after a prompt crashed three engines, no host of the hall sends it to another", async t => {
     const cluster = await startStage({ halls: ["k1"], hostsPerHall: 2, enginesPerHall: 3, engine: { speed: 20 } });
     t.teardown(() => cluster.stop());
     await waitUntil(() => cluster.hosts.every(({ daemon }) => daemon.host.peers?.live.length === cluster.hosts.length));
--- a/packages/standins/test/faults.test.ts
+++ b/packages/standins/test/faults.test.ts
@@ -20,12 +20,12 @@
     });
 }
 
-test("docs/FAULTS.md shows the matrix as it runs", t => {
+test("docs/FAULTS.md shows the current matrix", t => {
     const page = readFileSync(new URL("../../../docs/FAULTS.md", import.meta.url), "utf8");
     t.true(page.includes(renderMatrix()), "run npm run faults");
 });
 
-/** Anything that can happen, in any order, as a function on the simulation. */
+/** A random step, fault or forged event, as a function that applies it to the simulation. */
 const randomEvent = fc.oneof(
     { weight: 8, arbitrary: fc.constant((simulation: RequestSimulation) => simulation.advance()) },
     fc.constant((simulation: RequestSimulation) => simulation.startGeneration()),
@@ -35,7 +35,7 @@
     fc.constant((simulation: RequestSimulation) => simulation.loseGeneration()),
     fc.constant((simulation: RequestSimulation) => simulation.handle({ kind: "stopping" })),
     fc.constant((simulation: RequestSimulation) => {
-        // An engine refuses only what it has not begun; that is its part of the bargain.
+        // An engine may refuse a request only before it starts to generate.
         const connection = simulation.connection;
         if (
             connection && connection.generation === undefined
@@ -54,7 +54,7 @@
         index: fc.nat(5),
     })
         .map(token => (simulation: RequestSimulation) => {
-            // A forged token of the current attempt and generation cannot be told from a true one; all others must be.
+            // A forged token that matches the current attempt and generation is indistinguishable from a real one.
             const current = simulation.connection;
             if (
                 current && token.attempt === current.attempt && token.generation === current.generation
@@ -74,7 +74,7 @@
         }),
 );
 
-test("random schedules of faults break no promise", t => {
+test("random sequences of faults violate no guarantee", t => {
     const seed = 20_261_202;
     t.log(`seed ${seed}`);
     const cfgs = fc.record({
@@ -83,9 +83,9 @@
         tokens: fc.integer({ min: 1, max: 5 }),
     });
     fc.assert(
-        fc.property(cfgs, fc.array(randomEvent, { maxLength: 40 }), (cfg, happenings) => {
+        fc.property(cfgs, fc.array(randomEvent, { maxLength: 40 }), (cfg, events) => {
             const simulation = new RequestSimulation(cfg);
-            for (const happen of happenings) happen(simulation);
+            for (const applyEvent of events) applyEvent(simulation);
             simulation.runToEnd();
             t.deepEqual(simulation.findViolations(), []);
             t.truthy(
--- a/packages/standins/test/kv-contract.ts
+++ b/packages/standins/test/kv-contract.ts
@@ -1,5 +1,5 @@
 /**
- * What every implementation of the key-value interface must do; each adapter's own test file runs it.
+ * Contract tests for implementations of the key-value interface; the test file of each adapter declares them.
  *
  * @module
  */
@@ -7,20 +7,21 @@
 import test, { type ExecutionContext } from "ava";
 import { waitUntil } from "../src/index.js";
 
-/** An implementation of the interface with the means to make its service fail. */
+/** An implementation under test, with controls that make its service fail. */
 export interface KeyValueFixture {
     readonly kv: KeyValue;
-    /** The same client with an address at which nothing listens. */
+    /** A client of the same kind for an address at which nothing listens. */
     readonly nowhere: KeyValue;
     readonly setDown: (down: boolean) => void;
+    /** Makes the service apply the next write without a reply. */
     readonly loseReply: () => void;
 }
 
 const { signal } = new AbortController();
 
-/** Declares the contract's tests for one implementation. */
+/** Declares the contract tests for one implementation. */
 export function testContract(name: string, start: (t: ExecutionContext) => Promise<KeyValueFixture>): void {
-    test(`${name}: what is written is read, alone and by prefix`, async t => {
+    test(`${name}: written values are read by key and by prefix`, async t => {
         const { kv } = await start(t);
         t.deepEqual(await kv.get("a/1", signal), { ok: true, value: undefined });
         const puts = [{ key: "a/1", value: "one" }, { key: "a/2", value: "zwei \u2028 ü" }, {
@@ -38,7 +39,7 @@
         }
     });
 
-    test(`${name}: a conditional write happens whole or not at all`, async t => {
+    test(`${name}: a conditional write is atomic`, async t => {
         const { kv } = await start(t);
         const absent = [{ key: "k", modRevision: 0 }];
         t.like(await kv.commit({ conditions: absent, puts: [{ key: "k", value: "1" }] }, signal), { value: true });
@@ -55,7 +56,7 @@
         t.like(await kv.get("k", signal), { value: undefined });
     });
 
-    test(`${name}: of many writers under one condition one wins`, async t => {
+    test(`${name}: of concurrent writes under the same condition one succeeds`, async t => {
         const { kv } = await start(t);
         const writes = await Promise.all(
             Array.from({ length: 20 }, (_, index) =>
@@ -67,7 +68,7 @@
         t.is(writes.filter(write => write.ok && write.value).length, 1);
     });
 
-    test(`${name}: an outage is told apart from a lost reply`, async t => {
+    test(`${name}: an unreachable service is distinguished from a lost reply`, async t => {
         const { kv, nowhere: nowhere, setDown, loseReply } = await start(t);
         loseReply();
         t.like(await kv.commit({ conditions: [], puts: [{ key: "k", value: "1" }] }, signal), {
@@ -85,7 +86,7 @@
         });
     });
 
-    test(`${name}: a watch tells changes and deletions of its key alone, and ends with an error`, async t => {
+    test(`${name}: a watch reports changes and deletions, and ends with an error when the service fails`, async t => {
         const { kv, setDown } = await start(t);
         const changes: KvChange[] = [];
         const ended = kv.watch({ prefix: "k" }, told => changes.push(...told.filter(({ key }) => key === "k")), signal);
@@ -100,7 +101,7 @@
         t.is((await ended).kind, "away");
     });
 
-    test(`${name}: what a lease holds goes with it`, async t => {
+    test(`${name}: revoking a lease deletes its keys`, async t => {
         const { kv } = await start(t);
         const lease = await kv.grantLease(60, signal);
         t.true(lease.ok);
@@ -112,7 +113,7 @@
         t.like(await kv.keepLease(lease.value, signal), { value: false });
     });
 
-    test(`${name}: a watch from a list's revision misses nothing that was written since`, async t => {
+    test(`${name}: a watch from the revision of a list reports every later write`, async t => {
         const { kv } = await start(t);
         await kv.commit({ conditions: [], puts: [{ key: "w/1", value: "before" }] }, signal);
         const listed = await kv.list("w/", signal);
--- a/packages/standins/test/memory.test.ts
+++ b/packages/standins/test/memory.test.ts
@@ -3,7 +3,7 @@
 import { type Stage, startStage, waitUntil } from "../src/index.js";
 import { LONG_ANSWER_BYTES } from "../src/plain-server.js";
 
-/** The least budget that a host may have: 6 MB, of which bodies get three quarters. */
+/** The smallest memory that a host accepts. It leaves a budget of 6 MB, three quarters of it for bodies. */
 const MEMORY_MB = "82";
 const MODEL = "summary-8b";
 
@@ -26,7 +26,7 @@
     return cluster;
 }
 
-/** Posts parts of a body; with a length told in the head, or without. Reads the answer when told to. */
+/** Posts a body in parts, with a `content-length` if `length` is given. Reads the answer after `readAfter`. */
 function post(
     cluster: Stage,
     parts: readonly string[],
@@ -55,13 +55,13 @@
             void readAfter.then(() => res.on("data", chunk => body += String(chunk)));
         });
         for (const part of parts) req.write(part);
-        // A body that is never sent whole: the answer comes before it.
+        // Sends only the head of a request with a body: the answer must come before the body.
         if (length === undefined || parts.length > 0) req.end();
         else req.flushHeaders();
     });
 }
 
-test("a body for which there is no room is refused before it is read, as not run", async t => {
+test("a body that exceeds the free memory is refused before it is read, as not run", async t => {
     const cluster = await startCluster(t);
     const { status, headers, body } = await post(cluster, [], { length: 4_800_000 });
     t.is(status, 503);
@@ -70,7 +70,7 @@
     t.is((JSON.parse(body) as { error: { code: string } }).error.code, "memory_full");
 });
 
-test("a body whose length is not told is refused when it outgrows the room for it", async t => {
+test("a body of unknown length is refused once it exceeds the free memory", async t => {
     const cluster = await startCluster(t);
     const { status, headers } = await post(cluster, Array.from({ length: 100 }, () => "x".repeat(50_000)));
     t.is(status, 503);
@@ -79,7 +79,7 @@
     await waitUntil(() => cluster.hosts[0]!.daemon.host.memory.held.body === 0);
 });
 
-test("a caller that reads nothing for a while gets its stream whole, and is held within the budget meanwhile", async t => {
+test("a caller that pauses reading gets its whole stream, and its unread data stays within the budget", async t => {
     const cluster = await startCluster(t, "90");
     let read = (): void => undefined;
     const readAfter = new Promise<void>(resolve => read = resolve);
@@ -89,13 +89,13 @@
         max_tokens: 2_000,
         stream: true,
         x_output: 2_000,
-        // An event of this size fills what connections buffer within some hundred.
+        // With events of this size, a few hundred fill the connections' buffers.
         x_tag: "t".repeat(8_000),
     });
     const answer = post(cluster, [body], { length: Buffer.byteLength(body), readAfter });
     const { memory } = cluster.hosts[0]!.daemon.host;
     await waitUntil(() => memory.held.unread > 1_000_000);
-    // Long enough for all of it to come, were it not held back.
+    // Long enough for the whole stream to arrive, if the host did not limit it.
     await new Promise(resolve => setTimeout(resolve, 1_000));
     const { held, budget } = memory.state;
     t.true(held <= budget!);
@@ -107,7 +107,7 @@
     await waitUntil(() => memory.held.unread === 0);
 });
 
-test("a plain service's long answer is taken from it while its caller reads nothing, and is whole in the end", async t => {
+test("a plain service's long answer is read to its end while the caller reads nothing, and reaches the caller whole", async t => {
     const cluster = await startCluster(t, "200");
     const [service] = cluster.plainServices;
     service!.server.faults.push("long");
--- a/packages/standins/test/mutations.test.ts
+++ b/packages/standins/test/mutations.test.ts
@@ -2,18 +2,18 @@
 import { existsSync, readFileSync } from "node:fs";
 import { MUTATIONS } from "../src/mutations.js";
 
-/** How often a text stands in a file of the repository; none where there is no such file. */
+/** Counts the occurrences of a text in a file of the repository; 0 if the file does not exist. */
 function countIn(file: string, text: string): number {
     const url = new URL(`../../../${file}`, import.meta.url);
     return existsSync(url) ? readFileSync(url, "utf8").split(text).length - 1 : 0;
 }
 
-test("the code that each mutation breaks stands once in its file", t => {
-    const others = MUTATIONS.filter(({ file, find }) => countIn(file, find) !== 1);
-    t.deepEqual(others.map(({ promise, file, find }) => ({ promise, file, find })), []);
+test("the source that each mutation replaces occurs once in its file", t => {
+    const misquoted = MUTATIONS.filter(({ file, find }) => countIn(file, find) !== 1);
+    t.deepEqual(misquoted.map(({ promise, file, find }) => ({ promise, file, find })), []);
 });
 
-test("each mutation changes the code, and names tests that are there", t => {
+test("each mutation changes the source and names existing tests", t => {
     for (const { promise, find, replace, tests } of MUTATIONS) {
         t.not(find, replace, promise);
         t.true(tests.length > 0, promise);
@@ -23,7 +23,7 @@
     }
 });
 
-test("mutations have names of their own", t => {
+test("the promises of mutations are unique", t => {
     const promises = MUTATIONS.map(({ promise }) => promise);
     t.deepEqual(promises.filter((promise, index) => promises.indexOf(promise) !== index), []);
 });
--- a/packages/standins/test/openai.test.ts
+++ b/packages/standins/test/openai.test.ts
@@ -19,7 +19,7 @@
     return new OpenAI({ baseURL: `${cluster.hosts[0]!.daemon.callersUrl}/v1`, apiKey, maxRetries });
 }
 
-/** A body whose answer is known; the extra fields reach the stand-in engine untouched. */
+/** Creates a body whose answer is known in advance: the host passes the extra fields to the stand-in engine. */
 function bodyOf<S extends boolean>(
     stream: S,
     output: number,
@@ -33,7 +33,7 @@
     } as never;
 }
 
-test("a streamed answer comes whole and in order", async t => {
+test("a streamed answer is complete and in order", async t => {
     const cluster = await startCluster(t);
     const stream = await clientOf(cluster).chat.completions.create(bodyOf(true, 30));
     const texts: string[] = [];
@@ -43,7 +43,7 @@
     ]);
 });
 
-test("an answer that is not streamed comes as one body with its usage", async t => {
+test("an answer that is not streamed is one body with its usage", async t => {
     const cluster = await startCluster(t);
     const answer = await clientOf(cluster).chat.completions.create(bodyOf(false, 12));
     t.is(answer.choices[0]?.message.content?.trim().split(" ").length, 12);
@@ -59,7 +59,7 @@
     t.deepEqual(models.data.map(model => model.id), [MODEL]);
 });
 
-test("an answer that the caller gives up is cancelled at the engine", async t => {
+test("when a caller aborts its request, the generation is cancelled at the engine", async t => {
     const cluster = await startCluster(t);
     const stream = await clientOf(cluster).chat.completions.create(bodyOf(true, 5_000));
     for await (const chunk of stream) {
@@ -70,7 +70,7 @@
     t.is(engine.model.load().running, 0);
 });
 
-test("wrong requests get typed errors that say that nothing ran", async t => {
+test("invalid requests get typed errors that say that nothing ran", async t => {
     const cluster = await startCluster(t);
     const cases = [
         {
@@ -103,7 +103,7 @@
     t.is(cluster.engines[0]!.server.runsByRequest.size, 0);
 });
 
-test("a refusal for a limit has a status that the client retries, and says when", async t => {
+test("a rate limit error tells the client to retry, and when", async t => {
     const cluster = await startCluster(t, { "requests-per-minute": "1" });
     await clientOf(cluster).chat.completions.create(bodyOf(false, 1));
     const err = await t.throwsAsync(clientOf(cluster).chat.completions.create(bodyOf(false, 1)), {
@@ -114,7 +114,7 @@
     t.true(seconds >= 1 && seconds <= 60);
 });
 
-test("a refusal by a full engine is retried by the client until there is room", async t => {
+test("the client retries a request that a full engine refused", async t => {
     const cluster = await startCluster(t, { attempts: "1" });
     cluster.engines[0]!.server.faults.push({ kind: "refuse", retryAfterS: 0 });
     const answer = await clientOf(cluster, undefined, 2).chat.completions.create(bodyOf(false, 4));
--- a/packages/standins/test/plain-answers.test.ts
+++ b/packages/standins/test/plain-answers.test.ts
@@ -18,11 +18,11 @@
     readonly status: number | undefined;
     readonly headers: IncomingHttpHeaders;
     readonly body: Buffer;
-    /** Whether it ended as a whole answer does. */
+    /** Whether the answer was received to its end without an error. */
     readonly whole: boolean;
 }
 
-/** Node's own client: undici takes a reset for the end of an answer without a length. */
+/** Calls the service with Node's client, since undici takes a reset for the regular end of an answer without a length. */
 function callDesk(cluster: Stage, method: "GET" | "POST", key?: string): Promise<Answer> {
     const headers = {
         authorization: `Bearer ${cluster.keyOf("members")}`,
@@ -36,7 +36,7 @@
             const chunks: Buffer[] = [];
             res.on("data", (chunk: Buffer) => {
                 chunks.push(chunk);
-                // A reset discards what its receiver has not read: it comes behind what has arrived here.
+                // A reset discards data that its receiver has not read, so it is sent only after data has arrived here.
                 cluster.plainServices[0]!.server.resetHalfSent();
             });
             res.on("error", () => broken = true);
@@ -45,7 +45,7 @@
                 resolve({ status: res.statusCode, headers: res.headers, body, whole: res.complete && !broken });
             });
         });
-        // A reset is the request's error, also behind the answer's head.
+        // Node reports a reset as an error of the request, even after the answer's head.
         req.on("error", err => {
             broken = true;
             if (!answered) reject(err);
@@ -73,7 +73,7 @@
 
 const UNFRAMED = [undefined, undefined];
 
-test("an answer that its connection alone ends reaches its caller likewise", async t => {
+test("an answer without a length reaches the caller whole and without a length", async t => {
     const cluster = await startCluster(t);
     cluster.plainServices[0]!.server.faults.push("unframed");
     const answer = await callDesk(cluster, "GET");
@@ -81,14 +81,14 @@
     t.is((JSON.parse(answer.body.toString()) as { url: string }).url, "/holds");
 });
 
-test("an answer that has no body leaves its caller's connection open", async t => {
+test("an answer without a body keeps the caller's connection open", async t => {
     const cluster = await startCluster(t);
     cluster.plainServices[0]!.server.faults.push("noBody");
     const answer = await callDesk(cluster, "GET");
     t.deepEqual([answer.status, answer.whole, answer.headers.connection], [204, true, "keep-alive"]);
 });
 
-test("an answer without a length whose connection is reset is broken off and counted as lost", async t => {
+test("an answer without a length whose connection is reset is broken off and logged as endpoint_lost", async t => {
     const cluster = await startCluster(t);
     cluster.plainServices[0]!.server.faults.push("unframedHalf");
     const answer = await callDesk(cluster, "GET");
@@ -98,11 +98,11 @@
     t.regex(ended[0]!, /outcome=endpoint_lost/);
 });
 
-test("a cut answer is not recorded under its caller's key", async t => {
+test("a truncated answer is not recorded under the caller's idempotency key", async t => {
     const cluster = await startCluster(t);
     cluster.plainServices[0]!.server.faults.push("unframedHalf");
     await callDesk(cluster, "POST", "cut");
-    // Records are written in order, so a later one shows that the first would stand by now.
+    // Records are written in order: once the later one exists, the first would exist as well.
     await callDesk(cluster, "POST", "later");
     await recordedAnswer(cluster, "later");
     const again = await callDesk(cluster, "POST", "cut");
@@ -110,7 +110,7 @@
     t.is(countRuns(cluster), 2);
 });
 
-test("a recorded answer that its connection alone ended is given again likewise", async t => {
+test("a recorded answer without a length is repeated without a length", async t => {
     const cluster = await startCluster(t);
     cluster.plainServices[0]!.server.faults.push("unframed");
     const first = await callDesk(cluster, "POST", "unframed");
--- a/packages/standins/test/plain.test.ts
+++ b/packages/standins/test/plain.test.ts
@@ -44,7 +44,7 @@
 const countRuns = (cluster: Stage): number =>
     [...cluster.plainServices[0]!.server.runsByCall.values()].reduce((sum, count) => sum + count, 0);
 
-test("a call goes through with method, path, query and body", async t => {
+test("a call is passed on with its method, path, query and body", async t => {
     const cluster = await startCluster(t);
     const answer = await callDesk(cluster, "POST", "/holds/7?quick=1");
     t.deepEqual(JSON.parse(answer.text), {
@@ -68,7 +68,7 @@
 ];
 
 for (const { fault, get, post, postRan } of FAULT_CASES) {
-    test(`a service that does ${fault}: reading is tried again, changing is not`, async t => {
+    test(`a service with the fault ${fault}: GET and POST are retried only where that is safe`, async t => {
         const cluster = await startCluster(t);
         cluster.plainServices[0]!.server.faults.push(fault);
         t.is((await callDesk(cluster, "GET", "/holds")).status, get);
@@ -80,7 +80,7 @@
     });
 }
 
-test("a call resent with its key to any host runs once and gets the recorded answer", async t => {
+test("a call resent with its idempotency key to any host runs once and gets the recorded answer", async t => {
     const cluster = await startCluster(t);
     const key = { "idempotency-key": "hold-7" };
     const first = await callDesk(cluster, "POST", "/holds", key);
@@ -93,7 +93,7 @@
     t.is((await callDesk(cluster, "POST", "/cancellations", key)).status, 422);
 });
 
-test("calls sent at once with one key run once", async t => {
+test("concurrent calls with the same idempotency key run once", async t => {
     const cluster = await startCluster(t);
     const answers = await Promise.all(
         Array.from(
@@ -106,7 +106,7 @@
     t.true(answers.every(answer => answer.status === 200 || answer.ran === "unknown"));
 });
 
-test("a call whose endpoint broke off is never run again under its key", async t => {
+test("a call whose endpoint broke off is never run again under its idempotency key", async t => {
     const cluster = await startCluster(t);
     cluster.plainServices[0]!.server.faults.push("closeAfterRun");
     const key = { "idempotency-key": "broken" };
@@ -115,7 +115,7 @@
     t.is(countRuns(cluster), 1);
 });
 
-test("with the platform away a claimed call is refused as not run; with its reply lost it runs once", async t => {
+test("a call with an idempotency key is refused as not run during a store outage, and runs once if the store's reply is lost", async t => {
     const cluster = await startCluster(t);
     await callDesk(cluster, "POST", "/holds", { "idempotency-key": "warm" });
     cluster.kv.setDown(true);
--- a/packages/standins/test/rolling.test.ts
+++ b/packages/standins/test/rolling.test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { type CallerResult, callOnce, type Stage, startStage, waitUntil } from "../src/index.js";
 
-/** Sends to whichever host is ready, as the platform's balancer does, again if it is refused as not run. */
+/** Sends a request to a ready host, as the platform's load balancer does, and resends it if it was refused as not run. */
 async function sendBalanced(cluster: Stage, tag: string): Promise<CallerResult> {
     for (;;) {
         const ready = cluster.hosts.filter(host => !host.daemon.host.runs.stopping);
@@ -19,10 +19,10 @@
     }
 }
 
-/** Calls that begin before each stop, so that each has some to lose, however fast hosts are replaced. */
+/** Calls to start before each stop, so that each stop meets running calls even if hosts are replaced quickly. */
 const MIN_CALLS_PER_STOP = 6;
 
-test("replacing every host of a hall one after the other, under load, loses no request", async t => {
+test("replacing all hosts of a hall one by one under load loses no request", async t => {
     const cluster = await startStage({
         halls: ["k1"],
         hostsPerHall: 3,
--- a/packages/standins/test/spread.test.ts
+++ b/packages/standins/test/spread.test.ts
@@ -37,7 +37,7 @@
 const settingsVersions = (cluster: Stage): readonly number[] =>
     cluster.hosts.map(host => host.daemon.host.feed.directory?.version ?? 0);
 
-test("an edit at one host comes into force at all hosts of the hall", async t => {
+test("an edit accepted by one host comes into force at all hosts of the hall", async t => {
     const cluster = await startCluster(t);
     const answer = await editAt(cluster, 1, "edit-0001", attemptsChange("2"));
     t.is(answer.status, 200);
@@ -47,7 +47,7 @@
     );
 });
 
-test("of two operators who change the same key one is told of the conflict, of other keys both win", async t => {
+test("of two concurrent edits of the same key one gets a conflict; edits of different keys both succeed", async t => {
     const cluster = await startCluster(t);
     const race = await Promise.all([
         editAt(cluster, 0, "edit-000a", attemptsChange("2")),
@@ -61,7 +61,7 @@
     t.deepEqual(apart.map(answer => answer.status), [200, 200]);
 });
 
-test("a write whose reply is lost is settled, and a retry of the same edit is one edit", async t => {
+test("the outcome of a write whose reply is lost is looked up, and a retry of the edit is not applied again", async t => {
     const cluster = await startCluster(t);
     cluster.kv.faults.loseReplies = 1;
     const first = await editAt(cluster, 0, "edit-lost", attemptsChange("2"));
@@ -70,7 +70,7 @@
     t.deepEqual([again.status, again.body.kind, again.body.version], [200, "accepted", 2]);
 });
 
-test("with the service away an edit is refused, and requests go on", async t => {
+test("during an outage of the key-value service edits are refused and requests still run", async t => {
     const cluster = await startCluster(t);
     cluster.kv.setDown(true);
     t.is((await editAt(cluster, 0, "edit-away", attemptsChange("2"))).status, 503);
@@ -87,7 +87,7 @@
     t.is((await editAt(cluster, 0, "edit-back", attemptsChange("5"))).status, 200);
 });
 
-test("a host that starts while the service is away learns the newest version from its peers", async t => {
+test("a host that starts during an outage of the key-value service gets the newest settings from its peers", async t => {
     const cluster = await startCluster(t);
     await editAt(cluster, 0, "edit-0001", attemptsChange("2"));
     await waitUntil(() => settingsVersions(cluster).every(version => version === 2));
@@ -96,7 +96,7 @@
     t.is(late.daemon.host.feed.directory?.version, 2);
 });
 
-test("a service that serves an older version again is not followed", async t => {
+test("settings older than those in force are ignored", async t => {
     const cluster = await startCluster(t);
     await editAt(cluster, 0, "edit-0001", attemptsChange("2"));
     await waitUntil(() => settingsVersions(cluster).every(version => version === 2));
@@ -106,7 +106,7 @@
     t.true(cluster.logLines.some(line => line.includes("event=settings_ignored") && line.includes("result=older")));
 });
 
-test("an edit that would leave no operator who may edit is refused", async t => {
+test("an edit that would leave no operator with the edit role is refused", async t => {
     const cluster = await startCluster(t);
     const answer = await editAt(cluster, 0, "edit-lock", [{
         path: "operator/first",
