--- a/packages/standins/src/bench-capacity.ts
+++ b/packages/standins/src/bench-capacity.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:capacity`: measures the unit costs ("slopes") for docs/CAPACITY.md and prints them with the tables computed from
- * them; `--write` also writes both into the page.
+ * `npm run bench:capacity`: measures the unit costs ("slopes") for docs/CAPACITY.md and prints them with the tables
+ * computed from them; `--write` also writes both into the page.
  *
  * @module
  */
@@ -52,7 +52,7 @@
 const GC_ROUNDS = 4;
 
 /** Measures the mean processor time of a call, in microseconds, after some calls to warm up. */
-function timeUs(times: number, run: (at: number) => void): number {
+function timeUs(times: number, run: (index: number) => void): number {
     for (let index = 0; index < times / 5; index++) run(index);
     const before = process.cpuUsage();
     for (let index = 0; index < times; index++) run(index);
@@ -74,10 +74,10 @@
     return { bytes: Math.max(0, after.heapUsed + after.arrayBuffers - before.heapUsed - before.arrayBuffers), value };
 }
 
-function createJob(id: string, at: number): Job {
+function createJob(id: string, index: number): Job {
     return {
         id,
-        group: { workspace: `w${at % PLAN.workspaces}`, service: "s", model: `m${at % PLAN.models}` },
+        group: { workspace: `w${index % PLAN.workspaces}`, service: "s", model: `m${index % PLAN.models}` },
         promptTokens: 500,
         maxTokens: 4_000,
         prefix: "",
@@ -106,22 +106,25 @@
 }
 
 function measureScheduler(): Pick<Slopes, "progressUs" | "requestUs" | "streamBytes"> {
-    const made = heapOf(createPlanHost);
-    const host = made.value;
+    const measured = heapOf(createPlanHost);
+    const host = measured.value;
     const streams = Math.floor(PLAN_HOST.streams);
     const produced = new Map<number, number>();
-    const progressUs = timeUs(20_000, at => {
-        const stream = at % streams;
+    const progressUs = timeUs(20_000, index => {
+        const stream = index % streams;
         const next = ((produced.get(stream) ?? 0) + PROGRESS_EVERY) % 3_500;
         produced.set(stream, next);
-        host.handle({ kind: "progress", job: `r${stream}`, produced: next, meanGapMs: 25, maxGapMs: 30 }, 1_000 + at);
+        host.handle(
+            { kind: "progress", job: `r${stream}`, produced: next, meanGapMs: 25, maxGapMs: 30 },
+            1_000 + index,
+        );
     });
-    const requestUs = timeUs(2_000, at => {
-        const id = `n${at}`;
-        host.handle({ kind: "arrive", job: createJob(id, at), avoid: [], retry: false }, 100_000 + at);
-        host.handle({ kind: "ended", job: id, outcome: "whole", produced: 200 }, 100_000 + at);
+    const requestUs = timeUs(2_000, index => {
+        const id = `n${index}`;
+        host.handle({ kind: "arrive", job: createJob(id, index), avoid: [], retry: false }, 100_000 + index);
+        host.handle({ kind: "ended", job: id, outcome: "whole", produced: 200 }, 100_000 + index);
     });
-    return { progressUs, requestUs, streamBytes: made.bytes / streams };
+    return { progressUs, requestUs, streamBytes: measured.bytes / streams };
 }
 
 function encodeAndDecode(message: FrameMessage): void {
@@ -129,28 +132,29 @@
 }
 
 function createPlanDetector(): Detector {
-    const info = (at: number): MemberNews => ({
-        name: `hall-1-${String(at).padStart(2, "0")}`,
+    const memberOf = (index: number): MemberNews => ({
+        name: `hall-1-${String(index).padStart(2, "0")}`,
         hall: "hall-1",
         scope: "hall-1",
-        address: `10.0.1.${at}:7080`,
-        start: 1_000_000 + at,
+        address: `10.0.1.${index}:7080`,
+        start: 1_000_000 + index,
         incarnation: 0,
         status: Status.Alive,
         leaving: false,
         forMs: 0,
     });
     const env = { now: 0, intervalMs: PROBE_INTERVAL_MS, random: () => 0.5 };
-    const news = Array.from({ length: PLAN_HOST.hallHosts - 1 }, (_, index) => info(index + 1));
-    return receiveDetectorMessage(createDetector(info(0), []), "10.0.1.1:7080", { kind: "members", news }, env).state;
+    const news = Array.from({ length: PLAN_HOST.hallHosts - 1 }, (_, index) => memberOf(index + 1));
+    return receiveDetectorMessage(createDetector(memberOf(0), []), "10.0.1.1:7080", { kind: "members", news }, env)
+        .state;
 }
 
-/** Measures encoding and decoding a probe of the failure detector. */
+/** Measures creating, encoding and decoding a probe of the failure detector. */
 function measureDetector(): Pick<Slopes, "heartbeatUs" | "heartbeatBytes"> {
     let state = createPlanDetector();
-    const messageOf = (at: number): FrameMessage => {
+    const messageOf = (round: number): FrameMessage => {
         const step = tickDetector(state, {
-            now: at * PROBE_INTERVAL_MS,
+            now: round * PROBE_INTERVAL_MS,
             intervalMs: PROBE_INTERVAL_MS,
             random: () => 0.5,
         });
@@ -161,7 +165,7 @@
         return message;
     };
     const heartbeatBytes = encodeFrame(messageOf(1)).length;
-    const heartbeatUs = timeUs(3_000, at => encodeAndDecode(messageOf(at + 2)));
+    const heartbeatUs = timeUs(3_000, index => encodeAndDecode(messageOf(index + 2)));
     return { heartbeatBytes, heartbeatUs };
 }
 
@@ -171,14 +175,15 @@
 > {
     const host = createPlanHost();
     const hosts = Array.from({ length: PLAN_HOST.hallHosts }, (_, index) => `hall-1-${String(index).padStart(2, "0")}`);
-    const holdings = (): EndpointLoad[] =>
+    const currentLoads = (): EndpointLoad[] =>
         [...host.state.endpoints.values()].map(view =>
             encodeLoad(view.cfg.id, { streams: view.streams.size, unread: 0, stalled: 0, curve: view.curve })
         );
-    const some = holdings().filter(held => held.streams > 0).slice(0, 10);
-    const empty = encodeFrame({ kind: "held", held: [] } as FrameMessage).length;
-    const heldEntryBytes = (encodeFrame({ kind: "held", held: some } as FrameMessage).length - empty) / some.length;
-    const one = some[0]!;
+    const sampleLoads = currentLoads().filter(held => held.streams > 0).slice(0, 10);
+    const emptyBytes = encodeFrame({ kind: "held", held: [] } as FrameMessage).length;
+    const heldEntryBytes = (encodeFrame({ kind: "held", held: sampleLoads } as FrameMessage).length - emptyBytes)
+        / sampleLoads.length;
+    const sampleLoad = sampleLoads[0]!;
     const demand = {
         model: "m",
         promptTokens: 1_200,
@@ -191,16 +196,16 @@
         weightPrefix: 1,
     };
     const job = "1b8f9c1e-9d0a-4ad0-a7bc-f3a9d6a0a6c2";
-    let share = createLoadExchange(hosts[0]!);
+    let exchange = createLoadExchange(hosts[0]!);
     const owned = host.state.endpoints.values().map(view => view.cfg.id).filter(id =>
         endpointOwner(id, host.state.endpoints.values().length, hosts) === hosts[0]
     );
-    const others = owned.map(endpoint => ({ ...one, endpoint }));
+    const others = owned.map(endpoint => ({ ...sampleLoad, endpoint }));
     // A host's round: it encodes its own messages, and decodes and handles the messages of every other host.
-    const tellRoundUs = timeUs(60, at => {
-        const now = at * ownerReportIntervalMs(PLAN_HOST.hallHosts);
-        const round = runLoadRound(share, host.state.endpoints, hosts, now);
-        share = round.state;
+    const tellRoundUs = timeUs(60, index => {
+        const now = index * ownerReportIntervalMs(PLAN_HOST.hallHosts);
+        const round = runLoadRound(exchange, host.state.endpoints, hosts, now);
+        exchange = round.state;
         for (const { message } of round.send) encodeFrame(message);
         for (const event of round.events) host.handle(event, 500_000 + now);
         for (const from of hosts.slice(1)) {
@@ -213,21 +218,21 @@
                 }] as const
             ) {
                 encodeAndDecode(message);
-                const heard = receiveLoadMessage(share, from, message, host.state, now);
-                share = heard.state;
-                for (const event of heard.events) host.handle(event, 500_000 + now);
+                const step = receiveLoadMessage(exchange, from, message, host.state, now);
+                exchange = step.state;
+                for (const event of step.events) host.handle(event, 500_000 + now);
             }
         }
     });
     return {
         tellRoundUs,
         heldEntryBytes,
-        messageBytes: empty,
+        messageBytes: emptyBytes,
         questionBytes: encodeFrame(
             {
                 kind: "question",
                 job,
-                stream: one,
+                stream: sampleLoad,
                 demand,
                 z: 1.2816,
                 hall: "hall-1",
@@ -235,7 +240,7 @@
                 backUp: false,
             } as FrameMessage,
         ).length,
-        answerBytes: encodeFrame({ kind: "answer", job, endpoint: one.endpoint } as FrameMessage).length,
+        answerBytes: encodeFrame({ kind: "answer", job, endpoint: sampleLoad.endpoint } as FrameMessage).length,
     };
 }
 
--- a/packages/standins/src/bench-path.ts
+++ b/packages/standins/src/bench-path.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run bench:path`: measures the overhead of a daemon against direct connections to the same stand-in engines. The daemon
- * runs in its own process, so that its processor time and memory can be measured separately; the engines and the callers
- * share this process.
+ * `npm run bench:path`: measures the overhead of a daemon against direct connections to the same stand-in engines. The
+ * daemon runs in its own process, so that its processor time and memory can be measured separately; the engines and the
+ * callers share this process.
  *
  * @module
  */
@@ -14,7 +14,9 @@
 import { type CallerResult, callOnce } from "./caller.js";
 import { startEngineFarm } from "./engine-farm.js";
 
-/** Time over which the streams start: 35 a second at 350 streams, above the 21 a second of a host of the planned size. */
+/**
+ * Time over which the streams start: 35 a second at 350 streams, above the 21 a second of a host of the planned size.
+ */
 const RAMP_UP_MS = 10_000;
 
 interface Options {
@@ -41,7 +43,7 @@
 }
 
 async function runStreams(urls: readonly string[], key: string, options: Options): Promise<PathResult> {
-    const side: PathResult = { gaps: new TimeHistogram(), firstToken: new TimeHistogram(), tokens: 0, failures: 0 };
+    const total: PathResult = { gaps: new TimeHistogram(), firstToken: new TimeHistogram(), tokens: 0, failures: 0 };
     const dispatcher = new Agent({ connections: options.streams * 2 });
     const output = Math.round(options.seconds * options.rate / options.streams);
     const results: CallerResult[] = await Promise.all(Array.from({ length: options.streams }, async (_, index) => {
@@ -51,13 +53,13 @@
         return callOnce({ url, key, model: "summary-8b", tag: `s${index}`, promptTokens: 200, output, dispatcher });
     }));
     for (const result of results) {
-        if (result.outcome !== "whole") side.failures += 1;
-        side.tokens += result.tokens;
-        if (result.firstTokenMs !== undefined) side.firstToken.record(result.firstTokenMs);
-        for (const gap of result.gapsMs) side.gaps.record(gap);
+        if (result.outcome !== "whole") total.failures += 1;
+        total.tokens += result.tokens;
+        if (result.firstTokenMs !== undefined) total.firstToken.record(result.firstTokenMs);
+        for (const gap of result.gapsMs) total.gaps.record(gap);
     }
     await dispatcher.close();
-    return side;
+    return total;
 }
 
 function requestUsage(child: ChildProcess): Promise<Usage> {
@@ -118,8 +120,8 @@
     process.exitCode = direct.failures + through.failures === 0 ? 0 : 1;
 }
 
-function formatTokensPerS(side: PathResult, options: Options): string {
-    return (side.tokens / (options.seconds + RAMP_UP_MS / 1000)).toFixed(0);
+function formatTokensPerS(result: PathResult, options: Options): string {
+    return (result.tokens / (options.seconds + RAMP_UP_MS / 1000)).toFixed(0);
 }
 
 sade("bench:path", true)
--- a/packages/standins/src/bench-policy.ts
+++ b/packages/standins/src/bench-policy.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:policy`: compares variants of the scheduling policy on the same simulated traffic and engines, over several
- * seeds.
+ * `npm run bench:policy`: compares variants of the scheduling policy on the same simulated traffic and engines, over
+ * several seeds.
  *
  * @module
  */
--- a/packages/standins/src/bench-quarantine.ts
+++ b/packages/standins/src/bench-quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:quarantine`: simulates random days with requests that crash the endpoints that run them, with and without
- * the quarantine.
+ * `npm run bench:quarantine`: simulates random days with requests that crash the endpoints that run them, with and
+ * without the quarantine.
  *
  * @module
  */
--- a/packages/standins/src/bench-spread.ts
+++ b/packages/standins/src/bench-spread.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:spread`: runs daemons over sockets in one process and measures how long an accepted edit takes to come into
- * force at every host, how many reads of the key-value service it causes, and what idle hosts cost.
+ * `npm run bench:spread`: runs daemons over sockets in one process and measures how long an accepted edit takes to come
+ * into force at every host, how many reads of the key-value service it causes, and what idle hosts cost.
  *
  * @module
  */
@@ -30,8 +30,8 @@
     readonly memoryMb: number;
 }
 
-async function submitEdit(cluster: Stage, at: number, value: number): Promise<number> {
-    const { daemon } = cluster.hosts[at % cluster.hosts.length]!;
+async function submitEdit(cluster: Stage, index: number, value: number): Promise<number> {
+    const { daemon } = cluster.hosts[index % cluster.hosts.length]!;
     const before = daemon.host.feed.directory?.tree["root"]?.["queue-limit"];
     const change = {
         path: "root",
@@ -49,8 +49,11 @@
     return answer.version;
 }
 
-/** Records, for each host, the time from the operator's answer that an edit is accepted until the edit is in force there. */
-async function measureEdit(cluster: Stage, at: number, delays: TimeHistogram): Promise<void> {
+/**
+ * Records, for each host, the time from the operator's answer that an edit is accepted until the edit is in force
+ * there.
+ */
+async function measureEdit(cluster: Stage, index: number, delays: TimeHistogram): Promise<void> {
     const inForceAt = new Map<string, number>();
     let listening = true;
     for (const host of cluster.hosts) {
@@ -58,7 +61,7 @@
             if (listening) inForceAt.set(`${host.name}/${directory.version}`, performance.now());
         });
     }
-    const version = await submitEdit(cluster, at, 100 + at);
+    const version = await submitEdit(cluster, index, 100 + index);
     const acceptedAt = performance.now();
     await waitUntil(() => cluster.hosts.every(host => (host.daemon.host.feed.directory?.version ?? 0) >= version));
     listening = false;
@@ -93,7 +96,7 @@
     const cpu = process.cpuUsage(idle.cpu);
     const seconds = (performance.now() - idle.at) / 1000;
     const hosts = cluster.hosts.length;
-    const point = {
+    const result = {
         hosts,
         readyMs,
         delays,
@@ -104,7 +107,7 @@
         memoryMb: process.memoryUsage.rss() / 1e6 / hosts,
     };
     await cluster.stop();
-    return point;
+    return result;
 }
 
 async function run(options: Options): Promise<void> {
@@ -124,17 +127,17 @@
         style: { head: [], border: [], compact: true },
     });
     for (const hosts of options.hosts.split(",").map(Number)) {
-        const point = await measure(Math.ceil(hosts / HALLS.length), options);
-        const quantiles = [0.5, 0.99, 1].map(share => point.delays.quantile(share).toFixed(1));
+        const result = await measure(Math.ceil(hosts / HALLS.length), options);
+        const quantiles = [0.5, 0.99, 1].map(share => result.delays.quantile(share).toFixed(1));
         table.push([
-            point.hosts,
-            point.readyMs.toFixed(0),
+            result.hosts,
+            result.readyMs.toFixed(0),
             ...quantiles,
-            point.readsPerEdit.toFixed(1),
-            point.idleReadsPerMinute.toFixed(0),
-            (100 * point.idleCores).toFixed(2),
-            point.peerBytesPerS.toFixed(0),
-            point.memoryMb.toFixed(1),
+            result.readsPerEdit.toFixed(1),
+            result.idleReadsPerMinute.toFixed(0),
+            (100 * result.idleCores).toFixed(2),
+            result.peerBytesPerS.toFixed(0),
+            result.memoryMb.toFixed(1),
         ]);
     }
     process.stdout.write(`${table.toString()}\n`);
--- a/packages/standins/src/caller.ts
+++ b/packages/standins/src/caller.ts
@@ -1,13 +1,15 @@
 /**
- * A stand-in caller: requests one generation, checks that the answer is complete and comes from a single generation, and
- * measures its timing.
+ * A stand-in caller: requests one generation, checks that the answer is complete and comes from a single generation,
+ * and measures its timing.
  *
  * @module
  */
 import { createParser } from "eventsource-parser";
 import { type Dispatcher, request } from "undici";
 
-/** A request to send. The caller checks the answer of a stand-in engine by `tag` and by `output`, its length in tokens. */
+/**
+ * A request to send. The caller checks the answer of a stand-in engine by `tag` and by `output`, its length in tokens.
+ */
 export interface CallerRequest {
     readonly url: string;
     readonly key: string;
@@ -23,8 +25,8 @@
 /** Outcome and timing of a call. */
 export interface CallerResult {
     /**
-     * `whole`: every token arrived once, in order, from one generation of this request. `refused`: the error says that the
-     * request did not run. `wrong`: the answer has status 200 and no error, but is not whole.
+     * `whole`: every token arrived once, in order, from one generation of this request. `refused`: the error says that
+     * the request did not run. `wrong`: the answer has status 200 and no error, but is not whole.
      */
     readonly outcome: "whole" | "refused" | "failed" | "wrong";
     readonly status: number;
--- a/packages/standins/src/capacity.ts
+++ b/packages/standins/src/capacity.ts
@@ -1,6 +1,7 @@
 /**
- * Computes the cost of the control plane at the planned size from measured unit costs ("slopes"): state, messages, bytes,
- * processor time and memory of each role. The formulas are pure, so that a test can check the documented tables against them.
+ * Computes the cost of the control plane at the planned size from measured unit costs ("slopes"): state, messages,
+ * bytes, processor time and memory of each role. The formulas are pure, so that a test can check the documented tables
+ * against them.
  *
  * @module
  */
@@ -23,7 +24,10 @@
     kv: { writesPerS: 100, readsPerS: 2_000 },
 } as const;
 
-/** Share of requests for which a host asks an endpoint's owner first, because the endpoint is crowded. The worst case is 1. */
+/**
+ * Share of requests for which a host asks an endpoint's owner first, because the endpoint is crowded. The worst case is
+ * 1.
+ */
 const ASKING_SHARE = 0.5;
 /** Size of an endpoint's answer to a load request, with its head. */
 const LOAD_ANSWER_BYTES = 300;
@@ -42,7 +46,7 @@
     readonly requestUs: number;
     /** Processor time of one round of the load exchange at a host of the planned size, in microseconds. */
     readonly tellRoundUs: number;
-    /** Processor time of encoding and decoding one probe of the failure detector, in microseconds. */
+    /** Processor time of creating, encoding and decoding one probe of the failure detector, in microseconds. */
     readonly heartbeatUs: number;
     readonly heartbeatBytes: number;
     /** Bytes of one endpoint's entry in `held` and `others`. */
@@ -106,8 +110,8 @@
 export const PROBE_MESSAGES_PER_ROUND = 2.55;
 
 /**
- * Computes the cost of each role. `reportIntervalMs` and `probeIntervalMs` are the intervals that a hall of the planned size
- * uses; `messagesPerRound` is the number of messages in a probe round.
+ * Computes the cost of each role. `reportIntervalMs` and `probeIntervalMs` are the intervals that a hall of the planned
+ * size uses; `messagesPerRound` is the number of messages in a probe round.
  */
 export function roleCosts(
     slopes: Slopes,
@@ -254,19 +258,19 @@
     probeIntervalMs: number,
     messagesPerRound: number,
 ): string {
-    const uses = roleCosts(slopes, reportIntervalMs, probeIntervalMs, messagesPerRound);
-    const total = uses.reduce((sum, use) => ({
-        messagesPerS: sum.messagesPerS + use.messagesPerS,
-        bytesPerS: sum.bytesPerS + use.bytesPerS,
-        cores: sum.cores + use.cores,
-        memoryMb: sum.memoryMb + use.memoryMb,
+    const costs = roleCosts(slopes, reportIntervalMs, probeIntervalMs, messagesPerRound);
+    const total = costs.reduce((sum, cost) => ({
+        messagesPerS: sum.messagesPerS + cost.messagesPerS,
+        bytesPerS: sum.bytesPerS + cost.bytesPerS,
+        cores: sum.cores + cost.cores,
+        memoryMb: sum.memoryMb + cost.memoryMb,
     }), { messagesPerS: 0, bytesPerS: 0, cores: 0, memoryMb: 0 });
     const { budget } = PLAN;
-    const numbersOf = (use: typeof total): string[] => [
-        use.messagesPerS.toFixed(1),
-        use.bytesPerS.toFixed(0),
-        (100 * use.cores).toFixed(2),
-        use.memoryMb.toFixed(1),
+    const numbersOf = (cost: typeof total): string[] => [
+        cost.messagesPerS.toFixed(1),
+        cost.bytesPerS.toFixed(0),
+        (100 * cost.cores).toFixed(2),
+        cost.memoryMb.toFixed(1),
     ];
     const margin = [
         "",
@@ -277,15 +281,15 @@
     const lines = [
         row(["role", "mechanism", "state at a host", "messages/s", "bytes/s", "% of a core", "MB"]),
         "|---|---|---|---|---|---|---|",
-        ...uses.map(use => row([use.role, use.mechanism, use.state, ...numbersOf(use)])),
+        ...costs.map(cost => row([cost.role, cost.mechanism, cost.state, ...numbersOf(cost)])),
         row(["**all control**", "", "", ...numbersOf(total)]),
         row(["budget", "", "", "", String(budget.bytesPerS), (100 * budget.cores).toFixed(1), String(budget.memoryMb)]),
         row(["budget is", "", "", ...margin]),
         "",
         row(["key-value service", "reads/s (of 2,000)", "writes/s (of 100)", "waiting watches"]),
         "|---|---|---|---|",
-        ...kvLoads().map(use =>
-            row([use.situation, use.readsPerS.toFixed(1), use.writesPerS.toFixed(3), String(use.openWatches)])
+        ...kvLoads().map(cost =>
+            row([cost.situation, cost.readsPerS.toFixed(1), cost.writesPerS.toFixed(3), String(cost.openWatches)])
         ),
     ];
     return lines.join("\n");
--- a/packages/standins/src/demo.ts
+++ b/packages/standins/src/demo.ts
@@ -36,20 +36,25 @@
     return { gaps: new TimeHistogram(), firstToken: new TimeHistogram(), stallMs: 0, answers: 0, failures: [] };
 }
 
-function recordAnswer(measures: DeploymentResult, result: CallerResult): void {
-    measures.answers += 1;
-    if (result.outcome !== "whole") measures.failures.push(result);
-    if (result.firstTokenMs !== undefined) measures.firstToken.record(result.firstTokenMs);
+function recordAnswer(totals: DeploymentResult, result: CallerResult): void {
+    totals.answers += 1;
+    if (result.outcome !== "whole") totals.failures.push(result);
+    if (result.firstTokenMs !== undefined) totals.firstToken.record(result.firstTokenMs);
     for (const gap of result.gapsMs) {
-        measures.gaps.record(gap);
-        measures.stallMs += Math.max(0, gap - GAP_TARGET_MS);
+        totals.gaps.record(gap);
+        totals.stallMs += Math.max(0, gap - GAP_TARGET_MS);
     }
 }
 
-async function sendAtArrival(cluster: Stage, arrival: Arrival, at: number, dispatcher: Agent): Promise<CallerResult> {
+async function sendAtArrival(
+    cluster: Stage,
+    arrival: Arrival,
+    index: number,
+    dispatcher: Agent,
+): Promise<CallerResult> {
     await new Promise(resolve => setTimeout(resolve, arrival.at));
     return callOnce({
-        url: cluster.hosts[at % cluster.hosts.length]!.daemon.callersUrl,
+        url: cluster.hosts[index % cluster.hosts.length]!.daemon.callersUrl,
         key: cluster.keyOf(arrival.requestClass.workspace),
         model: arrival.requestClass.model,
         tag: arrival.id,
@@ -66,13 +71,13 @@
     dispatcher: Agent,
     onAnswer: () => void,
 ): Promise<DeploymentResult> {
-    const measures = createDeploymentResult();
+    const totals = createDeploymentResult();
     const arrivals = generateTraffic(deployment, TRAFFIC_MS, 1, SEED);
     await Promise.all(arrivals.map(async (arrival, index) => {
-        recordAnswer(measures, await sendAtArrival(cluster, arrival, index, dispatcher));
+        recordAnswer(totals, await sendAtArrival(cluster, arrival, index, dispatcher));
         onAnswer();
     }));
-    return measures;
+    return totals;
 }
 
 function countPreemptions(cluster: Stage): number {
--- a/packages/standins/src/engine-farm.ts
+++ b/packages/standins/src/engine-farm.ts
@@ -28,8 +28,8 @@
 const MEMORY_TOKENS = 100_000_000;
 
 /**
- * Starts engines whose streams together produce `rate` tokens a second. Several engines are used because their iterations
- * are not synchronised: with a single engine the tokens of all streams would arrive at the same instant.
+ * Starts engines whose streams together produce `rate` tokens a second. Several engines are used because their
+ * iterations are not synchronised: with a single engine the tokens of all streams would arrive at the same instant.
  *
  * @example
  * ```ts
--- a/packages/standins/src/engine-model.ts
+++ b/packages/standins/src/engine-model.ts
@@ -2,8 +2,8 @@
  * A simplified model of an inference engine: continuous batching, memory that fills as generations grow, preemption by
  * priority, iteration times that depend on batch size, memory and prefill, and a bounded cache of prompt prefixes.
  *
- * Each call of {@link EngineModel.step} is one iteration. The model has no clock: a simulation advances its virtual clock by
- * the iteration's duration, the HTTP stand-in waits that long.
+ * Each call of {@link EngineModel.step} is one iteration. The model has no clock: a simulation advances its virtual
+ * clock by the iteration's duration, the HTTP stand-in waits that long.
  *
  * @module
  */
@@ -126,7 +126,7 @@
             if (sequence.prefillLeft > 0) continue;
             emitted.push(this.produce(sequence));
         }
-        const { baseMs, perStreamMs, perPrefillTokenMs, perHeldTokenMs: perHeldTokenMs } = this.cfg;
+        const { baseMs, perStreamMs, perPrefillTokenMs, perHeldTokenMs } = this.cfg;
         const durationMs = baseMs + perStreamMs * streams + perPrefillTokenMs * prefilled
             + perHeldTokenMs * this.usedTokens;
         return { durationMs, emitted, preempted };
@@ -141,7 +141,7 @@
         return { id: sequence.job.id, index, last };
     }
 
-    /** Moves waiting sequences into the batch, in order, up to the first that does not fit into memory. */
+    /** Moves waiting sequences into the batch, in order, up to the first that does not fit; an empty batch takes any. */
     private startWaiting(): void {
         while (this.waiting.length > 0 && this.running.length < this.cfg.maxBatch) {
             const sequence = this.waiting[0]!;
@@ -158,8 +158,8 @@
     }
 
     /**
-     * Preempts sequences until each remaining one can grow by a token. Picks the lowest priority first, then the sequence
-     * preempted least often, then the latest arrival.
+     * Preempts sequences until each remaining one can grow by a token. Picks the lowest priority first, then the
+     * sequence preempted least often, then the latest arrival.
      */
     private preemptUntilFits(): string[] {
         const preempted: string[] = [];
@@ -190,7 +190,10 @@
         this.usedTokens -= sequence!.job.promptTokens + sequence!.produced;
     }
 
-    /** Returns how many of the job's prompt tokens are cached, and caches its prefix; evicts the least recently used ones. */
+    /**
+     * Returns how many of the job's prompt tokens are cached, and caches its prefix; evicts the least recently used
+     * ones.
+     */
     private lookUpPrefix(job: EngineJob): number {
         if (job.prefix === "") return 0;
         const hit = this.prefixCache.get(job.prefix) ?? 0;
--- a/packages/standins/src/engine-server.ts
+++ b/packages/standins/src/engine-server.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in engine over HTTP, built on {@link EngineModel}. It serves OpenAI-style completions with generation ids and token
- * indices, can resume and cancel generations, reports its load with a lag, and injects faults on demand.
+ * A stand-in engine over HTTP, built on {@link EngineModel}. It serves OpenAI-style completions with generation ids and
+ * token indices, can resume and cancel generations, reports its load with a lag, and injects faults on demand.
  *
  * @module
  */
@@ -67,7 +67,7 @@
     readonly id: string;
     readonly tag: string;
     readonly model: string;
-    readonly chat: boolean;
+    readonly isChat: boolean;
     readonly total: number;
     produced: number;
     response: ServerResponse | undefined;
@@ -130,7 +130,10 @@
         await this.app.close();
     }
 
-    /** Drops all generations and connections, as a crashed process does, and listens on the same port again after a delay. */
+    /**
+     * Drops all generations and connections, as a crashed process does, and listens on the same port again after a
+     * delay.
+     */
     private async crashAndRestart(): Promise<void> {
         this.crashCount += 1;
         const { port } = this.app.server.address() as AddressInfo;
@@ -164,7 +167,7 @@
         body: RequestBody,
         headers: NodeJS.Dict<string | string[]>,
         reply: FastifyReply,
-        chat: boolean,
+        isChat: boolean,
     ): void {
         const fault = this.faults.shift();
         reply.hijack();
@@ -176,15 +179,15 @@
             sendRefusal(response, this.leaving ? "leaving" : "no such model", undefined);
             return;
         }
-        const request = String(headers["x-request-id"] ?? "");
-        const generation = this.createGeneration(body, chat, String(headers["x-attempt-id"] ?? ""), fault, response);
-        this.runsByRequest.set(request, (this.runsByRequest.get(request) ?? 0) + 1);
+        const requestId = String(headers["x-request-id"] ?? "");
+        const generation = this.createGeneration(body, isChat, String(headers["x-attempt-id"] ?? ""), fault, response);
+        this.runsByRequest.set(requestId, (this.runsByRequest.get(requestId) ?? 0) + 1);
         this.attach(generation, response);
     }
 
     private createGeneration(
         body: RequestBody,
-        chat: boolean,
+        isChat: boolean,
         attempt: string,
         fault: EngineFault | undefined,
         response: ServerResponse,
@@ -197,7 +200,17 @@
         );
         const id = `${this.cfg.name}-g${++this.generationCount}`;
         const tag = body.x_tag ?? "tok";
-        const generation = { id, tag, model: body.model!, chat, total: output, produced: 0, response, attempt, fault };
+        const generation = {
+            id,
+            tag,
+            model: body.model!,
+            isChat,
+            total: output,
+            produced: 0,
+            response,
+            attempt,
+            fault,
+        };
         this.generations.set(id, generation);
         if (attempt !== "") this.generationsByAttempt.set(attempt, id);
         this.dropOldGenerations();
@@ -288,7 +301,7 @@
     private finish(generation: Generation): void {
         const total = generation.fault?.kind === "shortTotal" ? generation.total - 1 : generation.total;
         const head = { id: generation.id, object: objectType(generation), created: 0, model: generation.model };
-        const last = generation.chat
+        const last = generation.isChat
             ? { index: 0, delta: {}, finish_reason: "stop" }
             : { index: 0, text: "", finish_reason: "stop" };
         const data = { ...head, choices: [last], generation: generation.id, total, attempt: generation.attempt };
@@ -297,12 +310,12 @@
 }
 
 function objectType(generation: Generation): string {
-    return generation.chat ? "chat.completion.chunk" : "text_completion";
+    return generation.isChat ? "chat.completion.chunk" : "text_completion";
 }
 
 function tokenEvent(generation: Generation, index: number, id = generation.id): string {
     const text = `${generation.tag}.${generation.id}.${index} `;
-    const content = generation.chat ? `"delta":{"content":"${text}"}` : `"text":"${text}"`;
+    const content = generation.isChat ? `"delta":{"content":"${text}"}` : `"text":"${text}"`;
     return `data: {"id":"${generation.id}","object":"${
         objectType(generation)
     }","created":0,"model":"${generation.model}",`
@@ -310,13 +323,15 @@
         + `"attempt":"${generation.attempt}"}\n\n`;
 }
 
-function sendRefusal(response: ServerResponse, why: string, retryAfterS: number | undefined, status = 503): void {
+function sendRefusal(response: ServerResponse, message: string, retryAfterS: number | undefined, status = 503): void {
     const retry = retryAfterS === undefined ? {} : { "retry-after": String(retryAfterS) };
     response.writeHead(status, { "content-type": "application/json", "x-ran": "no", ...retry });
-    response.end(JSON.stringify({ error: { message: why, type: "unavailable", code: "refused" } }));
+    response.end(JSON.stringify({ error: { message, type: "unavailable", code: "refused" } }));
 }
 
-/** Injects a fault that replaces the answer; false if the fault is of another kind and the request is to be answered. */
+/**
+ * Injects a fault that replaces the answer; false if the fault is of another kind and the request is to be answered.
+ */
 function replaceAnswer(fault: EngineFault, response: ServerResponse): boolean {
     const handlers: Partial<Record<EngineFault["kind"], () => void>> = {
         refuse: () => sendRefusal(response, "no room", fault.kind === "refuse" ? fault.retryAfterS : undefined),
--- a/packages/standins/src/experiment.ts
+++ b/packages/standins/src/experiment.ts
@@ -1,6 +1,7 @@
 /**
- * Simulates the scheduling policy on a virtual clock. The hosts of one hall, each with its own scheduler, share model engines.
- * Messages between hosts are passed directly, with a delay and random loss; there are no sockets and no daemons.
+ * Simulates the scheduling policy on a virtual clock. The hosts of one hall, each with its own scheduler, share model
+ * engines. Messages between hosts are passed directly, with a delay and random loss; there are no sockets and no
+ * daemons.
  *
  * @module
  */
@@ -74,7 +75,9 @@
     readonly firstToken: TimeHistogram;
     /** Like `firstToken`, for requests of priority `live` only. */
     readonly liveFirstToken: TimeHistogram;
-    /** Share of whole answers no longer than the 90 % quantile estimated at dispatch: the calibration of the estimates. */
+    /**
+     * Share of whole answers no longer than the 90 % quantile estimated at dispatch: the calibration of the estimates.
+     */
     readonly within90: number;
     readonly decisions: number;
     /** Bytes that each host sent to other hosts, per second. */
@@ -162,10 +165,10 @@
 
     constructor(private readonly cfg: ExperimentCfg) {
         this.random = xoroshiro128plus(cfg.seed);
-        const [least, most] = cfg.loadReportLagMs;
+        const [minLagMs, maxLagMs] = cfg.loadReportLagMs;
         this.engines = Array.from({ length: cfg.engines }, () => ({
             model: new EngineModel(cfg.engine ?? ENGINE),
-            loadReportLagMs: least + (most - least) * uniformFloat64(this.random),
+            loadReportLagMs: minLagMs + (maxLagMs - minLagMs) * uniformFloat64(this.random),
             isRunning: false,
             isLost: false,
         }));
@@ -231,7 +234,7 @@
             this.runExchangeRound(index, -this.reportIntervalMs * uniformFloat64(this.random));
         }
         for (const [index, arrival] of this.cfg.arrivals.entries()) {
-            this.schedule(arrival.at, now => this.arrive(arrival, index % this.cfg.hosts, now));
+            this.schedule(arrival.at, now => this.handleArrival(arrival, index % this.cfg.hosts, now));
         }
         for (const index of this.engines.keys()) {
             this.schedule(LOAD_REPORT_INTERVAL_MS * uniformFloat64(this.random), now => this.reportLoad(index, now));
@@ -282,16 +285,16 @@
         }
     }
 
-    private arrive(arrival: Arrival, host: number, now: number): void {
-        const { requestClass: stream, promptTokens, prefix, output } = arrival;
+    private handleArrival(arrival: Arrival, host: number, now: number): void {
+        const { requestClass, promptTokens, prefix, output } = arrival;
         const job: Job = {
             id: arrival.id,
-            group: { workspace: stream.workspace, service: stream.service, model: "m" },
+            group: { workspace: requestClass.workspace, service: requestClass.service, model: "m" },
             promptTokens,
-            maxTokens: stream.maxOutput + 1,
+            maxTokens: requestClass.maxOutput + 1,
             prefix,
             prefixTokens: prefix === "" ? 0 : Math.floor(promptTokens / 2),
-            policy: { ...this.cfg.policy, priority: stream.priority },
+            policy: { ...this.cfg.policy, priority: requestClass.priority },
             knownTokens: output,
         };
         const since = { tokens: 0, sum: 0, max: 0 };
@@ -427,7 +430,9 @@
         this.openStreams -= 1;
     }
 
-    /** Handles the loss of a stream's engine: retries the request if no token was produced, else counts it as broken. */
+    /**
+     * Handles the loss of a stream's engine: retries the request if no token was produced, else counts it as broken.
+     */
     private handleEngineLoss(stream: StreamSim, now: number): void {
         if (stream.hasEnded) return;
         const lost = `e${stream.engine}`;
@@ -452,17 +457,17 @@
         }
     }
 
-    private reportLoad(at: number, now: number): void {
-        const engine = this.engines[at]!;
+    private reportLoad(index: number, now: number): void {
+        const engine = this.engines[index]!;
         if (engine.isLost) return;
-        this.schedule(now + LOAD_REPORT_INTERVAL_MS, later => this.reportLoad(at, later));
+        this.schedule(now + LOAD_REPORT_INTERVAL_MS, later => this.reportLoad(index, later));
         const load = engine.model.load();
         for (const host of this.hosts.keys()) {
             if (uniformFloat64(this.random) < this.cfg.loadReportLoss) continue;
             const report = { ...load, at: now };
             this.schedule(
                 now + engine.loadReportLagMs,
-                later => this.handleEvent(host, { kind: "report", endpoint: `e${at}`, report }, later),
+                later => this.handleEvent(host, { kind: "report", endpoint: `e${index}`, report }, later),
             );
         }
     }
@@ -473,7 +478,8 @@
  *
  * @example
  * ```ts
- * runExperiment({ arrivals, variant: DEFAULT_VARIANT, policy, engines: 10, hosts: 1, seed: 1, loadReportLagMs: [500, 5000], loadReportLoss: 0.1 }).preemptions;
+ * const cfg = { arrivals, variant: DEFAULT_VARIANT, policy, engines: 10, hosts: 1, seed: 1 };
+ * runExperiment({ ...cfg, loadReportLagMs: [500, 5000], loadReportLoss: 0.1 }).preemptions;
  * ```
  */
 export function runExperiment(cfg: ExperimentCfg): ExperimentResult {
--- a/packages/standins/src/fault-matrix.ts
+++ b/packages/standins/src/fault-matrix.ts
@@ -24,8 +24,8 @@
 const TOKEN_COUNT = 4;
 
 /**
- * Brings a simulated request to a step. The simulation executes the dispatch on admission, so `admitted` and `connecting`
- * are the same state here.
+ * Brings a simulated request to a step. The simulation executes the dispatch on admission, so `admitted` and
+ * `connecting` are the same state here.
  */
 const ADVANCE_TO: { readonly [K in StepName]: (simulation: RequestSimulation) => void } = {
     "accepted": () => undefined,
--- a/packages/standins/src/kv-server.ts
+++ b/packages/standins/src/kv-server.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for the platform's key-value service. It serves those parts of etcd's v3 JSON API that the adapter uses (range,
- * txn, leases, watch), counts the calls, and injects outages, delays, lost replies and stale reads on demand.
+ * A stand-in for the platform's key-value service. It serves those parts of etcd's v3 JSON API that the adapter uses
+ * (range, txn, leases, watch), counts the calls, and injects outages, delays, lost replies and stale reads on demand.
  *
  * @module
  */
@@ -128,13 +128,17 @@
         this.calls.reads += 1;
         const key = decodeBase64(body.key);
         const end = decodeBase64(body.range_end);
-        const at = this.faults.readAtRevision;
-        const data = at === undefined ? this.entries : this.entriesAt(at);
-        const kvs = [...data].filter(([name]) =>
+        const revision = this.faults.readAtRevision;
+        const entries = revision === undefined ? this.entries : this.entriesAt(revision);
+        const kvs = [...entries].filter(([name]) =>
             end === "" ? name === key : name >= key && (end === "\0" || name < end)
         )
             .sort(([a], [b]) => a < b ? -1 : 1).map(([name, entry]) => encodeEntry(name, entry));
-        return { header: at === undefined ? this.header() : { revision: String(at) }, kvs, count: String(kvs.length) };
+        return {
+            header: revision === undefined ? this.header() : { revision: String(revision) },
+            kvs,
+            count: String(kvs.length),
+        };
     }
 
     private entriesAt(revision: number): Map<string, Entry> {
--- a/packages/standins/src/local-cluster.ts
+++ b/packages/standins/src/local-cluster.ts
@@ -81,18 +81,18 @@
             })
         ),
     );
-    const plain = await Promise.all(
+    const plainServices = await Promise.all(
         cfg.halls.map(async hall => ({ hall, server: await PlainServer.start(`desk-${hall}`) })),
     );
     const keys = new Map(WORKSPACES.map(name => [name as string, `dp-${randomBytes(12).toString("hex")}`]));
     const operatorToken = `op-${randomBytes(12).toString("hex")}`;
-    const tree = initialSettings(cfg, engines, plain, keys, operatorToken);
+    const tree = initialSettings(cfg, engines, plainServices, keys, operatorToken);
     await writeSettings(kv.url, tree);
     const logLines: string[] = [];
     const secret = randomBytes(PEER_SECRET_BYTES).toString("hex");
-    const addHost = async (hall: string, name: string, at?: number): Promise<ClusterHost> => {
+    const addHost = async (hall: string, name: string, hostIndex?: number): Promise<ClusterHost> => {
         const log = createLog("info", createLineStream(cfg.log ?? (line => logLines.push(line))));
-        const read = readConfig({ flags: daemonFlags(cfg, { hall, name, kv, hostList, secret, at }) });
+        const read = readConfig({ flags: daemonFlags(cfg, { hall, name, kv, hostList, secret, hostIndex }) });
         if (!read.ok) throw new Error(JSON.stringify(read.errors));
         const host = { name, hall, daemon: await startDaemon(read.cfg, log) };
         await waitUntil(() => host.daemon.host.feed.directory !== undefined);
@@ -115,14 +115,14 @@
     };
     const stop = async (): Promise<void> => {
         await Promise.all(hosts.map(host => host.daemon.kill()));
-        await Promise.all([...engines, ...plain].map(({ server }) => server.stop()));
+        await Promise.all([...engines, ...plainServices].map(({ server }) => server.stop()));
         await Promise.all([kv.stop(), hostList.stop()]);
     };
     return {
         kv,
         hostList,
         engines,
-        plainServices: plain,
+        plainServices,
         hosts,
         keyOf: workspace => keys.get(workspace) ?? "",
         operatorToken,
@@ -139,7 +139,7 @@
 function initialSettings(
     cfg: LocalClusterCfg,
     engines: Stage["engines"],
-    plain: Stage["plainServices"],
+    plainServices: Stage["plainServices"],
     keys: ReadonlyMap<string, string>,
     operatorToken: string,
 ): Tree {
@@ -166,7 +166,7 @@
             "memory-tokens": memory,
         };
     }
-    for (const [index, { hall, server }] of plain.entries()) {
+    for (const [index, { hall, server }] of plainServices.entries()) {
         tree[`endpoint/desk-${index + 1}`] = { url: server.url, service: "desk", hall };
     }
     for (const [path, node] of Object.entries(cfg.tree ?? {})) tree[path] = { ...tree[path], ...node };
@@ -191,15 +191,15 @@
     readonly kv: KvServer;
     readonly hostList: HostListServer;
     readonly secret: string;
-    readonly at: number | undefined;
+    readonly hostIndex: number | undefined;
 }
 
 function daemonFlags(
     cfg: LocalClusterCfg,
-    { hall, name, kv, hostList, secret, at }: DaemonFlagsCfg,
+    { hall, name, kv, hostList, secret, hostIndex }: DaemonFlagsCfg,
 ): Record<string, string> {
     const port = (first: number | undefined): string =>
-        first === undefined || at === undefined ? "0" : String(first + at);
+        first === undefined || hostIndex === undefined ? "0" : String(first + hostIndex);
     return {
         "host.name": name,
         "host.hall": hall,
--- a/packages/standins/src/plain-server.ts
+++ b/packages/standins/src/plain-server.ts
@@ -1,5 +1,6 @@
 /**
- * A stand-in for a plain HTTP service: counts the calls that ran, and can refuse calls, leave them unanswered or break off answers.
+ * A stand-in for a plain HTTP service: counts the calls that ran, and can refuse calls, leave them unanswered or break
+ * off answers.
  *
  * @module
  */
--- a/packages/standins/src/quarantine-model.ts
+++ b/packages/standins/src/quarantine-model.ts
@@ -1,6 +1,7 @@
 /**
- * Simulates random days, on a virtual clock, on which some requests crash the endpoints that run them. Each host decides with the
- * modules that daemons use, and learns of crashes that other hosts saw from messages that are delayed or lost.
+ * Simulates random days, on a virtual clock, on which some requests crash the endpoints that run them. Each host
+ * decides with the modules that daemons use, and learns of crashes that other hosts saw from messages that are delayed
+ * or lost.
  *
  * @module
  */
@@ -56,7 +57,10 @@
 const UTILIZATION = 0.5;
 const MEAN_STREAM_MS = 5_000;
 const MEAN_LOOKUP_MS = 200;
-/** Share of harmless requests that share a fingerprint, such as lookups without a body, and the number of such fingerprints. */
+/**
+ * Share of harmless requests that share a fingerprint, such as lookups without a body, and the number of such
+ * fingerprints.
+ */
 const LOOKUP_SHARE = 0.2;
 const LOOKUP_KINDS = 5;
 /** Share of streams of which another endpoint holds a copy, so that they continue there after a crash. */
@@ -163,11 +167,11 @@
         this.queue.push({ at: this.now + ms, run });
     }
 
-    private uniform(least: number, most: number): number {
-        return least + (most - least) * uniformFloat64(this.random);
+    private uniform(min: number, max: number): number {
+        return min + (max - min) * uniformFloat64(this.random);
     }
 
-    private drawExponential(mean: number): number {
+    private exponential(mean: number): number {
         return -Math.log(1 - uniformFloat64(this.random)) * mean;
     }
 
@@ -184,15 +188,15 @@
         this.handleRequest(
             this.pick(this.hosts),
             fingerprint,
-            this.drawExponential(isLookup ? MEAN_LOOKUP_MS : MEAN_STREAM_MS),
+            this.exponential(isLookup ? MEAN_LOOKUP_MS : MEAN_STREAM_MS),
             false,
         );
         const arrivalsPerMs = this.day.endpoints * SLOTS_PER_ENDPOINT * UTILIZATION / MEAN_STREAM_MS;
-        this.schedule(this.drawExponential(1 / arrivalsPerMs), () => this.handleHarmlessArrival());
+        this.schedule(this.exponential(1 / arrivalsPerMs), () => this.handleHarmlessArrival());
     }
 
     private scheduleFatalRequest(fingerprint: string): void {
-        this.schedule(this.drawExponential(MEAN_RESEND_MS), () => {
+        this.schedule(this.exponential(MEAN_RESEND_MS), () => {
             this.handleRequest(this.pick(this.hosts), fingerprint, Infinity, true);
             this.scheduleFatalRequest(fingerprint);
         });
@@ -238,13 +242,13 @@
     ): void {
         this.attemptCount += 1;
         const attempt = `r${this.attemptCount}`;
-        const { now: beganAt } = this;
+        const { now: startedAt } = this;
         const run: Run = {
             fingerprint,
             attempt,
             host,
-            startedAt: beganAt,
-            endsAt: beganAt + ms,
+            startedAt,
+            endsAt: startedAt + ms,
             isFatal,
             wasSuspect: suspect,
         };
@@ -258,9 +262,9 @@
 
     private crashByFatal(endpoint: Endpoint, life: string, { fingerprint }: Run): void {
         if (endpoint.life !== life || !endpoint.isUp) return;
-        const endings = (this.crashCounts.get(fingerprint) ?? 0) + 1;
-        this.crashCounts.set(fingerprint, endings);
-        if (endings === THRESHOLD) this.thresholdReachedAt.set(fingerprint, this.now);
+        const crashes = (this.crashCounts.get(fingerprint) ?? 0) + 1;
+        this.crashCounts.set(fingerprint, crashes);
+        if (crashes === THRESHOLD) this.thresholdReachedAt.set(fingerprint, this.now);
         this.counts.crashesByFatal += 1;
         this.crashEndpoint(endpoint);
     }
@@ -296,9 +300,9 @@
     }
 
     private recordCrash(host: Host, life: string, crashedAt: number, runs: readonly Run[]): void {
-        const requests = runs.map(({ fingerprint, startedAt: beganAt, wasSuspect }) => ({
+        const requests = runs.map(({ fingerprint, startedAt, wasSuspect }) => ({
             fingerprint,
-            ranMs: crashedAt - beganAt,
+            ranMs: crashedAt - startedAt,
             wasSuspect,
             cleared: false,
         }));
--- a/packages/standins/src/request-simulation.ts
+++ b/packages/standins/src/request-simulation.ts
@@ -1,7 +1,7 @@
 /**
- * Simulates one request: drives the production state machine with events from simple fake engines, and records what really
- * happened (which attempts an engine ran, which tokens the caller received). The guarantees to callers are checked
- * against this record.
+ * Simulates one request: drives the production state machine with events from simple fake engines, and records what
+ * really happened (which attempts an engine ran, which tokens the caller received). The guarantees to callers are
+ * checked against this record.
  *
  * @module
  */
@@ -54,7 +54,7 @@
     readonly delivered: DeliveredToken[] = [];
     private bufferedTokens: DeliveredToken[] = [];
     /** Attempts that an engine started to run, in order. */
-    readonly ranAttempts: string[] = [];
+    readonly runs: string[] = [];
     readonly violations: Violation[] = [];
     connection: Connection | undefined;
     /** Generations that still exist at an engine and can be resumed. */
@@ -118,7 +118,7 @@
                 return;
             }
             this.dispatchCount += 1;
-            if (!this.cfg.repeatable && this.ranAttempts.length > 0) {
+            if (!this.cfg.repeatable && this.runs.length > 0) {
                 this.violations.push("dispatched again although it may have run");
             }
             this.connection = { attempt, endpoint, generation: undefined, nextIndex: 0, isOpen: true };
@@ -147,7 +147,7 @@
         },
         fail: ({ err }) => {
             this.finalResult = { kind: "failed", err };
-            if (err.ran === "no" && this.ranAttempts.length > 0) this.violations.push("said not run, but ran");
+            if (err.ran === "no" && this.runs.length > 0) this.violations.push("said not run, but ran");
         },
     };
 
@@ -168,7 +168,7 @@
         const sent = connection && this.state.record.sent.includes(connection.attempt);
         if (!sent || connection.generation !== undefined) return;
         connection.generation = `g${++this.generationCount}`;
-        this.ranAttempts.push(connection.attempt);
+        this.runs.push(connection.attempt);
         this.liveGenerations.set(connection.generation, { attempt: connection.attempt, endpoint: connection.endpoint });
     }
 
@@ -189,7 +189,8 @@
             this.handle({ kind: "finished", attempt, generation, total: this.cfg.tokens });
         }
         else this.handle({ kind: "token", attempt, generation, index: connection.nextIndex++ });
-        // As in the engine client, a stream whose events make no progress counts as silent and runs into the idle timeout.
+        // As in the engine client, a stream whose events make no progress counts as silent and runs into the idle
+        // timeout.
         if (this.state.attempt === before && !this.finalResult) this.breakConnection("idle");
     }
 
@@ -238,9 +239,7 @@
         if (this.delivered.some((token, index) => token.index !== index)) {
             violations.push("delivered tokens out of order, twice or with gaps");
         }
-        if (!this.cfg.repeatable && this.ranAttempts.length > 1) {
-            violations.push(`ran ${this.ranAttempts.length} times`);
-        }
+        if (!this.cfg.repeatable && this.runs.length > 1) violations.push(`ran ${this.runs.length} times`);
         return violations;
     }
 
--- a/packages/standins/src/run-mutations.ts
+++ b/packages/standins/src/run-mutations.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run test:mutations`: checks that the tests detect broken guarantees. Applies each mutation to its source file and runs
- * its tests, at least one of which must fail; the file is restored afterwards in any case.
+ * `npm run test:mutations`: checks that the tests detect broken guarantees. Applies each mutation to its source file
+ * and runs its tests, at least one of which must fail; the file is restored afterwards in any case.
  *
  * @module
  */
--- a/packages/standins/src/traffic.ts
+++ b/packages/standins/src/traffic.ts
@@ -1,6 +1,6 @@
 /**
- * Generates the traffic of two example deployments from a seed: bursts of short live summaries, long reconciliations with a
- * heavy-tailed length, and long logbook summaries with shared prompt prefixes.
+ * Generates the traffic of two example deployments from a seed: bursts of short live summaries, long reconciliations
+ * with a heavy-tailed length, and long logbook summaries with shared prompt prefixes.
  *
  * @module
  */
@@ -170,7 +170,7 @@
         arrivals.push({
             at,
             id: `${requestClass.workspace}-${arrivals.length}`,
-            requestClass: requestClass,
+            requestClass,
             promptTokens: drawLength(random, requestClass.promptLength, 20_000),
             output: drawLength(random, requestClass.outputLength, requestClass.maxOutput),
             prefix,
--- a/packages/standins/src/variants.ts
+++ b/packages/standins/src/variants.ts
@@ -1,6 +1,6 @@
 /**
- * Variants of the scheduling policy that are compared with each other: simple baselines, the default, the default without one
- * of its mechanisms, and an oracle that knows the output lengths.
+ * Variants of the scheduling policy that are compared with each other: simple baselines, the default, the default
+ * without one of its mechanisms, and an oracle that knows the output lengths.
  *
  * @module
  */
--- a/packages/standins/test/bad-input.test.ts
+++ b/packages/standins/test/bad-input.test.ts
@@ -105,7 +105,7 @@
     });
 }
 
-test("a caller that stalls in the middle of its body is answered with 408 after the timeout, and nothing runs", async t => {
+test("a caller that stalls within its body is answered with 408, and nothing runs", async t => {
     const cluster = await startCluster(t);
     const head = `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${
         cluster.keyOf("members")
--- a/packages/standins/test/capacity.test.ts
+++ b/packages/standins/test/capacity.test.ts
@@ -29,14 +29,15 @@
 test("by the slopes in docs/CAPACITY.md, the control plane at the planned size stays within its budget", t => {
     const page = readFileSync(new URL("../../../docs/CAPACITY.md", import.meta.url), "utf8");
     const { hallHosts } = perHost();
-    const uses = roleCosts(
+    const costs = roleCosts(
         slopesIn(page),
         ownerReportIntervalMs(hallHosts),
         PROBE_INTERVAL_MS,
         PROBE_MESSAGES_PER_ROUND,
     );
-    const sum = (of: (use: typeof uses[number]) => number): number => uses.reduce((total, use) => total + of(use), 0);
-    t.true(sum(use => use.cores) <= PLAN.budget.cores);
-    t.true(sum(use => use.bytesPerS) <= PLAN.budget.bytesPerS);
-    t.true(sum(use => use.memoryMb) <= PLAN.budget.memoryMb);
+    const sum = (of: (cost: typeof costs[number]) => number): number =>
+        costs.reduce((total, cost) => total + of(cost), 0);
+    t.true(sum(cost => cost.cores) <= PLAN.budget.cores);
+    t.true(sum(cost => cost.bytesPerS) <= PLAN.budget.bytesPerS);
+    t.true(sum(cost => cost.memoryMb) <= PLAN.budget.memoryMb);
 });
--- a/packages/standins/test/engine-faults.test.ts
+++ b/packages/standins/test/engine-faults.test.ts
@@ -3,8 +3,8 @@
 import { type CallerResult, callOnce, type EngineFault, type Stage, startStage, waitUntil } from "../src/index.js";
 
 /**
- * Short timeouts, yet above the time to the first token on a machine that runs all tests and other work at once (1,256 ms were
- * measured), so that only injected faults run into them.
+ * Short timeouts, yet above the time to the first token on a machine that runs all tests and other work at once (1,256
+ * ms were measured), so that only injected faults run into them.
  */
 const SHORT_TIMEOUTS = { "idle-timeout": "3s", "first-token-timeout": "3s", "connect-timeout": "3s" };
 
@@ -87,7 +87,7 @@
     t.is(countRuns(cluster), 0);
 });
 
-test("a request that is not repeatable is retried elsewhere after a refusal that proves that it did not run", async t => {
+test("a request that is not repeatable is retried elsewhere after a refusal that proves it did not run", async t => {
     const cluster = await startCluster(t, { repeatable: "false" });
     cluster.engines[0]!.server.faults.push({ kind: "refuse" });
     t.is((await send(cluster)).outcome, "whole");
@@ -103,7 +103,8 @@
     const failuresAfter = async (kind: "refuse" | "serverError"): Promise<number> => {
         const { faults } = cluster.engines[0]!.server;
         faults.push({ kind });
-        // Equal endpoints are chosen in turn, but on a slow machine their loads differ for a while; so sends until engine-1 is chosen.
+        // Equal endpoints are chosen in turn, but on a slow machine their loads differ for a while; so sends until
+        // engine-1 is chosen.
         for (let sent = 0; faults.length > 0 && sent < MAX_TURNS; sent++) {
             t.is((await send(cluster)).outcome, "whole");
         }
@@ -115,7 +116,8 @@
 });
 
 test("answers of concurrent requests are never mixed up", async t => {
-    // Long timeouts: on a busy machine first tokens would run into short ones, and the retries would exhaust their budget.
+    // Long timeouts: on a busy machine first tokens would run into short ones, and the retries would exhaust their
+    // budget.
     const cluster = await startCluster(t, { "first-token-timeout": "60s", "idle-timeout": "60s" });
     const results = await Promise.all(
         Array.from({ length: 40 }, (_, index) => send(cluster, { tag: `t${index}`, output: 5 + index })),
@@ -183,7 +185,7 @@
     await stopped;
 });
 
-test("a caller that reads nothing does not fill the daemon's memory, and is disconnected after the stall timeout", async t => {
+test("a caller that reads nothing does not fill the daemon's memory, and is disconnected in time", async t => {
     const cluster = await startCluster(t, { "caller-stall-timeout": "2s" });
     const controller = new AbortController();
     const res = await request(`${cluster.hosts[0]!.daemon.callersUrl}/v1/chat/completions`, {
@@ -201,11 +203,11 @@
     t.is(res.statusCode, 200);
     await waitUntil(() => cluster.logLines.some(line => line.includes("outcome=caller_gone")));
     await waitUntil(() => cluster.engines.some(({ server }) => server.cancelledGenerations.length === 1));
-    const made = cluster.engines.reduce((sum, { server }) => sum + server.tokensGenerated, 0);
+    const generated = cluster.engines.reduce((sum, { server }) => sum + server.tokensGenerated, 0);
     const line = cluster.logLines.find(other => other.includes("outcome=caller_gone")) ?? "";
-    const passed = Number(/ tokens=(\d+)/.exec(line)?.[1]);
-    t.log(`${made} tokens made, ${passed} read from the engine`);
-    t.true(passed < made / 2, `${passed} of ${made} tokens were read for a caller that reads none`);
+    const readTokens = Number(/ tokens=(\d+)/.exec(line)?.[1]);
+    t.log(`${generated} tokens generated, ${readTokens} read from the engine`);
+    t.true(readTokens < generated / 2, `${readTokens} of ${generated} tokens were read for a caller that reads none`);
     controller.abort();
     res.body.on("error", () => undefined);
 });
--- a/packages/standins/test/fatal-requests.test.ts
+++ b/packages/standins/test/fatal-requests.test.ts
@@ -10,10 +10,10 @@
 /** Requests a generation from a host; returns the status and the error's code. */
 async function sendPrompt(
     cluster: Stage,
-    at: number,
+    hostIndex: number,
     content: string,
 ): Promise<{ readonly status: number; readonly code: string }> {
-    const { daemon } = cluster.hosts[at % cluster.hosts.length]!;
+    const { daemon } = cluster.hosts[hostIndex % cluster.hosts.length]!;
     const res = await request(`${daemon.callersUrl}/v1/chat/completions`, {
         method: "POST",
         headers: { "authorization": `Bearer ${cluster.keyOf("members")}`, "content-type": "application/json" },
@@ -34,8 +34,8 @@
         codes.push((await sendPrompt(cluster, index, FATAL_PROMPT)).code);
         await new Promise(resolve => setTimeout(resolve, PAUSE_MS));
     }
-    const endings = cluster.engines.reduce((sum, { server }) => sum + server.crashCount, 0);
-    t.is(endings, 3, codes.join(" "));
+    const crashes = cluster.engines.reduce((sum, { server }) => sum + server.crashCount, 0);
+    t.is(crashes, 3, codes.join(" "));
     t.is(codes.at(-1), "request_quarantined");
     t.is((await sendPrompt(cluster, 0, "another prompt")).status, 200);
 });
--- a/packages/standins/test/kv-contract.ts
+++ b/packages/standins/test/kv-contract.ts
@@ -69,7 +69,7 @@
     });
 
     test(`${name}: an unreachable service is distinguished from a lost reply`, async t => {
-        const { kv, nowhere: nowhere, setDown, loseReply } = await start(t);
+        const { kv, nowhere, setDown, loseReply } = await start(t);
         loseReply();
         t.like(await kv.commit({ conditions: [], puts: [{ key: "k", value: "1" }] }, signal), {
             ok: false,
--- a/packages/standins/test/memory.test.ts
+++ b/packages/standins/test/memory.test.ts
@@ -81,8 +81,8 @@
 
 test("a caller that pauses reading gets its whole stream, and its unread data stays within the budget", async t => {
     const cluster = await startCluster(t, "90");
-    let read = (): void => undefined;
-    const readAfter = new Promise<void>(resolve => read = resolve);
+    let startReading = (): void => undefined;
+    const readAfter = new Promise<void>(resolve => startReading = resolve);
     const body = JSON.stringify({
         model: MODEL,
         prompt: "hello",
@@ -99,7 +99,7 @@
     await new Promise(resolve => setTimeout(resolve, 1_000));
     const { held, budget } = memory.state;
     t.true(held <= budget!);
-    read();
+    startReading();
     const { status, broken, body: text } = await answer;
     t.like({ status, broken }, { status: 200, broken: false });
     t.true(text.endsWith("data: [DONE]\n\n"));
@@ -107,17 +107,17 @@
     await waitUntil(() => memory.held.unread === 0);
 });
 
-test("a plain service's long answer is read to its end while the caller reads nothing, and reaches the caller whole", async t => {
+test("a plain service's long answer is buffered while the caller reads nothing, and then delivered whole", async t => {
     const cluster = await startCluster(t, "200");
     const [service] = cluster.plainServices;
     service!.server.faults.push("long");
-    let read = (): void => undefined;
-    const readAfter = new Promise<void>(resolve => read = resolve);
+    let startReading = (): void => undefined;
+    const readAfter = new Promise<void>(resolve => startReading = resolve);
     const answer = post(cluster, ["body"], { length: 4, readAfter, path: "/services/desk/holds" });
     await waitUntil(() => service!.server.sentAnswers === 1);
     const { memory } = cluster.hosts[0]!.daemon.host;
     t.true(memory.held.unread > 0);
-    read();
+    startReading();
     const { status, broken, body } = await answer;
     t.like({ status, broken, length: body.length }, { status: 200, broken: false, length: LONG_ANSWER_BYTES });
     await waitUntil(() => memory.held.unread === 0);
--- a/packages/standins/test/plain-answers.test.ts
+++ b/packages/standins/test/plain-answers.test.ts
@@ -22,7 +22,9 @@
     readonly whole: boolean;
 }
 
-/** Calls the service with Node's client, since undici takes a reset for the regular end of an answer without a length. */
+/**
+ * Calls the service with Node's client, since undici takes a reset for the regular end of an answer without a length.
+ */
 function callDesk(cluster: Stage, method: "GET" | "POST", key?: string): Promise<Answer> {
     const headers = {
         authorization: `Bearer ${cluster.keyOf("members")}`,
--- a/packages/standins/test/plain.test.ts
+++ b/packages/standins/test/plain.test.ts
@@ -2,12 +2,12 @@
 import { request } from "undici";
 import { type PlainFault, type Stage, startStage } from "../src/index.js";
 
-async function startCluster(t: ExecutionContext, desks: Record<string, string> = {}): Promise<Stage> {
+async function startCluster(t: ExecutionContext, deskSettings: Record<string, string> = {}): Promise<Stage> {
     const cluster = await startStage({
         halls: ["k1"],
         hostsPerHall: 2,
         enginesPerHall: 1,
-        tree: { "service/desk": desks },
+        tree: { "service/desk": deskSettings },
     });
     t.teardown(() => cluster.stop());
     return cluster;
@@ -85,7 +85,7 @@
     const key = { "idempotency-key": "hold-7" };
     const first = await callDesk(cluster, "POST", "/holds", key);
     let again = await callDesk(cluster, "POST", "/holds", key, 1);
-    for (let tried = 0; tried < 50 && again.status === 409; tried++) {
+    for (let tries = 0; tries < 50 && again.status === 409; tries++) {
         again = await callDesk(cluster, "POST", "/holds", key, 1);
     }
     t.deepEqual([again.status, again.text, again.recorded], [first.status, first.text, true]);
@@ -115,7 +115,7 @@
     t.is(countRuns(cluster), 1);
 });
 
-test("a call with an idempotency key is refused as not run during a store outage, and runs once if the store's reply is lost", async t => {
+test("a call with a key is refused during a store outage, and runs once if the store's reply is lost", async t => {
     const cluster = await startCluster(t);
     await callDesk(cluster, "POST", "/holds", { "idempotency-key": "warm" });
     cluster.kv.setDown(true);
--- a/packages/standins/test/rolling.test.ts
+++ b/packages/standins/test/rolling.test.ts
@@ -1,7 +1,9 @@
 import test from "ava";
 import { type CallerResult, callOnce, type Stage, startStage, waitUntil } from "../src/index.js";
 
-/** Sends a request to a ready host, as the platform's load balancer does, and resends it if it was refused as not run. */
+/**
+ * Sends a request to a ready host, as the platform's load balancer does, and resends it if it was refused as not run.
+ */
 async function sendBalanced(cluster: Stage, tag: string): Promise<CallerResult> {
     for (;;) {
         const ready = cluster.hosts.filter(host => !host.daemon.host.runs.stopping);
--- a/packages/standins/test/spread.test.ts
+++ b/packages/standins/test/spread.test.ts
@@ -49,19 +49,19 @@
 
 test("of two concurrent edits of the same key one gets a conflict; edits of different keys both succeed", async t => {
     const cluster = await startCluster(t);
-    const race = await Promise.all([
+    const sameKey = await Promise.all([
         editAt(cluster, 0, "edit-000a", attemptsChange("2")),
         editAt(cluster, 1, "edit-000b", attemptsChange("4")),
     ]);
-    t.deepEqual(race.map(answer => answer.status).sort(), [200, 409]);
-    const apart = await Promise.all([
+    t.deepEqual(sameKey.map(answer => answer.status).sort(), [200, 409]);
+    const differentKeys = await Promise.all([
         editAt(cluster, 0, "edit-000c", [{ path: "root", key: "resumes", after: "2" }]),
         editAt(cluster, 1, "edit-000d", [{ path: "root", key: "queue-limit", after: "50" }]),
     ]);
-    t.deepEqual(apart.map(answer => answer.status), [200, 200]);
+    t.deepEqual(differentKeys.map(answer => answer.status), [200, 200]);
 });
 
-test("the outcome of a write whose reply is lost is looked up, and a retry of the edit is not applied again", async t => {
+test("an edit whose write loses its reply is accepted, and its retry is not applied again", async t => {
     const cluster = await startCluster(t);
     cluster.kv.faults.loseReplies = 1;
     const first = await editAt(cluster, 0, "edit-lost", attemptsChange("2"));
@@ -87,7 +87,7 @@
     t.is((await editAt(cluster, 0, "edit-back", attemptsChange("5"))).status, 200);
 });
 
-test("a host that starts during an outage of the key-value service gets the newest settings from its peers", async t => {
+test("a host that starts during an outage of the key-value service gets the settings from its peers", async t => {
     const cluster = await startCluster(t);
     await editAt(cluster, 0, "edit-0001", attemptsChange("2"));
     await waitUntil(() => settingsVersions(cluster).every(version => version === 2));
