--- a/packages/standins/src/bench-capacity.ts
+++ b/packages/standins/src/bench-capacity.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:capacity`: measures the slopes that docs/CAPACITY.md rests on, and prints them with the table that they
- * give; `--write` puts both into the page.
+ * `npm run bench:capacity`: measures the unit costs ("slopes") for docs/CAPACITY.md and prints them with the tables
+ * computed from them; `--write` also writes both into the page.
  *
  * @module
  */
@@ -36,31 +36,31 @@
 import { adopt, type InForce, snapshotOf, type Tree } from "@drumpaddle/settings";
 import { readFileSync, writeFileSync } from "node:fs";
 import { Agent } from "undici";
-import { MESSAGES_PER_ROUND, perHost, PLAN, renderCapacity, type Slopes } from "./capacity.js";
+import { perHost, PLAN, PROBE_MESSAGES_PER_ROUND, renderCapacity, type Slopes } from "./capacity.js";
 import { EngineServer } from "./engine-server.js";
 import { PROFILES } from "./variants.js";
 
-const HOST = perHost();
-const BEAT_MS = 250;
+const PLAN_HOST = perHost();
+const PROBE_INTERVAL_MS = 250;
 const US_PER_MS = 1_000;
 const BYTES_PER_MB = 1_000_000;
 const PAGE = new URL("../../../docs/CAPACITY.md", import.meta.url);
-/** What stands above this mark is written by hand. */
+/** The text above this mark is written by hand and kept. */
 const MARK = "<!-- printed by npm run bench:capacity -- --write -->";
 
-/** One collection leaves some garbage of the call before it. */
+/** A single collection leaves some garbage of the preceding call. */
 const GC_ROUNDS = 4;
 
-/** Mean processor time of a call, in microseconds; the first calls only warm up. */
-function timeUs(times: number, run: (at: number) => void): number {
-    for (let at = 0; at < times / 5; at++) run(at);
+/** Measures the mean processor time of a call, in microseconds, after some calls to warm up. */
+function timeUs(times: number, run: (index: number) => void): number {
+    for (let index = 0; index < times / 5; index++) run(index);
     const before = process.cpuUsage();
-    for (let at = 0; at < times; at++) run(at);
+    for (let index = 0; index < times; index++) run(index);
     const { user, system } = process.cpuUsage(before);
     return (user + system) / times;
 }
 
-/** Heap that a value takes, in bytes. Needs `--expose-gc`, else it is rough. */
+/** Measures the memory that a value takes, in bytes. Without `--expose-gc` the result is imprecise. */
 function heapOf<T>(make: () => T): { readonly bytes: number; readonly value: T } {
     const gc = (globalThis as { gc?: () => void }).gc ?? (() => undefined);
     const collect = (): void => {
@@ -74,10 +74,10 @@
     return { bytes: Math.max(0, after.heapUsed + after.arrayBuffers - before.heapUsed - before.arrayBuffers), value };
 }
 
-function jobOf(id: string, at: number): Job {
+function createJob(id: string, index: number): Job {
     return {
         id,
-        group: { workspace: `w${at % PLAN.workspaces}`, service: "s", model: `m${at % PLAN.models}` },
+        group: { workspace: `w${index % PLAN.workspaces}`, service: "s", model: `m${index % PLAN.models}` },
         promptTokens: 500,
         maxTokens: 4_000,
         prefix: "",
@@ -86,95 +86,104 @@
     };
 }
 
-/** A host of the plan's size with its streams running. */
-function planHost(): { state: SchedulerState; tell: (event: SchedulerEvent, now: number) => void } {
-    const models = Array.from({ length: PLAN.models }, (_, at) => `m${at}`);
+/** Creates the scheduler of a host of the planned size, with its streams running. */
+function createPlanHost(): { state: SchedulerState; handle: (event: SchedulerEvent, now: number) => void } {
+    const models = Array.from({ length: PLAN.models }, (_, index) => `m${index}`);
     const endpoints = Array.from(
-        { length: HOST.hallWorkers },
-        (_, at) => ({ id: `engine-${at}`, hall: "h", models, memoryTokens: 800_000 }),
+        { length: PLAN_HOST.hallWorkers },
+        (_, index) => ({ id: `engine-${index}`, hall: "h", models, memoryTokens: 800_000 }),
     );
     const host = {
         state: decide(createScheduler(), { kind: "endpoints", endpoints }, -100_000).state,
-        tell(event: SchedulerEvent, now: number): void {
+        handle(event: SchedulerEvent, now: number): void {
             host.state = decide(host.state, event, now).state;
         },
     };
-    for (let at = 0; at < HOST.streams; at++) {
-        host.tell({ kind: "arrive", job: jobOf(`r${at}`, at), avoid: [], retry: false }, at);
+    for (let index = 0; index < PLAN_HOST.streams; index++) {
+        host.handle({ kind: "arrive", job: createJob(`r${index}`, index), avoid: [], retry: false }, index);
     }
     return host;
 }
 
-function decisionSlopes(): Pick<Slopes, "progressUs" | "requestUs" | "streamBytes"> {
-    const made = heapOf(planHost);
-    const host = made.value;
-    const streams = Math.floor(HOST.streams);
+function measureScheduler(): Pick<Slopes, "progressUs" | "requestUs" | "streamBytes"> {
+    const measured = heapOf(createPlanHost);
+    const host = measured.value;
+    const streams = Math.floor(PLAN_HOST.streams);
     const produced = new Map<number, number>();
-    const progressUs = timeUs(20_000, at => {
-        const stream = at % streams;
+    const progressUs = timeUs(20_000, index => {
+        const stream = index % streams;
         const next = ((produced.get(stream) ?? 0) + PROGRESS_EVERY) % 3_500;
         produced.set(stream, next);
-        host.tell({ kind: "progress", job: `r${stream}`, produced: next, meanGapMs: 25, maxGapMs: 30 }, 1_000 + at);
+        host.handle(
+            { kind: "progress", job: `r${stream}`, produced: next, meanGapMs: 25, maxGapMs: 30 },
+            1_000 + index,
+        );
     });
-    const requestUs = timeUs(2_000, at => {
-        const id = `n${at}`;
-        host.tell({ kind: "arrive", job: jobOf(id, at), avoid: [], retry: false }, 100_000 + at);
-        host.tell({ kind: "ended", job: id, outcome: "whole", produced: 200 }, 100_000 + at);
+    const requestUs = timeUs(2_000, index => {
+        const id = `n${index}`;
+        host.handle({ kind: "arrive", job: createJob(id, index), avoid: [], retry: false }, 100_000 + index);
+        host.handle({ kind: "ended", job: id, outcome: "whole", produced: 200 }, 100_000 + index);
     });
-    return { progressUs, requestUs, streamBytes: made.bytes / streams };
+    return { progressUs, requestUs, streamBytes: measured.bytes / streams };
 }
 
-function exchange(message: FrameMessage): void {
+function encodeAndDecode(message: FrameMessage): void {
     new FrameReader().push(encodeFrame(message));
 }
 
-function planDetector(): Detector {
-    const info = (at: number): MemberNews => ({
-        name: `hall-1-${String(at).padStart(2, "0")}`,
+function createPlanDetector(): Detector {
+    const memberOf = (index: number): MemberNews => ({
+        name: `hall-1-${String(index).padStart(2, "0")}`,
         hall: "hall-1",
         scope: "hall-1",
-        address: `10.0.1.${at}:7080`,
-        start: 1_000_000 + at,
+        address: `10.0.1.${index}:7080`,
+        start: 1_000_000 + index,
         incarnation: 0,
         status: Status.Alive,
         leaving: false,
         forMs: 0,
     });
-    const env = { now: 0, intervalMs: BEAT_MS, random: () => 0.5 };
-    const news = Array.from({ length: HOST.hallHosts - 1 }, (_, at) => info(at + 1));
-    return receiveDetectorMessage(createDetector(info(0), []), "10.0.1.1:7080", { kind: "members", news }, env).state;
+    const env = { now: 0, intervalMs: PROBE_INTERVAL_MS, random: () => 0.5 };
+    const news = Array.from({ length: PLAN_HOST.hallHosts - 1 }, (_, index) => memberOf(index + 1));
+    return receiveDetectorMessage(createDetector(memberOf(0), []), "10.0.1.1:7080", { kind: "members", news }, env)
+        .state;
 }
 
-/** One message of the detector: made, sent, read, taken in. */
-function peerSlopes(): Pick<Slopes, "heartbeatUs" | "heartbeatBytes"> {
-    let state = planDetector();
-    const messageOf = (at: number): FrameMessage => {
-        const step = tickDetector(state, { now: at * BEAT_MS, intervalMs: BEAT_MS, random: () => 0.5 });
-        // Those probed have answered.
+/** Measures creating, encoding and decoding a probe of the failure detector. */
+function measureDetector(): Pick<Slopes, "heartbeatUs" | "heartbeatBytes"> {
+    let state = createPlanDetector();
+    const messageOf = (round: number): FrameMessage => {
+        const step = tickDetector(state, {
+            now: round * PROBE_INTERVAL_MS,
+            intervalMs: PROBE_INTERVAL_MS,
+            random: () => 0.5,
+        });
+        // Treats all probed hosts as having answered.
         state = { ...step.state, unanswered: new Map() };
         const [first] = step.send;
         const message = { ...first!.message, store: [1, 520, 520, 100] };
         return message;
     };
     const heartbeatBytes = encodeFrame(messageOf(1)).length;
-    const heartbeatUs = timeUs(3_000, at => exchange(messageOf(at + 2)));
+    const heartbeatUs = timeUs(3_000, index => encodeAndDecode(messageOf(index + 2)));
     return { heartbeatBytes, heartbeatUs };
 }
 
-function shareSlopes(): Pick<
+function measureLoadExchange(): Pick<
     Slopes,
     "tellRoundUs" | "heldEntryBytes" | "messageBytes" | "questionBytes" | "answerBytes"
 > {
-    const host = planHost();
-    const hosts = Array.from({ length: HOST.hallHosts }, (_, at) => `hall-1-${String(at).padStart(2, "0")}`);
-    const holdings = (): EndpointLoad[] =>
+    const host = createPlanHost();
+    const hosts = Array.from({ length: PLAN_HOST.hallHosts }, (_, index) => `hall-1-${String(index).padStart(2, "0")}`);
+    const currentLoads = (): EndpointLoad[] =>
         [...host.state.endpoints.values()].map(view =>
             encodeLoad(view.cfg.id, { streams: view.streams.size, unread: 0, stalled: 0, curve: view.curve })
         );
-    const some = holdings().filter(held => held.streams > 0).slice(0, 10);
-    const empty = encodeFrame({ kind: "held", held: [] } as FrameMessage).length;
-    const heldEntryBytes = (encodeFrame({ kind: "held", held: some } as FrameMessage).length - empty) / some.length;
-    const one = some[0]!;
+    const sampleLoads = currentLoads().filter(held => held.streams > 0).slice(0, 10);
+    const emptyBytes = encodeFrame({ kind: "held", held: [] } as FrameMessage).length;
+    const heldEntryBytes = (encodeFrame({ kind: "held", held: sampleLoads } as FrameMessage).length - emptyBytes)
+        / sampleLoads.length;
+    const sampleLoad = sampleLoads[0]!;
     const demand = {
         model: "m",
         promptTokens: 1_200,
@@ -187,18 +196,18 @@
         weightPrefix: 1,
     };
     const job = "1b8f9c1e-9d0a-4ad0-a7bc-f3a9d6a0a6c2";
-    let share = createLoadExchange(hosts[0]!);
+    let exchange = createLoadExchange(hosts[0]!);
     const owned = host.state.endpoints.values().map(view => view.cfg.id).filter(id =>
         endpointOwner(id, host.state.endpoints.values().length, hosts) === hosts[0]
     );
-    const others = owned.map(endpoint => ({ ...one, endpoint }));
-    // A round as a host has it: its own telling, encoded, and what every other host tells it, decoded and taken in.
-    const tellRoundUs = timeUs(60, at => {
-        const now = at * ownerReportIntervalMs(HOST.hallHosts);
-        const round = runLoadRound(share, host.state.endpoints, hosts, now);
-        share = round.state;
+    const others = owned.map(endpoint => ({ ...sampleLoad, endpoint }));
+    // A host's round: it encodes its own messages, and decodes and handles the messages of every other host.
+    const tellRoundUs = timeUs(60, index => {
+        const now = index * ownerReportIntervalMs(PLAN_HOST.hallHosts);
+        const round = runLoadRound(exchange, host.state.endpoints, hosts, now);
+        exchange = round.state;
         for (const { message } of round.send) encodeFrame(message);
-        for (const event of round.events) host.tell(event, 500_000 + now);
+        for (const event of round.events) host.handle(event, 500_000 + now);
         for (const from of hosts.slice(1)) {
             for (
                 const message of [{ kind: "held", held: others }, {
@@ -208,22 +217,22 @@
                     leaving: [],
                 }] as const
             ) {
-                exchange(message);
-                const heard = receiveLoadMessage(share, from, message, host.state, now);
-                share = heard.state;
-                for (const event of heard.events) host.tell(event, 500_000 + now);
+                encodeAndDecode(message);
+                const step = receiveLoadMessage(exchange, from, message, host.state, now);
+                exchange = step.state;
+                for (const event of step.events) host.handle(event, 500_000 + now);
             }
         }
     });
     return {
         tellRoundUs,
         heldEntryBytes,
-        messageBytes: empty,
+        messageBytes: emptyBytes,
         questionBytes: encodeFrame(
             {
                 kind: "question",
                 job,
-                stream: one,
+                stream: sampleLoad,
                 demand,
                 z: 1.2816,
                 hall: "hall-1",
@@ -231,42 +240,42 @@
                 backUp: false,
             } as FrameMessage,
         ).length,
-        answerBytes: encodeFrame({ kind: "answer", job, endpoint: one.endpoint } as FrameMessage).length,
+        answerBytes: encodeFrame({ kind: "answer", job, endpoint: sampleLoad.endpoint } as FrameMessage).length,
     };
 }
 
-/** The plan's tree: each workspace with two settings of its own and two keys. */
-function planTree(): Tree {
+/** Creates the settings tree of the planned size: each workspace has two settings and two keys of its own. */
+function createPlanTree(): Tree {
     const tree: Record<string, Record<string, string>> = { "root": { attempts: "3" }, "service/s": { kind: "engine" } };
-    for (let at = 0; at < PLAN.halls; at++) tree[`hall/hall-${at}`] = { region: `region-${at % 2}` };
-    for (let at = 0; at < PLAN.models; at++) tree[`model/m${at}`] = { service: "s" };
-    for (let at = 0; at < PLAN.workers; at++) {
-        tree[`endpoint/engine-${at}`] = {
-            "url": `http://10.1.${at >> 8}.${at & 255}:8000`,
+    for (let index = 0; index < PLAN.halls; index++) tree[`hall/hall-${index}`] = { region: `region-${index % 2}` };
+    for (let index = 0; index < PLAN.models; index++) tree[`model/m${index}`] = { service: "s" };
+    for (let index = 0; index < PLAN.workers; index++) {
+        tree[`endpoint/engine-${index}`] = {
+            "url": `http://10.1.${index >> 8}.${index & 255}:8000`,
             "service": "s",
-            "hall": `hall-${at % PLAN.halls}`,
+            "hall": `hall-${index % PLAN.halls}`,
             "models": "m0,m1",
             "memory-tokens": "800000",
         };
     }
-    for (let at = 0; at < PLAN.workspaces; at++) {
-        tree[`workspace/w${at}`] = { "tokens-per-minute": String(100_000 + at), "open-streams": "40" };
+    for (let index = 0; index < PLAN.workspaces; index++) {
+        tree[`workspace/w${index}`] = { "tokens-per-minute": String(100_000 + index), "open-streams": "40" };
         for (const number of [1, 2]) {
-            tree[`key/w${at}-${number}`] = { workspace: `w${at}`, hash: `${at}${number}`.padStart(64, "0") };
+            tree[`key/w${index}-${number}`] = { workspace: `w${index}`, hash: `${index}${number}`.padStart(64, "0") };
         }
     }
     return tree;
 }
 
-function settingsSlopes(): Pick<Slopes, "treeBytes" | "editBytes" | "adoptMs" | "settingsMb"> {
-    const tree = planTree();
+function measureSettings(): Pick<Slopes, "treeBytes" | "editBytes" | "adoptMs" | "settingsMb"> {
+    const tree = createPlanTree();
     const first = snapshotOf(1, tree);
     const next = snapshotOf(2, { ...tree, "workspace/w7": { ...tree["workspace/w7"], "open-streams": "41" } });
     const changed = Object.keys(next.parts).filter(name => next.parts[name] !== first.parts[name]);
     const size = (snapshot: typeof first, names: readonly string[]): number =>
         JSON.stringify(snapshot.head).length + names.reduce((sum, name) => sum + snapshot.parts[name]!.length, 0);
     const adopted = heapOf(() => {
-        const result = adopt(undefined, snapshotOf(1, planTree()), 0);
+        const result = adopt(undefined, snapshotOf(1, createPlanTree()), 0);
         if (result.kind !== "adopted") throw new Error(result.kind);
         return { inForce: result.inForce, directory: new Directory(result.inForce, "hall-0") };
     });
@@ -279,22 +288,22 @@
         treeBytes: size(first, Object.keys(first.parts)),
         editBytes: size(next, changed),
         adoptMs: adoptUs / US_PER_MS,
-        // Old and new stand side by side while requests of the old one end.
+        // Doubled: the old settings remain in memory while requests that started under them are running.
         settingsMb: 2 * adopted.bytes / BYTES_PER_MB,
     };
 }
 
-function memorySlopes(): Pick<Slopes, "estimateBytesPerGroup" | "limitBytesPerWorkspace"> {
+function measureMemory(): Pick<Slopes, "estimateBytesPerGroup" | "limitBytesPerWorkspace"> {
     const groups = PLAN.workspaces * PLAN.models;
     const estimates = heapOf(() => {
         let all = createLengthEstimates();
-        for (let at = 0; at < groups; at++) {
+        for (let index = 0; index < groups; index++) {
             all = observeLength(
                 all,
                 {
-                    workspace: `w${at % PLAN.workspaces}`,
+                    workspace: `w${index % PLAN.workspaces}`,
                     service: "s",
-                    model: `m${at % PLAN.models}-${Math.floor(at / PLAN.workspaces)}`,
+                    model: `m${index % PLAN.models}-${Math.floor(index / PLAN.workspaces)}`,
                 },
                 0,
                 300,
@@ -305,11 +314,11 @@
     });
     const limits = heapOf(() => {
         let all = createLimits();
-        for (let at = 0; at < PLAN.workspaces; at++) {
+        for (let index = 0; index < PLAN.workspaces; index++) {
             const taken = reserve(
                 all,
-                `r${at}`,
-                `w${at}`,
+                `r${index}`,
+                `w${index}`,
                 { requestsPerMinute: 100, tokensPerMinute: 100_000, openStreams: 40 },
                 500,
                 0,
@@ -321,36 +330,41 @@
     return { estimateBytesPerGroup: estimates.bytes / groups, limitBytesPerWorkspace: limits.bytes / PLAN.workspaces };
 }
 
-async function loadSlope(): Promise<Pick<Slopes, "loadAskUs">> {
+async function measureLoadRequest(): Promise<Pick<Slopes, "loadAskUs">> {
     const engine = await EngineServer.start({ name: "e", models: ["m"] });
     const agent = new Agent();
     const { signal } = new AbortController();
     const times = 2_000;
     const ask = (): Promise<unknown> => fetchLoad(agent, engine.url, 1_000, signal);
-    for (let at = 0; at < times / 5; at++) await ask();
+    for (let index = 0; index < times / 5; index++) await ask();
     const before = process.cpuUsage();
-    for (let at = 0; at < times; at++) await ask();
+    for (let index = 0; index < times; index++) await ask();
     const { user, system } = process.cpuUsage(before);
     await agent.close();
     await engine.stop();
     return { loadAskUs: (user + system) / times };
 }
 
-function rounded(slopes: Slopes): Slopes {
+function roundSlopes(slopes: Slopes): Slopes {
     const entries = Object.entries(slopes).map(([name, value]) => [name, Number((value as number).toPrecision(3))]);
     return Object.fromEntries(entries) as Slopes;
 }
 
-// Memory first, while little else is on the heap.
-const slopes = rounded({
-    ...memorySlopes(),
-    ...settingsSlopes(),
-    ...decisionSlopes(),
-    ...peerSlopes(),
-    ...shareSlopes(),
-    ...await loadSlope(),
+// Measures memory first, while the heap holds little else.
+const slopes = roundSlopes({
+    ...measureMemory(),
+    ...measureSettings(),
+    ...measureScheduler(),
+    ...measureDetector(),
+    ...measureLoadExchange(),
+    ...await measureLoadRequest(),
 });
-const table = renderCapacity(slopes, ownerReportIntervalMs(HOST.hallHosts), BEAT_MS, MESSAGES_PER_ROUND);
+const table = renderCapacity(
+    slopes,
+    ownerReportIntervalMs(PLAN_HOST.hallHosts),
+    PROBE_INTERVAL_MS,
+    PROBE_MESSAGES_PER_ROUND,
+);
 const printed = `\`\`\`json\n${JSON.stringify(slopes, undefined, 2)}\n\`\`\`\n\n${table}\n`;
 process.stdout.write(printed);
 if (process.argv.includes("--write")) {
--- a/packages/standins/src/bench-daemon.ts
+++ b/packages/standins/src/bench-daemon.ts
@@ -1,11 +1,12 @@
 /**
- * A daemon in a process of its own for measurements: says where it listens, and what it used when asked.
+ * Runs a daemon in its own process for benchmarks. It sends its URL to the parent process once it is ready, and answers
+ * each message with its processor time and memory; the message `end` stops it.
  *
  * @module
  */
 import { createLog, readConfig, startDaemon } from "@drumpaddle/host";
 import { Writable } from "node:stream";
-import { waitUntil } from "./stage.js";
+import { waitUntil } from "./local-cluster.js";
 
 const [kvUrl] = process.argv.slice(2);
 const flags = {
@@ -18,8 +19,8 @@
 };
 const read = readConfig({ flags });
 if (!read.ok) throw new Error(JSON.stringify(read.errors));
-const nowhere = new Writable({ write: (_chunk, _encoding, done) => done() });
-const daemon = await startDaemon(read.cfg, createLog("info", nowhere));
+const discard = new Writable({ write: (_chunk, _encoding, done) => done() });
+const daemon = await startDaemon(read.cfg, createLog("info", discard));
 await waitUntil(() => daemon.host.feed.directory !== undefined);
 process.send?.({ url: daemon.callersUrl });
 process.on("message", message => {
--- a/packages/standins/src/bench-path.ts
+++ b/packages/standins/src/bench-path.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run bench:path`: what a daemon adds to a direct connection to the same stand-in engine, as ratios and differences
- * in one run. The daemon runs in a process of its own, so that its processor time and memory are its own; the engine and
- * the callers share this one.
+ * `npm run bench:path`: measures the overhead of a daemon against direct connections to the same stand-in engines. The
+ * daemon runs in its own process, so that its processor time and memory can be measured separately; the engines and the
+ * callers share this process.
  *
  * @module
  */
@@ -14,8 +14,10 @@
 import { type CallerResult, callOnce } from "./caller.js";
 import { startEngineFarm } from "./engine-farm.js";
 
-/** Streams start spread over this time: 35 a second at 350 streams, above the plan's 21 a host. */
-const START_WITHIN_MS = 10_000;
+/**
+ * Time over which the streams start: 35 a second at 350 streams, above the 21 a second of a host of the planned size.
+ */
+const RAMP_UP_MS = 10_000;
 
 interface Options {
     readonly streams: number;
@@ -24,43 +26,43 @@
     readonly engines: number;
 }
 
-/** What the daemon's process says of itself. */
+/** Resource usage that the daemon's process reports. */
 interface Usage {
     readonly cpuMs: number;
-    /** Of which in the kernel. */
+    /** Part of `cpuMs` spent in the kernel. */
     readonly kernelMs: number;
     readonly rssBytes: number;
     readonly heapBytes: number;
 }
 
-interface Side {
+interface PathResult {
     readonly gaps: TimeHistogram;
     readonly firstToken: TimeHistogram;
     tokens: number;
     failures: number;
 }
 
-async function measure(urls: readonly string[], key: string, options: Options): Promise<Side> {
-    const side: Side = { gaps: new TimeHistogram(), firstToken: new TimeHistogram(), tokens: 0, failures: 0 };
+async function runStreams(urls: readonly string[], key: string, options: Options): Promise<PathResult> {
+    const total: PathResult = { gaps: new TimeHistogram(), firstToken: new TimeHistogram(), tokens: 0, failures: 0 };
     const dispatcher = new Agent({ connections: options.streams * 2 });
     const output = Math.round(options.seconds * options.rate / options.streams);
-    const results: CallerResult[] = await Promise.all(Array.from({ length: options.streams }, async (_, at) => {
-        // Streams start apart, as requests do, so that prefill and token times are spread.
-        await new Promise(resolve => setTimeout(resolve, at * START_WITHIN_MS / options.streams));
-        const url = urls[at % urls.length]!;
-        return callOnce({ url, key, model: "summary-8b", tag: `s${at}`, promptTokens: 200, output, dispatcher });
+    const results: CallerResult[] = await Promise.all(Array.from({ length: options.streams }, async (_, index) => {
+        // Staggers the starts, as those of real requests are, so that prefills and tokens don't coincide.
+        await new Promise(resolve => setTimeout(resolve, index * RAMP_UP_MS / options.streams));
+        const url = urls[index % urls.length]!;
+        return callOnce({ url, key, model: "summary-8b", tag: `s${index}`, promptTokens: 200, output, dispatcher });
     }));
     for (const result of results) {
-        if (result.outcome !== "whole") side.failures += 1;
-        side.tokens += result.tokens;
-        if (result.firstTokenMs !== undefined) side.firstToken.record(result.firstTokenMs);
-        for (const gap of result.gapsMs) side.gaps.record(gap);
+        if (result.outcome !== "whole") total.failures += 1;
+        total.tokens += result.tokens;
+        if (result.firstTokenMs !== undefined) total.firstToken.record(result.firstTokenMs);
+        for (const gap of result.gapsMs) total.gaps.record(gap);
     }
     await dispatcher.close();
-    return side;
+    return total;
 }
 
-function ask(child: ChildProcess): Promise<Usage> {
+function requestUsage(child: ChildProcess): Promise<Usage> {
     return new Promise(resolve => {
         child.once("message", message => resolve(message as Usage));
         child.send("usage");
@@ -80,20 +82,20 @@
     const url = await new Promise<string>(resolve =>
         daemon.once("message", message => resolve((message as { url: string }).url))
     );
-    await measure([url], farm.key, { ...options, seconds: 1 });
-    const direct = await measure(farm.engineUrls, farm.key, options);
-    const before = await ask(daemon);
+    await runStreams([url], farm.key, { ...options, seconds: 1 });
+    const direct = await runStreams(farm.engineUrls, farm.key, options);
+    const before = await requestUsage(daemon);
     const startedAt = performance.now();
-    const through = await measure([url], farm.key, options);
+    const through = await runStreams([url], farm.key, options);
     const wallMs = performance.now() - startedAt;
-    const after = await ask(daemon);
+    const after = await requestUsage(daemon);
     const cpuMs = after.cpuMs - before.cpuMs;
     const rows: [string, string][] = [
         ["streams", String(options.streams)],
         ["answers not whole, direct / through", `${direct.failures} / ${through.failures}`],
         [
             "tokens a second, direct / through",
-            `${perSecond(direct, options)} / ${(through.tokens / wallMs * 1000).toFixed(0)}`,
+            `${formatTokensPerS(direct, options)} / ${(through.tokens / wallMs * 1000).toFixed(0)}`,
         ],
         ...(["firstToken", "gaps"] as const).flatMap(name =>
             ([0.5, 0.99] as const).map((share): [string, string] => {
@@ -118,8 +120,8 @@
     process.exitCode = direct.failures + through.failures === 0 ? 0 : 1;
 }
 
-function perSecond(side: Side, options: Options): string {
-    return (side.tokens / (options.seconds + START_WITHIN_MS / 1000)).toFixed(0);
+function formatTokensPerS(result: PathResult, options: Options): string {
+    return (result.tokens / (options.seconds + RAMP_UP_MS / 1000)).toFixed(0);
 }
 
 sade("bench:path", true)
--- a/packages/standins/src/bench-policy.ts
+++ b/packages/standins/src/bench-policy.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run bench:policy`: the decisions side by side on the same traffic and engines, over seeds, on a virtual clock.
+ * `npm run bench:policy`: compares variants of the scheduling policy on the same simulated traffic and engines, over
+ * several seeds.
  *
  * @module
  */
@@ -7,11 +8,11 @@
 import Table from "cli-table3";
 import { writeFileSync } from "node:fs";
 import sade from "sade";
-import { type Measured, runExperiment } from "./experiment.js";
+import { type ExperimentResult, runExperiment } from "./experiment.js";
 import { DEPLOYMENTS, generateTraffic } from "./traffic.js";
 import { PROFILES, type VariantName, VARIANTS } from "./variants.js";
 
-/** Seeds below this were used while tuning; reports use this and later ones. */
+/** The first seed for reports. Lower seeds are for tuning, so that reports use traffic that nothing was tuned on. */
 const FIRST_REPORTED_SEED = 1_000;
 const LAG_MS = [500, 5_000] as const;
 const REPORT_LOSS = 0.1;
@@ -34,21 +35,25 @@
     readonly loss?: number;
 }
 
-/** What the table shows of a run; the lower is better but for `good`. */
-const COLUMNS: readonly { readonly head: string; readonly of: (m: Measured) => number; readonly digits: number }[] = [
-    { head: "preempt", of: m => m.preemptions, digits: 0 },
-    { head: "stall s", of: m => m.stallS, digits: 1 },
-    { head: "p50 ms", of: m => m.gaps.quantile(0.5), digits: 1 },
-    { head: "p99", of: m => m.gaps.quantile(0.99), digits: 1 },
-    { head: "p99.9", of: m => m.gaps.quantile(0.999), digits: 1 },
-    { head: "stream p99.9 p95", of: m => m.streamTails.quantile(0.95), digits: 1 },
-    { head: "first p95 s", of: m => m.firstToken.quantile(0.95) / 1000, digits: 2 },
-    { head: "live p95 s", of: m => m.liveFirstToken.quantile(0.95) / 1000, digits: 2 },
-    { head: "within 90 %", of: m => 100 * m.within90, digits: 1 },
-    { head: "good %", of: m => 100 * m.good / m.arrivals, digits: 2 },
-    { head: "refused %", of: m => 100 * m.refused / m.arrivals, digits: 2 },
-    { head: "peer B/s", of: m => m.peerBytesPerS, digits: 0 },
-    { head: "broken", of: m => m.broken, digits: 0 },
+/** Columns of the table. Lower is better, except for `good` and `within 90 %`. */
+const COLUMNS: readonly {
+    readonly head: string;
+    readonly valueOf: (m: ExperimentResult) => number;
+    readonly digits: number;
+}[] = [
+    { head: "preempt", valueOf: m => m.preemptions, digits: 0 },
+    { head: "stall s", valueOf: m => m.stallS, digits: 1 },
+    { head: "p50 ms", valueOf: m => m.gaps.quantile(0.5), digits: 1 },
+    { head: "p99", valueOf: m => m.gaps.quantile(0.99), digits: 1 },
+    { head: "p99.9", valueOf: m => m.gaps.quantile(0.999), digits: 1 },
+    { head: "stream p99.9 p95", valueOf: m => m.streamTails.quantile(0.95), digits: 1 },
+    { head: "first p95 s", valueOf: m => m.firstToken.quantile(0.95) / 1000, digits: 2 },
+    { head: "live p95 s", valueOf: m => m.liveFirstToken.quantile(0.95) / 1000, digits: 2 },
+    { head: "within 90 %", valueOf: m => 100 * m.within90, digits: 1 },
+    { head: "good %", valueOf: m => 100 * m.good / m.arrivals, digits: 2 },
+    { head: "refused %", valueOf: m => 100 * m.refused / m.arrivals, digits: 2 },
+    { head: "peer B/s", valueOf: m => m.peerBytesPerS, digits: 0 },
+    { head: "broken", valueOf: m => m.broken, digits: 0 },
 ];
 
 function median(values: readonly number[]): number {
@@ -63,13 +68,13 @@
     return `${shown} (${Math.min(...values).toFixed(digits)}..${Math.max(...values).toFixed(digits)})`;
 }
 
-/** The profile's weights with what the flags override. */
+/** Returns the profile's policy with the values that flags override. */
 function policyOf({ profile, weights, quantile, gap }: Options): Omit<JobPolicy, "priority"> {
     const base = PROFILES[weights ?? profile];
     return { ...base, quantile: quantile ?? base.quantile, gapTargetMs: gap ?? base.gapTargetMs };
 }
 
-function runVariant(name: VariantName, options: Options, seeds: readonly number[]): readonly Measured[] {
+function runVariant(name: VariantName, options: Options, seeds: readonly number[]): readonly ExperimentResult[] {
     return seeds.map(seed => {
         const durationMs = options.seconds * 1000;
         return runExperiment({
@@ -79,18 +84,18 @@
             engines: options.engines,
             hosts: options.hosts,
             seed,
-            lagMs: LAG_MS,
-            reportLoss: REPORT_LOSS,
-            ...(options.tell === undefined ? {} : { tellMs: options.tell }),
+            loadReportLagMs: LAG_MS,
+            loadReportLoss: REPORT_LOSS,
+            ...(options.tell === undefined ? {} : { reportIntervalMs: options.tell }),
             messageLoss: options.loss ?? 0,
-            loseThirdAt: options.lose ? durationMs / 2 : undefined,
+            engineLossAt: options.lose ? durationMs / 2 : undefined,
         });
     });
 }
 
 function run(options: Options): void {
     const first = options.tuning ? 1 : FIRST_REPORTED_SEED;
-    const seeds = Array.from({ length: options.seeds }, (_, at) => first + at);
+    const seeds = Array.from({ length: options.seeds }, (_, index) => first + index);
     const names = (options.policy === "all" ? Object.keys(VARIANTS) : options.policy.split(",")) as VariantName[];
     const unknown = names.filter(name => !Object.hasOwn(VARIANTS, name));
     if (unknown.length > 0 || !Object.hasOwn(DEPLOYMENTS, options.profile)) {
@@ -115,8 +120,8 @@
     const raw: Record<string, number[][]> = {};
     for (const name of names) {
         const measured = runVariant(name, options, seeds);
-        table.push([name, ...COLUMNS.map(({ of, digits }) => cell(measured.map(of), digits))]);
-        raw[name] = measured.map(m => COLUMNS.map(({ of }) => of(m)));
+        table.push([name, ...COLUMNS.map(({ valueOf: of, digits }) => cell(measured.map(of), digits))]);
+        raw[name] = measured.map(m => COLUMNS.map(({ valueOf: of }) => of(m)));
     }
     process.stdout.write(`${table.toString()}\n`);
     if (options.json !== undefined) {
