--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -8,7 +8,7 @@
     CompletionBody,
     factsOf,
     type GenerationBody,
-} from "./completions.js";
+} from "./completions-api.js";
 export {
     cancelStream,
     type EngineCall,
@@ -22,23 +22,6 @@
 } from "./engine-client.js";
 export { createEtcd, type EtcdCfg } from "./etcd.js";
 export { EventSplitter, type WholeEvent } from "./event-splitter.js";
-export {
-    type AnswerHead,
-    type CallHead,
-    type Continuation,
-    type CopyAnswer,
-    type Decoded,
-    type DecodeError,
-    type EndpointCall,
-    type GenerationHead,
-    type HeadError,
-    type PlatformWire,
-    type PromptPart,
-    type RawHeaders,
-    type SaidNumber,
-    type SendHead,
-    type StayAnswer,
-} from "./forwarding.js";
 export { fetchHosts, type HostListAnswer, type ListedMachine } from "./host-list.js";
 export {
     type KeyValue,
@@ -63,4 +46,21 @@
     PEER_VERSION,
 } from "./peer-codec.js";
 export { type MeshCfg, type PeerError, PeerMesh, type PeerName, type WaitingBounds } from "./peer-mesh.js";
+export {
+    type AnswerHead,
+    type CallHead,
+    type Continuation,
+    type CopyAnswer,
+    type Decoded,
+    type DecodeError,
+    type EndpointCall,
+    type GenerationHead,
+    type HeadError,
+    type PlatformWire,
+    type PromptPart,
+    type RawHeaders,
+    type SaidNumber,
+    type SendHead,
+    type StayAnswer,
+} from "./platform-wire.js";
 export { TimeLimitError, withinTime } from "./time-limit.js";
--- a/packages/routes/src/deployment.ts
+++ b/packages/routes/src/deployment.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import type { Life } from "./life.js";
+import type { Life } from "./incarnation.js";
 
 /** How often a call of a route may run. */
 export const RouteKind = {
--- a/packages/routes/src/index.ts
+++ b/packages/routes/src/index.ts
@@ -1,3 +1,4 @@
+export { warmAt } from "./cold-period.js";
 export {
     type CallerLimits,
     type Deployment,
@@ -18,8 +19,7 @@
     writeEndpoints,
 } from "./endpoint-list.js";
 export { type HallChange, type HallOrders, NO_ORDERS, orderHall, replaceOrders } from "./evacuation.js";
-export { compareLives, type Life, LifeOrder, nameOfLife } from "./life.js";
-export { SETTLE_MS } from "./older-copy.js";
+export { compareLives, type Life, LifeOrder, nameOfLife } from "./incarnation.js";
 export {
     type Departed,
     EMPTY_REGISTRY,
@@ -39,4 +39,4 @@
     storeRestored,
 } from "./registry.js";
 export { pickService, RouteTable } from "./route-table.js";
-export { warmAt } from "./warmth.js";
+export { SETTLE_MS } from "./store-restore.js";
--- a/packages/routes/src/registry.ts
+++ b/packages/routes/src/registry.ts
@@ -13,9 +13,9 @@
  */
 import { type EndpointEntry, EndpointState } from "./deployment.js";
 import { type HallChange, orderHall, replaceOrders } from "./evacuation.js";
-import { compareLives, type Life, LifeOrder, nameOfLife } from "./life.js";
-import { SETTLE_MS, settleContent, stillDeferred } from "./older-copy.js";
+import { compareLives, type Life, LifeOrder, nameOfLife } from "./incarnation.js";
 import type { Departed, Registered, Registry, RegistryChange } from "./registry-state.js";
+import { SETTLE_MS, settleContent, stillDeferred } from "./store-restore.js";
 
 /** Registrations of servers that live are back within about two seconds of the store's return (letter 2). */
 export const LAPSE_GRACE_MS = 2_000;
--- a/packages/routes/src/older-copy.ts
+++ b/packages/routes/src/store-restore.ts
@@ -8,7 +8,7 @@
  * @module
  */
 import { type EndpointEntry, EndpointState } from "./deployment.js";
-import { compareLives, LifeOrder } from "./life.js";
+import { compareLives, LifeOrder } from "./incarnation.js";
 import type { Registry, RegistryChange } from "./registry-state.js";
 
 /** Above three heartbeats of an endpoint, and the time in which writers that live write again. */
--- a/packages/standins/src/endpoint-mutations.ts
+++ b/packages/standins/src/endpoint-mutations.ts
@@ -8,7 +8,7 @@
 const POLICY = "packages/policy/test/policy.test.ts";
 const CARRY = "packages/policy/test/backups.test.ts";
 const LIVES = "platform/test/lives.test.ts";
-const ROUTES = "packages/routes/test/routes.test.ts";
+const ROUTES = "packages/routes/test/registry.test.ts";
 const ATTEMPT = "packages/host/src/calls/forward-attempt.ts";
 const ENDPOINT = "packages/policy/src/endpoint.ts";
 const COLD_SOURCE = "packages/policy/src/cold.ts";
@@ -64,7 +64,7 @@
     },
     {
         promise: "a hall that is taken back is cold",
-        file: "packages/routes/src/warmth.ts",
+        file: "packages/routes/src/cold-period.ts",
         find: "Math.max(own, returned)",
         replace: "own",
         tests: [ORDERS],
--- a/packages/standins/src/store-mutations.ts
+++ b/packages/standins/src/store-mutations.ts
@@ -6,11 +6,11 @@
 import type { Mutation } from "./mutation.js";
 
 const RESTORED = "platform/test/store-restored.test.ts";
-const OLDER_COPY = "packages/routes/test/older-copy.test.ts";
+const OLDER_COPY = "packages/routes/test/store-restore.test.ts";
 const FOLLOWING = "packages/hall/test/store-watchers.test.ts";
 const CLIENT = "platform/test/store.test.ts";
 const FEED = "packages/host/src/store/deployment-feed.ts";
-const SETTLE = "packages/routes/src/older-copy.ts";
+const SETTLE = "packages/routes/src/store-restore.ts";
 const POSITION = "packages/hall/src/store-position.ts";
 const STORE = "platform/src/store.ts";
 
