--- a/packages/protocol/src/clock.ts
+++ b/packages/protocol/src/clock.ts
@@ -1,60 +1,60 @@
 /**
- * The one clock that decisions are given: it counts the time that the host was suspended, and never goes back.
+ * A monotonic clock that includes the time for which the host was suspended.
  *
- * The steady clock of Node.js stands still while a host is suspended, and timers with it; nothing is late when it wakes. The time of
- * day goes on, but it may also be set. So a jump of the time of day is a suspicion, and a host that suspects refreshes what it knows;
- * time counts as suspended only where the system's boot clock has jumped as well. That one costs a file to read, so it is read every
- * ten seconds and at each suspicion.
+ * The monotonic clock of Node.js and its timers stop while a host is suspended, so that after a wake no timeout appears to be overdue.
+ * The time of day continues, but it may also be set. A forward jump of the time of day is therefore reported to the listeners as a
+ * possible suspension, and the host refreshes its knowledge; it is added to the clock only if the system's boot clock has jumped by the
+ * same time. Reading the boot clock means reading a file, so it is read only every ten seconds and after each jump.
  *
  * @module
  */
 import { uptime } from "node:os";
 
-/** What was found when a host woke, or when its time of day was set forward. */
+/** A forward jump of the time of day: the host was suspended, or its time of day was set. */
 export interface Wake {
-    /** How long it was suspended, in milliseconds, within {@link BOOT_STEP_MS}; 0 where that is only suspected. */
+    /** Duration of the suspension in milliseconds, accurate to {@link BOOT_STEP_MS}; 0 if the boot clock does not confirm one. */
     readonly suspendedMs: number;
-    /** How far the time of day has jumped, in milliseconds. */
+    /** How far the time of day has jumped ahead of the monotonic clock, in milliseconds. */
     readonly jumpMs: number;
 }
 
-/** The clock that a host's parts are given. */
+/** The clock that all parts of a host share. */
 export interface Clock {
-    /** Milliseconds that have passed, suspensions included. The first call after a wake calls its listeners before it returns. */
+    /** Elapsed milliseconds, suspensions included. The first call after a wake calls the listeners before it returns. */
     now(): number;
-    /** Milliseconds that the host was awake. */
+    /** Elapsed milliseconds, suspensions excluded. */
     awake(): number;
-    /** Calls back after each wake, or what may be one. */
+    /** Registers a listener for each jump of the time of day, which may be a wake from suspension. */
     onWake(listener: (wake: Wake) => void): void;
 }
 
-/** Where a clock reads the time, in milliseconds. */
+/** The system clocks that a {@link Clock} combines, in milliseconds. */
 export interface ClockSources {
-    /** Stands still while the host is suspended. */
+    /** Monotonic; stops while the host is suspended. */
     steady(): number;
-    /** Goes on meanwhile, and may be set at any time. */
+    /** Continues during a suspension, and may be set at any time. */
     timeOfDay(): number;
-    /** Goes on meanwhile and is never set; coarse. */
+    /** Continues during a suspension and is never set; has a coarse resolution. */
     boot(): number;
 }
 
-/** What the system gives: `os.uptime()` reads `/proc/uptime`, in steps of 10 ms, in some 9 microseconds (steady clock: 0.2). */
+/** The clocks of the operating system. `os.uptime()` reads `/proc/uptime` in steps of 10 ms and takes 9 µs (monotonic clock: 0.2 µs). */
 export const SYSTEM_SOURCES: ClockSources = {
     steady: () => performance.now(),
     timeOfDay: () => Date.now(),
     boot: () => uptime() * 1_000,
 };
 
-/** The boot clock's step and what passes between two readings. */
+/** Error of a measured suspension: the step of the boot clock, and the time between the readings of two clocks. */
 export const BOOT_STEP_MS = 20;
-/** Shorter jumps are a clock that is slewed, or a host that was held up between two readings. */
-const SUSPECT_MS = 200;
-/** Two clocks that jumped by the same, within what a time of day may be set by as the host wakes, show a suspension. */
-const AGREE_MS = 500;
-/** The boot clock is held against the steady one this often. */
-const CHECK_EVERY_MS = 10_000;
-/** A boot clock that differs by more in that time, without a suspicion, is of another machine than this one, and is not asked again. */
-const FOREIGN_MS = 100;
+/** Shorter jumps come from a clock that is being slewed, or from a delay between the readings of two clocks. */
+const MIN_JUMP_MS = 200;
+/** Largest difference between the jumps of both clocks in a suspension: the time of day may be adjusted as the host wakes. */
+const JUMP_TOLERANCE_MS = 500;
+/** How often the boot clock is compared with the monotonic clock. */
+const BOOT_CHECK_MS = 10_000;
+/** A boot clock that drifts further in that interval, without a jump, belongs to another machine and is not read again. */
+const MAX_BOOT_DRIFT_MS = 100;
 
 /**
  * Creates a clock.
@@ -70,19 +70,19 @@
 }
 
 class SuspendingClock implements Clock {
-    private suspendedMs = 0;
+    private totalSuspendedMs = 0;
     private steady: number;
     private timeOfDay: number;
-    /** The boot clock against the steady one, when they were last compared. */
-    private boot: { readonly offset: number; readonly at: number };
-    /** Whether the boot clock was found to keep the steady clock's pace; undefined before the first check. */
-    private isBootOurs: boolean | undefined;
+    /** Offset of the boot clock from the monotonic clock when they were last compared, and when that was. */
+    private bootReading: { readonly offset: number; readonly at: number };
+    /** Whether the boot clock runs at the rate of the monotonic clock; undefined before the first check. */
+    private isBootReliable: boolean | undefined;
     private readonly listeners = new Set<(wake: Wake) => void>();
 
     constructor(private readonly sources: ClockSources) {
         this.steady = sources.steady();
         this.timeOfDay = sources.timeOfDay();
-        this.boot = this.readBoot(this.steady);
+        this.bootReading = this.readBoot(this.steady);
     }
 
     now(): number {
@@ -91,9 +91,9 @@
         const jumpMs = timeOfDay - this.timeOfDay - (steady - this.steady);
         this.steady = steady;
         this.timeOfDay = timeOfDay;
-        if (jumpMs >= SUSPECT_MS) this.suspect(steady, jumpMs);
-        else if (steady - this.boot.at >= CHECK_EVERY_MS && this.isBootOurs !== false) this.check(steady);
-        return steady + this.suspendedMs;
+        if (jumpMs >= MIN_JUMP_MS) this.handleJump(steady, jumpMs);
+        else if (steady - this.bootReading.at >= BOOT_CHECK_MS && this.isBootReliable !== false) this.checkBoot(steady);
+        return steady + this.totalSuspendedMs;
     }
 
     awake(): number {
@@ -104,23 +104,23 @@
         this.listeners.add(listener);
     }
 
-    /** The time of day has jumped: a suspension, if the boot clock has too. */
-    private suspect(steady: number, jumpMs: number): void {
+    /** Treats a jump of the time of day as a suspension if the boot clock has jumped as well, and calls the listeners. */
+    private handleJump(steady: number, jumpMs: number): void {
         let suspendedMs = 0;
-        if (this.isBootOurs === true) {
-            const before = this.boot;
-            this.boot = this.readBoot(steady);
-            const gainedMs = this.boot.offset - before.offset;
-            if (Math.abs(gainedMs - jumpMs) <= AGREE_MS) suspendedMs = gainedMs;
+        if (this.isBootReliable === true) {
+            const before = this.bootReading;
+            this.bootReading = this.readBoot(steady);
+            const gainedMs = this.bootReading.offset - before.offset;
+            if (Math.abs(gainedMs - jumpMs) <= JUMP_TOLERANCE_MS) suspendedMs = gainedMs;
         }
-        this.suspendedMs += suspendedMs;
+        this.totalSuspendedMs += suspendedMs;
         for (const listener of this.listeners) listener({ suspendedMs, jumpMs });
     }
 
-    private check(steady: number): void {
-        const before = this.boot;
-        this.boot = this.readBoot(steady);
-        this.isBootOurs = Math.abs(this.boot.offset - before.offset) < FOREIGN_MS;
+    private checkBoot(steady: number): void {
+        const before = this.bootReading;
+        this.bootReading = this.readBoot(steady);
+        this.isBootReliable = Math.abs(this.bootReading.offset - before.offset) < MAX_BOOT_DRIFT_MS;
     }
 
     private readBoot(steady: number): { readonly offset: number; readonly at: number } {
--- a/packages/protocol/src/completions-api.ts
+++ b/packages/protocol/src/completions-api.ts
@@ -1,13 +1,13 @@
 /**
- * The callers' interface in the completions shape: what is checked of a body, and what decisions need of it. Unknown
- * fields are passed on untouched.
+ * Request bodies of the chat completions and completions APIs: their validation, and the values that admission and
+ * placement use. Unknown fields are passed to the engine unchanged.
  *
  * @module
  */
 import { type Static, type TSchema, Type } from "@sinclair/typebox";
 import { Value } from "@sinclair/typebox/value";
 
-const Common = {
+const CommonFields = {
     model: Type.String({ minLength: 1, maxLength: 200 }),
     stream: Type.Optional(Type.Boolean()),
     max_tokens: Type.Optional(Type.Union([Type.Integer({ minimum: 1, maximum: 10_000_000 }), Type.Null()])),
@@ -18,35 +18,35 @@
 
 /** Body of `POST /v1/chat/completions`. */
 export const ChatBody = Type.Object({
-    ...Common,
+    ...CommonFields,
     messages: Type.Array(Type.Object({ role: Type.String({ maxLength: 50 }) }), { minItems: 1, maxItems: 100_000 }),
 });
 
 /** Body of `POST /v1/completions`. */
 export const CompletionBody = Type.Object({
-    ...Common,
+    ...CommonFields,
     prompt: Type.Union([Type.String(), Type.Array(Type.String())]),
 });
 
-/** Either body. */
+/** Body of either API. */
 export type GenerationBody = Static<typeof ChatBody> | Static<typeof CompletionBody>;
 
-/** What is wrong with a body. */
+/** Why a body is invalid. */
 export interface BodyError {
     readonly kind: "badBody";
-    /** The field, such as `/messages/0/role`; empty for the body itself. */
+    /** JSON pointer to the invalid field, such as `/messages/0/role`; empty for the body itself. */
     readonly field: string;
     readonly detail: string;
 }
 
-/** A checked body or what is wrong with it. */
+/** A valid body, or its first error. */
 export type BodyResult = { readonly ok: true; readonly body: GenerationBody } | {
     readonly ok: false;
     readonly err: BodyError;
 };
 
 /**
- * Checks a caller's body.
+ * Validates a caller's body against a schema.
  *
  * @example
  * ```ts
@@ -55,28 +55,28 @@
  * ```
  */
 export function checkBody(schema: TSchema, body: unknown): BodyResult {
-    const first = Value.Errors(schema, body).First();
-    if (first) return { ok: false, err: { kind: "badBody", field: first.path, detail: first.message } };
+    const firstError = Value.Errors(schema, body).First();
+    if (firstError) return { ok: false, err: { kind: "badBody", field: firstError.path, detail: firstError.message } };
     return { ok: true, body: body as GenerationBody };
 }
 
-/** Bytes of a prompt for one token, as far as decisions care. */
-const BYTES_PER_TOKEN = 4;
+/** Estimated bytes of a request body per token of its prompt. */
+const PROMPT_BYTES_PER_TOKEN = 4;
 
-/** What decisions need of a body. */
+/** The values of a body that admission and placement use. */
 export interface BodyFacts {
     readonly model: string;
     readonly stream: boolean;
     readonly promptTokens: number;
-    /** The caller's bound on the output; undefined if it gave none. */
+    /** The caller's limit on output tokens; undefined if it set none. */
     readonly maxTokens: number | undefined;
     readonly prefix: string;
 }
 
 /**
- * What decisions need of a checked body.
+ * Extracts the values that admission and placement use from a valid body.
  *
- * @param bytes Length of the body as it came.
+ * @param bytes Length of the body as received, from which the number of prompt tokens is estimated.
  *
  * @example
  * ```ts
@@ -87,7 +87,7 @@
     return {
         model: body.model,
         stream: body.stream === true,
-        promptTokens: Math.max(1, Math.ceil(bytes / BYTES_PER_TOKEN)),
+        promptTokens: Math.max(1, Math.ceil(bytes / PROMPT_BYTES_PER_TOKEN)),
         maxTokens: body.max_completion_tokens ?? body.max_tokens ?? undefined,
         prefix: body.prompt_cache_key ?? "",
     };
--- a/packages/protocol/src/engine-client.ts
+++ b/packages/protocol/src/engine-client.ts
@@ -1,8 +1,9 @@
 /**
- * A client of one model engine: opens a stream of tokens, resumes it, cancels it, and asks for load.
+ * HTTP client of a model engine: reads or resumes a stream of tokens, cancels a generation, and fetches the load.
  *
- * An engine answers in the completions shape; each event carries `attempt`, `generation`, `token` (its index) and, at
- * the end, `total`. A refusal before running carries the header `x-ran: no`.
+ * An engine answers with the server-sent events of the completions APIs. Each event also carries `attempt`, `generation`
+ * and `token` (its index); the last one has `total` in place of `token`. An engine that refuses a request before it runs
+ * sets the header `x-ran: no`.
  *
  * @module
  */
@@ -12,7 +13,7 @@
 import { errText, neverSent } from "./net-error.js";
 import { withinTime } from "./time-limit.js";
 
-/** What an engine's stream tells, in the order that it came. `data` is the event's text as it came. */
+/** An event of an engine's stream. `data` is the event's text as received. */
 export type EngineEvent =
     | { readonly kind: "opened"; readonly attempt: string; readonly generation: string }
     | {
@@ -32,28 +33,29 @@
 
 /** How a stream ended. */
 export type EngineEnd =
-    /** The connection ended after a `finished` event, or after the last event that it had. */
+    /** The engine ended the response, with or without a `finished` event. */
     | { readonly kind: "closed" }
-    /** The engine proves that it did not run the request. */
+    /** The engine declares that it has not run the request. */
     | {
         readonly kind: "refused";
         readonly status: number;
         readonly detail: string;
         readonly retryAfterMs?: number | undefined;
     }
+    /** The stream broke off; the engine may have run the request. */
     | {
         readonly kind: "lost";
         readonly cause: "connect" | "reset" | "idle" | "firstToken" | "invalid";
         readonly detail: string;
     };
 
-/** Time limits of a stream, in milliseconds. */
+/** How long a stream may be silent before and after its first token, in milliseconds. */
 export interface StreamLimits {
     readonly firstTokenMs: number;
     readonly idleMs: number;
 }
 
-/** What is sent to an engine. */
+/** A request to an engine for a stream. */
 export interface EngineCall {
     readonly dispatcher: Dispatcher;
     readonly url: string;
@@ -65,19 +67,19 @@
     readonly limits: StreamLimits;
 }
 
-/** Takes what a stream tells. */
+/** Receives the events of a stream. */
 export interface EngineSink {
-    /** Returns whether the event moved the request on; an engine that sends only others is taken for silent. */
+    /** Returns whether the event made progress; an engine that sends only events without progress counts as silent. */
     onEvent(event: EngineEvent): boolean;
-    /** Asked after each piece of the stream; while it waits, nothing more is read. */
+    /** Called after each chunk of the stream. Reading pauses until the returned promise, if any, resolves. */
     ready(): Promise<void> | undefined;
 }
 
-/** Largest event that is taken; an engine that sends more is not understood. */
+/** Longest event that is accepted; a longer one ends the stream as invalid. */
 const MAX_EVENT_CHARS = 1_000_000;
-const DONE = "[DONE]";
+const DONE_MARKER = "[DONE]";
 
-interface RawEvent {
+interface RawEngineEvent {
     readonly attempt?: unknown;
     readonly generation?: unknown;
     readonly token?: unknown;
@@ -85,7 +87,7 @@
 }
 
 /**
- * Runs one stream until it ends. It never throws; an aborted signal ends it as lost.
+ * Sends a request and reads its stream to the end. Never throws; an aborted signal ends the stream as lost.
  *
  * @example
  * ```ts
@@ -94,7 +96,7 @@
  * ```
  */
 export async function openStream(call: EngineCall, sink: EngineSink, signal: AbortSignal): Promise<EngineEnd> {
-    const watch = createSilenceWatch(call.limits, signal);
+    const silenceTimer = createSilenceTimer(call.limits, signal);
     try {
         const res = await request(call.url + call.path, {
             method: call.method,
@@ -108,69 +110,74 @@
             dispatcher: call.dispatcher,
             headersTimeout: 0,
             bodyTimeout: 0,
-            signal: watch.signal,
+            signal: silenceTimer.signal,
         });
-        return await readAnswer(res, call.attempt, sink, watch);
+        return await readResponse(res, call.attempt, sink, silenceTimer);
     }
     catch (err) {
-        return { kind: "lost", cause: watch.silent() ?? (neverSent(err) ? "connect" : "reset"), detail: errText(err) };
+        return {
+            kind: "lost",
+            cause: silenceTimer.expiredLimit() ?? (neverSent(err) ? "connect" : "reset"),
+            detail: errText(err),
+        };
     }
     finally {
-        watch.end();
+        silenceTimer.stop();
     }
 }
 
-interface SilenceWatch {
+/** Aborts a stream whose engine makes no progress within the {@link StreamLimits}. */
+interface SilenceTimer {
     readonly signal: AbortSignal;
-    /** A token came: from here on the idle limit holds. */
-    heard(): void;
-    /** Which limit ended the stream, if one did. */
-    silent(): "firstToken" | "idle" | undefined;
-    /** Not reading is not silence: the clock stands still until the next call of `heard`. */
+    /** Restarts the timer after progress; from the first call on the idle limit applies. */
+    restart(): void;
+    /** The limit that has expired; undefined if none has. */
+    expiredLimit(): "firstToken" | "idle" | undefined;
+    /** Stops the timer until the next call of `restart`: an engine is not silent while this host does not read. */
     pause(): void;
-    end(): void;
+    stop(): void;
 }
 
-function createSilenceWatch(limits: StreamLimits, signal: AbortSignal): SilenceWatch {
-    const own = new AbortController();
-    let began = false;
-    let passed: "firstToken" | "idle" | undefined;
+function createSilenceTimer(limits: StreamLimits, signal: AbortSignal): SilenceTimer {
+    const controller = new AbortController();
+    let isIdleTimerArmed = false;
+    let expired: "firstToken" | "idle" | undefined;
     const onSilence = (): void => {
-        passed = began ? "idle" : "firstToken";
-        own.abort();
+        expired = isIdleTimerArmed ? "idle" : "firstToken";
+        controller.abort();
     };
-    const onAbort = (): void => own.abort();
+    const onAbort = (): void => controller.abort();
     signal.addEventListener("abort", onAbort, { once: true });
-    if (signal.aborted) own.abort();
+    if (signal.aborted) controller.abort();
     let timer = setTimeout(onSilence, limits.firstTokenMs);
     return {
-        signal: own.signal,
-        heard: () => {
-            if (began) {
+        signal: controller.signal,
+        restart: () => {
+            if (isIdleTimerArmed) {
                 timer.refresh();
                 return;
             }
-            began = true;
+            isIdleTimerArmed = true;
             clearTimeout(timer);
             timer = setTimeout(onSilence, limits.idleMs);
         },
-        silent: () => passed,
+        expiredLimit: () => expired,
         pause: () => {
             clearTimeout(timer);
-            began = false;
+            isIdleTimerArmed = false;
         },
-        end: () => {
+        stop: () => {
             clearTimeout(timer);
             signal.removeEventListener("abort", onAbort);
         },
     };
 }
 
-async function readAnswer(
+async function readResponse(
     res: Dispatcher.ResponseData,
     attempt: string,
     sink: EngineSink,
-    watch: SilenceWatch,
+    silenceTimer: SilenceTimer,
 ): Promise<EngineEnd> {
     const { statusCode, headers, body } = res;
     if (statusCode !== 200) return readRefusal(res);
@@ -181,90 +188,92 @@
     }
     const generation = headers["x-generation-id"];
     if (typeof generation === "string") sink.onEvent({ kind: "opened", attempt, generation });
-    let bad: string | undefined;
+    let invalidReason: string | undefined;
     const parser = createParser({
         onEvent: ({ data }) => {
-            const event = readEvent(data);
-            if (event === "invalid") bad ??= "an event that is not in the completions shape";
+            const event = parseEvent(data);
+            if (event === "invalid") invalidReason ??= "an event that is not in the completions shape";
             else if (event) {
-                if (sink.onEvent(event)) watch.heard();
+                if (sink.onEvent(event)) silenceTimer.restart();
             }
         },
     });
-    return readBody(body, parser, () => bad, sink, watch);
+    return readBody(body, parser, () => invalidReason, sink, silenceTimer);
 }
 
 /**
- * Feeds a body to the parser until it ends. By events and not by an async iterator: with a piece for each token of
- * hundreds of streams the iterator's promises cost more than the parsing.
+ * Feeds a response body to the parser until it ends. Uses `data` events in place of an async iterator: with one chunk
+ * per token in hundreds of streams, the iterator's promises cost more than the parsing.
  */
 function readBody(
     body: Dispatcher.ResponseData["body"],
     parser: { feed(text: string): void },
-    badEvent: () => string | undefined,
+    invalidEventReason: () => string | undefined,
     sink: EngineSink,
-    watch: SilenceWatch,
+    silenceTimer: SilenceTimer,
 ): Promise<EngineEnd> {
     return new Promise((resolve, reject) => {
-        let pending = 0;
+        let pendingChars = 0;
         const decoder = new StringDecoder("utf8");
         body.on("error", reject);
         body.on("end", () => resolve({ kind: "closed" }));
         body.on("data", (chunk: Buffer) => {
             const text = decoder.write(chunk);
-            // The parser holds an event until its end: an event without end must not fill the memory.
-            pending = text.includes("\n") ? text.length : pending + text.length;
-            const tooLong = pending > MAX_EVENT_CHARS;
+            // The parser buffers an event until it is complete, so an endless event must be cut off to bound memory.
+            pendingChars = text.includes("\n") ? text.length : pendingChars + text.length;
+            const tooLong = pendingChars > MAX_EVENT_CHARS;
             if (!tooLong) parser.feed(text);
-            const bad = tooLong ? `an event of more than ${MAX_EVENT_CHARS} characters` : badEvent();
-            if (bad !== undefined) {
-                resolve({ kind: "lost", cause: "invalid", detail: bad });
+            const invalidReason = tooLong
+                ? `an event of more than ${MAX_EVENT_CHARS} characters`
+                : invalidEventReason();
+            if (invalidReason !== undefined) {
+                resolve({ kind: "lost", cause: "invalid", detail: invalidReason });
                 body.destroy();
                 return;
             }
-            const waiting = sink.ready();
-            if (waiting) holdBack(body, waiting, watch);
+            const whenReady = sink.ready();
+            if (whenReady) pauseUntil(body, whenReady, silenceTimer);
         });
     });
 }
 
-/** Reads nothing more until the caller has taken what it was sent; silence does not count meanwhile. */
-function holdBack(body: Dispatcher.ResponseData["body"], waiting: Promise<void>, watch: SilenceWatch): void {
+/** Pauses reading until the promise resolves, such as when the caller has read what it was sent; stops the silence timer meanwhile. */
+function pauseUntil(body: Dispatcher.ResponseData["body"], whenReady: Promise<void>, silenceTimer: SilenceTimer): void {
     body.pause();
-    watch.pause();
-    void waiting.then(() => {
-        watch.heard();
+    silenceTimer.pause();
+    void whenReady.then(() => {
+        silenceTimer.restart();
         body.resume();
     });
 }
 
 async function readRefusal({ statusCode, headers, body }: Dispatcher.ResponseData): Promise<EngineEnd> {
     const text = await body.text();
-    const detail = `${statusCode}: ${refusalText(text)}`;
+    const detail = `${statusCode}: ${errorMessageOf(text)}`;
     if (headers["x-ran"] !== "no") return { kind: "lost", cause: "invalid", detail };
     const seconds = Number(headers["retry-after"]);
     const retryAfterMs = Number.isFinite(seconds) && headers["retry-after"] !== undefined ? seconds * 1000 : undefined;
     return { kind: "refused", status: statusCode, detail, retryAfterMs };
 }
 
-const MAX_DETAIL = 200;
+const MAX_DETAIL_CHARS = 200;
 
-function refusalText(text: string): string {
+function errorMessageOf(text: string): string {
     try {
         const message = (JSON.parse(text) as { error?: { message?: unknown } }).error?.message;
-        return typeof message === "string" ? message.slice(0, MAX_DETAIL) : "no reason given";
+        return typeof message === "string" ? message.slice(0, MAX_DETAIL_CHARS) : "no reason given";
     }
     catch {
         return "an answer that is not JSON";
     }
 }
 
-/** One event's data; undefined for what carries nothing, such as the closing mark. */
-function readEvent(data: string): EngineEvent | "invalid" | undefined {
-    if (data === DONE) return undefined;
-    let raw: RawEvent;
+/** Parses the data of one event; undefined if it is neither a token nor the end, such as the `[DONE]` marker. */
+function parseEvent(data: string): EngineEvent | "invalid" | undefined {
+    if (data === DONE_MARKER) return undefined;
+    let raw: RawEngineEvent;
     try {
-        raw = JSON.parse(data) as RawEvent;
+        raw = JSON.parse(data) as RawEngineEvent;
     }
     catch {
         return "invalid";
@@ -276,19 +285,19 @@
     return undefined;
 }
 
-/** Load as an engine reports it. */
+/** An engine's load report. */
 export interface EngineLoadReport {
     readonly running: number;
     readonly waiting: number;
     readonly memoryUsed: number;
     readonly preemptions: number;
     readonly leaving: boolean;
-    /** Age of the figures when they were sent, in milliseconds. */
+    /** Age of the measurements when the engine sent them, in milliseconds. */
     readonly ageMs: number;
 }
 
 /**
- * Asks an engine for its load; undefined where it gives no sensible answer in time.
+ * Fetches an engine's load report; undefined if no valid one arrives in time.
  *
  * @example
  * ```ts
@@ -326,8 +335,10 @@
 }
 
 /**
- * Tells an engine to cancel, by generation where it is known, else by attempt. Failing is harmless: the engine also ends
- * work whose connection is gone.
+ * Asks an engine to cancel a stream, by its generation if that is known, else by its attempt. A failure is harmless: the
+ * engine also stops work whose connection has closed.
+ *
+ * @returns Whether the engine confirmed the cancellation.
  */
 export async function cancelStream(
     dispatcher: Dispatcher,
--- a/packages/protocol/src/etcd.ts
+++ b/packages/protocol/src/etcd.ts
@@ -1,6 +1,6 @@
 /**
- * The key-value interface over the JSON form of the etcd v3 API (gRPC gateway: `/v3/kv/range`, `/v3/kv/txn`,
- * `/v3/lease/*`, `/v3/watch`). Keys and values travel in base64, numbers as text.
+ * Implements {@link KeyValue} on the JSON API of etcd v3 (gRPC gateway: `/v3/kv/range`, `/v3/kv/txn`, `/v3/lease/*`,
+ * `/v3/watch`), which encodes keys and values in base64 and 64-bit integers as strings.
  *
  * @module
  */
@@ -18,15 +18,15 @@
 import { neverSent } from "./net-error.js";
 import { withinTime } from "./time-limit.js";
 
-/** Where the service is and how long a call may take. */
+/** Address of the service and time limit of a call. */
 export interface EtcdCfg {
     readonly url: string;
     readonly timeoutMs: number;
     readonly dispatcher?: Dispatcher;
 }
 
-/** Adapters of services that are not restored under their clients count no epochs. */
-const ONLY_EPOCH = 0;
+/** etcd reports no epoch: this client assumes that the service is never restored from a backup while it is in use. */
+const CONSTANT_EPOCH = 0;
 
 interface RawHeader {
     readonly revision: string;
@@ -44,20 +44,20 @@
     readonly compact_revision?: string;
 }
 
-const base64 = (value: string): string => Buffer.from(value, "utf8").toString("base64");
-const plain = (encoded: string | undefined): string => Buffer.from(encoded ?? "", "base64").toString("utf8");
+const encodeBase64 = (value: string): string => Buffer.from(value, "utf8").toString("base64");
+const decodeBase64 = (encoded: string | undefined): string => Buffer.from(encoded ?? "", "base64").toString("utf8");
 
-/** The first key after all keys with a prefix. */
+/** Returns the first key that sorts after all keys with a prefix. */
 function prefixEnd(prefix: string): string {
     return prefix.slice(0, -1) + String.fromCharCode(prefix.charCodeAt(prefix.length - 1) + 1);
 }
 
 function toEntry(raw: RawKv): KvEntry {
-    return { key: plain(raw.key), value: plain(raw.value), modRevision: Number(raw.mod_revision) };
+    return { key: decodeBase64(raw.key), value: decodeBase64(raw.value), modRevision: Number(raw.mod_revision) };
 }
 
 /**
- * A client of one service.
+ * Creates a client of one service.
  *
  * @example
  * ```ts
@@ -76,9 +76,9 @@
                     signal: limited,
                     ...(cfg.dispatcher ? { dispatcher: cfg.dispatcher } : {}),
                 });
-                const answer = await res.body.json();
-                if (res.statusCode !== 200) return { ok: false, err: refusal(res.statusCode, answer) };
-                return kvOk(answer as T);
+                const responseBody = await res.body.json();
+                if (res.statusCode !== 200) return { ok: false, err: toStatusError(res.statusCode, responseBody) };
+                return kvOk(responseBody as T);
             });
         }
         catch (err) {
@@ -87,19 +87,19 @@
     };
     return {
         get: async (key, signal) => {
-            const res = await call<{ kvs?: RawKv[] }>("/v3/kv/range", { key: base64(key) }, signal);
+            const res = await call<{ kvs?: RawKv[] }>("/v3/kv/range", { key: encodeBase64(key) }, signal);
             const raw = res.ok ? res.value.kvs?.[0] : undefined;
             return res.ok ? kvOk(raw ? toEntry(raw) : undefined) : res;
         },
         list: async (prefix, signal) => {
-            const body = { key: base64(prefix), range_end: base64(prefixEnd(prefix)) };
+            const body = { key: encodeBase64(prefix), range_end: encodeBase64(prefixEnd(prefix)) };
             const res = await call<{ header: RawHeader; kvs?: RawKv[] }>("/v3/kv/range", body, signal);
             if (!res.ok) return res;
             const revision = Number(res.value.header.revision);
-            return kvOk({ entries: (res.value.kvs ?? []).map(toEntry), revision, epoch: ONLY_EPOCH });
+            return kvOk({ entries: (res.value.kvs ?? []).map(toEntry), revision, epoch: CONSTANT_EPOCH });
         },
         commit: async (commit, signal) => {
-            const res = await call<{ succeeded?: boolean }>("/v3/kv/txn", txnOf(commit), signal);
+            const res = await call<{ succeeded?: boolean }>("/v3/kv/txn", toTxnBody(commit), signal);
             return res.ok ? kvOk(res.value.succeeded === true) : res;
         },
         grantLease: async (ttlS, signal) => {
@@ -114,31 +114,31 @@
             const res = await call<unknown>("/v3/lease/revoke", { ID: lease }, signal);
             return res.ok ? kvOk(undefined) : res;
         },
-        watch: (range, onChanges, signal) => watch(cfg, range, onChanges, signal),
+        watch: (range, onChanges, signal) => watchPrefix(cfg, range, onChanges, signal),
     };
 }
 
-function txnOf({ conditions, puts, deletes }: KvCommit): object {
+function toTxnBody({ conditions, puts, deletes }: KvCommit): object {
     const compare = conditions.map(({ key, modRevision }) => ({
-        key: base64(key),
+        key: encodeBase64(key),
         target: "MOD",
         result: "EQUAL",
         mod_revision: String(modRevision),
     }));
     const putOps = puts.map(({ key, value, lease }) => ({
-        request_put: { key: base64(key), value: base64(value), ...(lease === undefined ? {} : { lease }) },
+        request_put: { key: encodeBase64(key), value: encodeBase64(value), ...(lease === undefined ? {} : { lease }) },
     }));
-    const deleteOps = (deletes ?? []).map(key => ({ request_delete_range: { key: base64(key) } }));
+    const deleteOps = (deletes ?? []).map(key => ({ request_delete_range: { key: encodeBase64(key) } }));
     return { compare, success: [...putOps, ...deleteOps], failure: [] };
 }
 
-async function watch(
+async function watchPrefix(
     cfg: EtcdCfg,
     { prefix, after }: KvWatch,
     onChanges: (changes: readonly KvChange[]) => void,
     signal: AbortSignal,
 ): Promise<KvError> {
-    const range = { key: base64(prefix), range_end: base64(prefixEnd(prefix)) };
+    const range = { key: encodeBase64(prefix), range_end: encodeBase64(prefixEnd(prefix)) };
     const create = after === undefined ? range : { ...range, start_revision: String(after + 1) };
     try {
         const res = await request(`${cfg.url}/v3/watch`, {
@@ -150,28 +150,29 @@
             signal,
             ...(cfg.dispatcher ? { dispatcher: cfg.dispatcher } : {}),
         });
-        let rest = "";
+        let partialLine = "";
         for await (const chunk of res.body.setEncoding("utf8")) {
-            const lines = (rest + String(chunk)).split("\n");
-            rest = lines.pop()!;
+            const lines = (partialLine + String(chunk)).split("\n");
+            partialLine = lines.pop()!;
             for (const line of lines) {
-                const err = tellChanges(line, onChanges);
+                const err = deliverChanges(line, onChanges);
                 if (err) return err;
             }
         }
-        return { kind: "away", detail: "the watch ended", tookEffect: "no" };
+        return { kind: "away", detail: "the service closed the watch", tookEffect: "no" };
     }
     catch (err) {
         return toKvError(err);
     }
 }
 
-function tellChanges(line: string, onChanges: (changes: readonly KvChange[]) => void): KvError | undefined {
+/** Passes on the changes in one line of a watch's response; returns an error if the line ends the watch. */
+function deliverChanges(line: string, onChanges: (changes: readonly KvChange[]) => void): KvError | undefined {
     if (line.trim() === "") return undefined;
     const message = JSON.parse(line) as { result?: RawWatchResult };
     const { events = [], canceled, compact_revision: compacted } = message.result ?? {};
     if (compacted !== undefined && Number(compacted) > 0) return { kind: "compacted", detail: `up to ${compacted}` };
-    if (canceled === true) return { kind: "away", detail: "the watch was cancelled", tookEffect: "no" };
+    if (canceled === true) return { kind: "away", detail: "the service cancelled the watch", tookEffect: "no" };
     onChanges(events.map(({ type, kv }) => {
         const { key, value, modRevision } = toEntry(kv);
         return { key, value: type === "DELETE" ? undefined : value, modRevision };
@@ -179,10 +180,10 @@
     return undefined;
 }
 
-function refusal(status: number, answer: unknown): KvError {
-    const message = (answer as { message?: unknown } | null)?.message;
+function toStatusError(status: number, responseBody: unknown): KvError {
+    const message = (responseBody as { message?: unknown } | null)?.message;
     const detail = `${status}: ${typeof message === "string" ? message : "no reason given"}`;
-    // A server's own fault may come after the write was stored; a client's fault comes before.
+    // A server error may occur after the write was stored; a client error is reported before anything is written.
     return status >= 500 ? { kind: "away", detail, tookEffect: "unknown" } : { kind: "refused", detail };
 }
 
--- a/packages/protocol/src/event-splitter.ts
+++ b/packages/protocol/src/event-splitter.ts
@@ -1,17 +1,17 @@
 /**
- * Cuts a stream of server-sent events into whole events, bytes unchanged, so that what breaks off inside an event is
- * never passed on.
+ * Splits a stream of server-sent events into complete events without changing their bytes, so that an event that breaks
+ * off is never forwarded in part.
  *
  * @module
  */
 
-/** One whole event as it came. */
+/** One complete server-sent event as received. */
 export interface WholeEvent {
-    /** All its bytes, the blank line at its end included. */
+    /** All bytes of the event, including the blank line that ends it. */
     readonly bytes: Buffer;
-    /** Its `id` field; undefined if it has none. */
+    /** The `id` field; undefined if the event has none. */
     readonly id: string | undefined;
-    /** Whether it carries data: one that does not, such as a comment, says nothing to the caller. */
+    /** Whether the event has a `data` field; events without one, such as comments, carry nothing for the caller. */
     readonly hasData: boolean;
 }
 
@@ -19,12 +19,12 @@
 const CR = 13;
 const EMPTY = Buffer.alloc(0);
 
-/** Takes bytes as they come and gives whole events. */
+/** Splits chunks of bytes into complete events and keeps the rest for the next chunk. */
 export class EventSplitter {
-    private rest: Buffer = EMPTY;
+    private pending: Buffer = EMPTY;
 
     /**
-     * Events that are whole with this chunk.
+     * Returns the events that this chunk completes.
      *
      * @example
      * ```ts
@@ -32,7 +32,7 @@
      * ```
      */
     push(chunk: Buffer): readonly WholeEvent[] {
-        const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+        const bytes = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
         const events: WholeEvent[] = [];
         let start = 0;
         for (;;) {
@@ -42,17 +42,17 @@
             events.push({ bytes: event, ...fieldsOf(event) });
             start = end;
         }
-        this.rest = bytes.subarray(start);
+        this.pending = bytes.subarray(start);
         return events;
     }
 
-    /** What came after the last whole event. */
+    /** The bytes received after the last complete event. */
     get unfinished(): Buffer {
-        return this.rest;
+        return this.pending;
     }
 }
 
-/** Where the event that begins at `start` ends: after its first blank line. */
+/** Returns the end of the event that begins at `start`, after its first blank line; undefined if it is incomplete. */
 function endOfEvent(bytes: Buffer, start: number): number | undefined {
     let lineStart = start;
     for (;;) {
--- a/packages/protocol/src/host-list.ts
+++ b/packages/protocol/src/host-list.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's list of live and leaving hosts.
+ * Client of the platform's list of live and leaving hosts.
  *
  * @module
  */
@@ -8,29 +8,29 @@
 import { request } from "undici";
 import { withinTime } from "./time-limit.js";
 
-const Listed = Type.Object({
+const ListedHostSchema = Type.Object({
     name: Type.String(),
     hall: Type.String(),
     state: Type.Union([Type.Literal("live"), Type.Literal("leaving")]),
-    /** Where an entry host listens for its peers, as `ip:port`. */
+    /** Address on which the host listens for its peers, as `ip:port`; absent on machines that run only an endpoint. */
     peer: Type.Optional(Type.String()),
-    /** Name of the endpoint that runs on the machine. */
+    /** Name of the endpoint that runs on the same machine. */
     endpoint: Type.Optional(Type.String()),
 });
-const HostList = Type.Object({ hosts: Type.Array(Listed) });
+const HostListSchema = Type.Object({ hosts: Type.Array(ListedHostSchema) });
 
-/** A machine as the platform lists it. */
-export type ListedMachine = Static<typeof Listed>;
+/** An entry of the platform's list. */
+export type ListedHost = Static<typeof ListedHostSchema>;
 
-/** The list with the size of the answer, by which a host paces its questions. */
+/** The listed hosts, and the size of the response, which determines how often a host polls the list. */
 export interface HostListAnswer {
-    readonly hosts: readonly ListedMachine[];
+    readonly hosts: readonly ListedHost[];
     readonly bytes: number;
 }
 
 /**
- * Asks for the machines of a hall; undefined where there is no sensible answer in time. A list that knows no `hall` in
- * the query answers with all.
+ * Fetches the hosts of a hall; undefined if no valid response arrives in time. A server that does not support the query
+ * parameter `hall` returns the hosts of all halls.
  *
  * @example
  * ```ts
@@ -49,7 +49,7 @@
             return { status: res.statusCode, text: await res.body.text() };
         });
         const answer = JSON.parse(text) as unknown;
-        if (status !== 200 || !Value.Check(HostList, answer)) return undefined;
+        if (status !== 200 || !Value.Check(HostListSchema, answer)) return undefined;
         return { hosts: answer.hosts, bytes: text.length };
     }
     catch {
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -22,7 +22,7 @@
 } from "./engine-client.js";
 export { createEtcd, type EtcdCfg } from "./etcd.js";
 export { EventSplitter, type WholeEvent } from "./event-splitter.js";
-export { fetchHosts, type HostListAnswer, type ListedMachine } from "./host-list.js";
+export { fetchHosts, type HostListAnswer, type ListedHost } from "./host-list.js";
 export {
     type KeyValue,
     type KvChange,
--- a/packages/protocol/src/net-error.ts
+++ b/packages/protocol/src/net-error.ts
@@ -1,9 +1,10 @@
 /**
- * What an error of the network layer proves.
+ * Classifies and formats errors of network calls.
  *
  * @module
  */
 
+/** Error codes of connections that were never established. */
 const NEVER_SENT_CODES: ReadonlySet<string> = new Set([
     "ECONNREFUSED",
     "EHOSTUNREACH",
@@ -20,7 +21,8 @@
 }
 
 /**
- * Whether an error proves that no byte left: the connection was never there. A reset or an abort proves nothing.
+ * Whether an error proves that nothing was sent because the connection was never established. A reset or an abort does
+ * not prove it.
  *
  * @example
  * ```ts
@@ -36,7 +38,7 @@
     return cause !== undefined && neverSent(cause);
 }
 
-/** An error's text in short, for details and logs. */
+/** Formats an error as a short text for `detail` members and logs. */
 export function errText(err: unknown): string {
     if (!(err instanceof Error)) return String(err);
     const { code } = err as NetError;
--- a/packages/protocol/src/peer-codec.ts
+++ b/packages/protocol/src/peer-codec.ts
@@ -1,30 +1,30 @@
 /**
- * Frames between hosts: a length of four bytes, then one message in CBOR. Every message names its kind; a frame that is
- * too long, not CBOR, or of no known kind is an error of the connection.
+ * Frames between hosts: a big-endian length of four bytes, then one message in CBOR. Every message has a `kind`. A frame
+ * that is too long, is not CBOR or contains no message with a `kind` makes the rest of the connection unreadable.
  *
  * @module
  */
 import { decode, encode } from "cbor-x";
 
-/** Version of the messages between hosts; another one is refused. */
+/** Version of the messages between hosts; a peer with another version is refused. */
 export const PEER_VERSION = 10;
-/** Largest frame: a whole tree of settings with room to spare. */
+/** Largest frame, which leaves ample room for a complete settings tree. */
 export const MAX_FRAME_BYTES = 8_000_000;
 const LENGTH_BYTES = 4;
 
-/** Why bytes from a peer are not understood. */
+/** Why bytes from a peer cannot be decoded. */
 export type FrameError =
     | { readonly kind: "tooLong"; readonly bytes: number }
     | { readonly kind: "notCbor"; readonly detail: string }
     | { readonly kind: "notAMessage" };
 
-/** Anything that travels in a frame. */
+/** Base of all messages between hosts. */
 export interface FrameMessage {
     readonly kind: string;
 }
 
 /**
- * A message as a frame.
+ * Encodes a message as a frame.
  *
  * @example
  * ```ts
@@ -39,27 +39,27 @@
     return frame;
 }
 
-/** Takes bytes as they come and gives whole messages. After an error it gives nothing more. */
+/** Decodes chunks of bytes into messages. After an error it returns no more messages. */
 export class FrameReader {
     private chunks: Buffer[] = [];
-    private held = 0;
+    private bufferedBytes = 0;
     private failed = false;
 
     constructor(private readonly maxBytes = MAX_FRAME_BYTES) {}
 
-    /** Messages that are whole now, or what is wrong. */
+    /** Returns the messages that this chunk completes, and the error if one follows them. */
     push(chunk: Buffer): { readonly messages: readonly FrameMessage[]; readonly err?: FrameError } {
         const messages: FrameMessage[] = [];
         if (this.failed) return { messages };
         this.chunks.push(chunk);
-        this.held += chunk.length;
+        this.bufferedBytes += chunk.length;
         for (;;) {
             const length = this.peekLength();
             if (length !== undefined && length > this.maxBytes) {
                 return this.fail(messages, { kind: "tooLong", bytes: length });
             }
-            if (length === undefined || this.held < LENGTH_BYTES + length) return { messages };
-            const read = readMessage(this.take(LENGTH_BYTES + length).subarray(LENGTH_BYTES));
+            if (length === undefined || this.bufferedBytes < LENGTH_BYTES + length) return { messages };
+            const read = decodeMessage(this.consume(LENGTH_BYTES + length).subarray(LENGTH_BYTES));
             if ("err" in read) return this.fail(messages, read.err);
             messages.push(read.message);
         }
@@ -75,21 +75,21 @@
     }
 
     private peekLength(): number | undefined {
-        if (this.held < LENGTH_BYTES) return undefined;
+        if (this.bufferedBytes < LENGTH_BYTES) return undefined;
         if (this.chunks[0]!.length < LENGTH_BYTES) this.chunks = [Buffer.concat(this.chunks)];
         return this.chunks[0]!.readUInt32BE(0);
     }
 
-    private take(bytes: number): Buffer {
+    private consume(bytes: number): Buffer {
         const all = this.chunks.length === 1 ? this.chunks[0]! : Buffer.concat(this.chunks);
         const rest = all.subarray(bytes);
         this.chunks = rest.length > 0 ? [rest] : [];
-        this.held = rest.length;
+        this.bufferedBytes = rest.length;
         return all.subarray(0, bytes);
     }
 }
 
-function readMessage(body: Buffer): { readonly message: FrameMessage } | { readonly err: FrameError } {
+function decodeMessage(body: Buffer): { readonly message: FrameMessage } | { readonly err: FrameError } {
     try {
         const message = decode(body) as unknown;
         const kind = typeof message === "object" && message !== null ? (message as { kind?: unknown }).kind : undefined;
--- a/packages/protocol/src/peer-mesh.ts
+++ b/packages/protocol/src/peer-mesh.ts
@@ -1,9 +1,10 @@
 /**
- * Connections between hosts over TCP: one per pair, opened when there is something to send, checked by version and
- * shared secret before anything else is taken, bounded in what waits to be sent.
+ * TCP connections between hosts. Each pair of hosts shares one connection, which is opened when there is a message to
+ * send. The queue of unsent bytes is bounded.
  *
- * A connection begins with a `hello` from both sides; each then proves that it knows a shared secret by a MAC over the
- * other's nonce. Messages wait until both proofs are good.
+ * Both sides of a connection begin with a `hello`, which carries their protocol version. Each then proves that it knows a
+ * shared secret with a MAC over the other's nonce. A host sends and accepts other messages only after it has verified the
+ * peer's proof.
  *
  * @module
  */
@@ -20,34 +21,34 @@
     | { readonly kind: "slow"; readonly waitingBytes: number }
     | { readonly kind: "closed"; readonly detail: string };
 
-/** Who is at the other end. */
+/** The host at the other end of a connection. */
 export interface PeerName {
     readonly name: string;
     readonly address: string;
 }
 
-/** What the mesh is made of. */
+/** Configuration and callbacks of a mesh. */
 export interface MeshCfg {
     readonly name: string;
     readonly listen: { readonly ip: string; readonly port: number };
-    /** The first is used; the others are accepted too, while they are being replaced. */
+    /** The first secret signs and all are accepted, so that secrets can be rotated. */
     readonly secrets: readonly string[];
     readonly onMessage: (from: PeerName, message: FrameMessage) => void;
     readonly onError: (peer: string, err: PeerError) => void;
     readonly onBytes: (direction: "in" | "out", bytes: number) => void;
-    /** Bounds what waits for peers; where it is not given, a fixed bound on each link ends it. */
+    /** Bounds the send queues; if absent, a link whose queue exceeds a fixed bound is closed. */
     readonly waiting?: WaitingBounds;
     readonly clock: Clock;
     readonly signal: AbortSignal;
 }
 
-/** Bounds on what waits for peers that read slowly. */
+/** Bounds the send queues of peers that read slowly. */
 export interface WaitingBounds {
-    /** How much may wait for one peer before what is sent to it is dropped, in bytes; undefined for the fixed bound. */
+    /** Queued bytes per peer above which further messages to it are dropped; undefined for the fixed bound. */
     most(): number | undefined;
-    /** What waits on a link has changed. */
+    /** Called when the number of queued bytes of a link changes. */
     onChange(link: number, bytes: number): void;
-    /** A message was dropped. */
+    /** Called when a message is dropped. */
     onDrop(): void;
 }
 
@@ -64,46 +65,51 @@
     readonly mac: Uint8Array;
 }
 
+/** One connection to a peer. */
 interface Link {
-    /** Tells it from all others of this host, so that two to the same peer are two. */
+    /** Unique among all links of this host, including two links to the same peer. */
     readonly id: number;
     readonly socket: Socket;
     readonly nonce: Buffer;
-    readonly dialled: string | undefined;
+    /** The address that this host has dialled; undefined if the peer opened the connection. */
+    readonly dialledTo: string | undefined;
     peer: PeerName | undefined;
-    /** Their proof was good. */
-    trusted: boolean;
-    readonly unsent: Buffer[];
-    /** What waits to be sent, as it was told last. */
-    waitingBytes: number;
+    /** Whether the peer's proof was valid. */
+    isAuthenticated: boolean;
+    /** Frames that wait for the peer's proof. */
+    readonly unsentFrames: Buffer[];
+    /** Bytes that wait to be sent, as last reported to {@link WaitingBounds}. */
+    queuedBytes: number;
 }
 
 const NONCE_BYTES = 16;
 const CONNECT_TIMEOUT_MS = 1_000;
-const HELLO_TIMEOUT_MS = 2_000;
-/** A peer that reads nothing while this much waits is cut off; soft state is sent again anyway. */
-const MAX_WAITING_BYTES = 16_000_000;
-/** Messages that wait for a peer's proof. */
-const MAX_UNSENT = 64;
-const FIRST_REDIAL_MS = 100;
-const LONGEST_REDIAL_MS = 3_000;
+const HANDSHAKE_TIMEOUT_MS = 2_000;
+/** A link with more queued bytes is closed. Nothing of lasting value is lost: hosts share only soft state, which they send again. */
+const MAX_QUEUED_BYTES = 16_000_000;
+/** Most frames that wait for a peer's proof; further ones are dropped. */
+const MAX_UNSENT_FRAMES = 64;
+const MIN_REDIAL_DELAY_MS = 100;
+const MAX_REDIAL_DELAY_MS = 3_000;
 
 /** Connections of one host to its peers. */
 export class PeerMesh {
-    private readonly links = new Map<string, Link>();
+    /** The link on which messages to an address are sent. */
+    private readonly byAddress = new Map<string, Link>();
     private readonly server: Server;
-    private readonly adopted = new Map<number, Link>();
-    /** When an address may be dialled again, and the pause after its next failure. */
-    private readonly redial = new Map<string, { at: number; pauseMs: number }>();
+    /** All open links, by {@link Link.id}. */
+    private readonly openLinks = new Map<number, Link>();
+    /** By address: when it may be dialled again, and the upper bound of the last delay, which doubles with each failure. */
+    private readonly redialBackoffs = new Map<string, { at: number; pauseMs: number }>();
     private address = "";
-    private opened = 0;
+    private lastLinkId = 0;
 
     private constructor(private readonly cfg: MeshCfg) {
-        this.server = createServer(socket => this.adopt(socket, undefined));
+        this.server = createServer(socket => this.attachSocket(socket, undefined));
         cfg.signal.addEventListener("abort", () => this.close(), { once: true });
     }
 
-    /** Starts to listen. */
+    /** Creates a mesh and listens for peers. */
     static async listen(cfg: MeshCfg): Promise<PeerMesh> {
         const mesh = new PeerMesh(cfg);
         const { ip, port } = cfg.listen;
@@ -116,72 +122,78 @@
         return mesh;
     }
 
-    /** Where peers reach this host, as `ip:port`. */
+    /** The address on which this host listens for peers, as `ip:port`. */
     get at(): string {
         return this.address;
     }
 
-    /** Open connections, in both directions. */
+    /** Number of open connections, dialled and accepted. */
     get size(): number {
-        return this.adopted.size;
+        return this.openLinks.size;
     }
 
-    /** Sends to an address. Nothing is promised: what cannot be sent soon is dropped. */
+    /** Sends a message to an address, with no guarantee: it is dropped if it cannot be sent soon. */
     send(address: string, message: FrameMessage): void {
         this.sendAll([address], message);
     }
 
-    /** The same to several addresses: the message is encoded once. */
+    /** Sends a message to several addresses as {@link send} does, but encodes it only once. */
     sendAll(addresses: readonly string[], message: FrameMessage): void {
         const frame = encodeFrame(message);
         for (const address of addresses) {
             if (this.cfg.signal.aborted || address === this.address) continue;
-            const link = this.links.get(address) ?? this.dial(address);
+            const link = this.byAddress.get(address) ?? this.dial(address);
             if (link) this.write(link, frame, false);
         }
     }
 
     private dial(address: string): Link | undefined {
-        const wait = this.redial.get(address);
-        if (wait && this.cfg.clock.now() < wait.at) return undefined;
-        const at = address.lastIndexOf(":");
-        const socket = connect({ host: address.slice(0, at), port: Number(address.slice(at + 1)) });
+        const backoff = this.redialBackoffs.get(address);
+        if (backoff && this.cfg.clock.now() < backoff.at) return undefined;
+        const portSeparator = address.lastIndexOf(":");
+        const socket = connect({
+            host: address.slice(0, portSeparator),
+            port: Number(address.slice(portSeparator + 1)),
+        });
         socket.setTimeout(
             CONNECT_TIMEOUT_MS,
-            () => socket.connecting && socket.destroy(new Error("connecting took too long")),
+            () => socket.connecting && socket.destroy(new Error("connection attempt timed out")),
         );
-        return this.adopt(socket, address);
+        return this.attachSocket(socket, address);
     }
 
-    private adopt(socket: Socket, dialled: string | undefined): Link {
-        this.opened += 1;
+    private attachSocket(socket: Socket, dialled: string | undefined): Link {
+        this.lastLinkId += 1;
         const link: Link = {
-            id: this.opened,
+            id: this.lastLinkId,
             socket,
             nonce: randomBytes(NONCE_BYTES),
-            dialled,
+            dialledTo: dialled,
             peer: undefined,
-            trusted: false,
-            unsent: [],
-            waitingBytes: 0,
+            isAuthenticated: false,
+            unsentFrames: [],
+            queuedBytes: 0,
         };
         const reader = new FrameReader();
-        this.adopted.set(link.id, link);
-        if (dialled !== undefined) this.links.set(dialled, link);
+        this.openLinks.set(link.id, link);
+        if (dialled !== undefined) this.byAddress.set(dialled, link);
         socket.setNoDelay(true);
-        const timer = setTimeout(() => link.trusted || socket.destroy(new Error("no proof in time")), HELLO_TIMEOUT_MS);
+        const timer = setTimeout(
+            () => link.isAuthenticated || socket.destroy(new Error("handshake timed out")),
+            HANDSHAKE_TIMEOUT_MS,
+        );
         socket.on("data", chunk => {
             this.cfg.onBytes("in", chunk.length);
             const { messages, err } = reader.push(chunk);
-            for (const message of messages) if (!socket.destroyed) this.take(link, message);
-            if (err) this.cut(link, { kind: "badFrame", detail: err.kind });
+            for (const message of messages) if (!socket.destroyed) this.handleMessage(link, message);
+            if (err) this.fail(link, { kind: "badFrame", detail: err.kind });
         });
-        socket.on("drain", () => this.noteWaiting(link, waitingFor(link)));
+        socket.on("drain", () => this.setQueuedBytes(link, unsentBytesOf(link)));
         let failure: string | undefined;
         socket.on("error", err => failure = err.message);
         socket.on("close", () => {
             clearTimeout(timer);
-            this.forget(link, failure);
+            this.handleClose(link, failure);
         });
         const hello: Hello = {
             kind: "hello",
@@ -194,119 +206,130 @@
         return link;
     }
 
-    private forget(link: Link, failure: string | undefined): void {
-        this.adopted.delete(link.id);
-        this.noteWaiting(link, 0);
-        const address = link.peer?.address ?? link.dialled;
-        if (address !== undefined && this.links.get(address) === link) this.links.delete(address);
-        if (this.cfg.signal.aborted || link.dialled === undefined) return;
-        const pauseMs = Math.min(
-            LONGEST_REDIAL_MS,
-            (this.redial.get(link.dialled)?.pauseMs ?? FIRST_REDIAL_MS / 2) * 2,
+    private handleClose(link: Link, failure: string | undefined): void {
+        this.openLinks.delete(link.id);
+        this.setQueuedBytes(link, 0);
+        const address = link.peer?.address ?? link.dialledTo;
+        if (address !== undefined && this.byAddress.get(address) === link) this.byAddress.delete(address);
+        if (this.cfg.signal.aborted || link.dialledTo === undefined) return;
+        const delayMs = Math.min(
+            MAX_REDIAL_DELAY_MS,
+            (this.redialBackoffs.get(link.dialledTo)?.pauseMs ?? MIN_REDIAL_DELAY_MS / 2) * 2,
         );
-        // Full jitter keeps hosts that lost the same peer from coming back together; it decides nothing else.
-        this.redial.set(link.dialled, { at: this.cfg.clock.now() + pauseMs * Math.random(), pauseMs });
-        this.cfg.onError(link.dialled, { kind: "closed", detail: failure ?? "closed by the peer" });
+        // Full jitter keeps hosts that lost the same peer from reconnecting at the same time.
+        this.redialBackoffs.set(link.dialledTo, {
+            at: this.cfg.clock.now() + delayMs * Math.random(),
+            pauseMs: delayMs,
+        });
+        this.cfg.onError(link.dialledTo, { kind: "closed", detail: failure ?? "closed by the peer" });
     }
 
-    private cut(link: Link, err: PeerError): void {
-        this.cfg.onError(link.peer?.name ?? link.dialled ?? "unknown", err);
+    /** Reports an error of a link and closes the link. */
+    private fail(link: Link, err: PeerError): void {
+        this.cfg.onError(link.peer?.name ?? link.dialledTo ?? "unknown", err);
         link.socket.destroy();
     }
 
-    private write(link: Link, frame: Buffer, beforeTrust: boolean): void {
-        if (!beforeTrust && !this.mayWait(link)) return this.cfg.waiting?.onDrop();
-        if (!beforeTrust && !link.trusted) {
-            if (link.unsent.length < MAX_UNSENT) link.unsent.push(frame);
-            return this.noteWaiting(link, waitingFor(link));
+    private write(link: Link, frame: Buffer, isHandshake: boolean): void {
+        if (!isHandshake && !this.mayQueue(link)) return this.cfg.waiting?.onDrop();
+        if (!isHandshake && !link.isAuthenticated) {
+            if (link.unsentFrames.length < MAX_UNSENT_FRAMES) link.unsentFrames.push(frame);
+            return this.setQueuedBytes(link, unsentBytesOf(link));
         }
-        if (link.socket.writableLength > MAX_WAITING_BYTES) {
-            this.cut(link, { kind: "slow", waitingBytes: link.socket.writableLength });
+        if (link.socket.writableLength > MAX_QUEUED_BYTES) {
+            this.fail(link, { kind: "slow", waitingBytes: link.socket.writableLength });
             return;
         }
         this.cfg.onBytes("out", frame.length);
-        const taken = link.socket.write(frame);
-        if (!taken) this.noteWaiting(link, link.socket.writableLength);
+        const isFlushed = link.socket.write(frame);
+        if (!isFlushed) this.setQueuedBytes(link, link.socket.writableLength);
     }
 
-    /** Whether a message may wait behind what waits already; one alone may, whatever its size. */
-    private mayWait(link: Link): boolean {
-        const most = this.cfg.waiting?.most();
-        return most === undefined || link.waitingBytes === 0 || link.waitingBytes < most;
+    /** Whether the link's queue has room for a message. An empty queue accepts a message of any size. */
+    private mayQueue(link: Link): boolean {
+        const maxBytes = this.cfg.waiting?.most();
+        return maxBytes === undefined || link.queuedBytes === 0 || link.queuedBytes < maxBytes;
     }
 
-    private noteWaiting(link: Link, bytes: number): void {
-        if (link.waitingBytes === bytes) return;
-        link.waitingBytes = bytes;
+    private setQueuedBytes(link: Link, bytes: number): void {
+        if (link.queuedBytes === bytes) return;
+        link.queuedBytes = bytes;
         this.cfg.waiting?.onChange(link.id, bytes);
     }
 
-    /** Ends a link, with all that waits on it. */
+    /** Closes a link and discards its queue. */
     cutOff(id: number): void {
-        const link = this.adopted.get(id);
-        if (link) this.cut(link, { kind: "slow", waitingBytes: link.waitingBytes });
+        const link = this.openLinks.get(id);
+        if (link) this.fail(link, { kind: "slow", waitingBytes: link.queuedBytes });
     }
 
-    private take(link: Link, message: FrameMessage): void {
-        if (message.kind === "hello") this.takeHello(link, message as Hello);
-        else if (message.kind === "proof") this.takeProof(link, message as Proof);
-        else if (link.trusted && link.peer) this.cfg.onMessage(link.peer, message);
-        else this.cut(link, { kind: "badProof" });
+    private handleMessage(link: Link, message: FrameMessage): void {
+        if (message.kind === "hello") this.handleHello(link, message as Hello);
+        else if (message.kind === "proof") this.handleProof(link, message as Proof);
+        else if (link.isAuthenticated && link.peer) this.cfg.onMessage(link.peer, message);
+        else this.fail(link, { kind: "badProof" });
     }
 
-    private takeHello(link: Link, hello: Hello): void {
-        if (hello.version !== PEER_VERSION) return this.cut(link, { kind: "otherVersion", found: hello.version });
-        const whole = typeof hello.name === "string" && typeof hello.address === "string"
+    private handleHello(link: Link, hello: Hello): void {
+        if (hello.version !== PEER_VERSION) return this.fail(link, { kind: "otherVersion", found: hello.version });
+        const isComplete = typeof hello.name === "string" && typeof hello.address === "string"
             && hello.nonce instanceof Uint8Array;
-        if (!whole || link.peer) return this.cut(link, { kind: "badFrame", detail: "a hello that is not whole" });
+        if (!isComplete || link.peer) return this.fail(link, { kind: "badFrame", detail: "incomplete hello" });
         link.peer = { name: hello.name, address: hello.address };
-        const proof: Proof = { kind: "proof", mac: this.mac(this.cfg.secrets[0] ?? "", hello.nonce, this.cfg.name) };
+        const proof: Proof = {
+            kind: "proof",
+            mac: this.computeMac(this.cfg.secrets[0] ?? "", hello.nonce, this.cfg.name),
+        };
         this.write(link, encodeFrame(proof), true);
     }
 
-    private takeProof(link: Link, proof: Proof): void {
+    private handleProof(link: Link, proof: Proof): void {
         const peer = link.peer;
-        const good = peer && this.cfg.secrets.some(secret => same(this.mac(secret, link.nonce, peer.name), proof.mac));
-        if (!peer || !good) return this.cut(link, { kind: "badProof" });
-        link.trusted = true;
-        this.redial.delete(peer.address);
-        this.keepOne(link, peer);
-        const unsent = link.unsent.splice(0);
-        this.noteWaiting(link, 0);
+        const isValid = peer
+            && this.cfg.secrets.some(secret => equalBytes(this.computeMac(secret, link.nonce, peer.name), proof.mac));
+        if (!peer || !isValid) return this.fail(link, { kind: "badProof" });
+        link.isAuthenticated = true;
+        this.redialBackoffs.delete(peer.address);
+        this.closeDuplicate(link, peer);
+        const unsent = link.unsentFrames.splice(0);
+        this.setQueuedBytes(link, 0);
         for (const frame of unsent) this.write(link, frame, false);
     }
 
-    /** Of two connections of a pair, the one that the host of the lesser name dialled stays for sending. */
-    private keepOne(link: Link, peer: PeerName): void {
-        const other = this.links.get(peer.address);
-        if (!other || other === link || !other.trusted) {
-            if (link.dialled !== undefined && link.dialled !== peer.address) this.links.delete(link.dialled);
-            this.links.set(peer.address, link);
+    /**
+     * Of two authenticated connections to the same peer, keeps the one that the host with the lesser name has dialled. A
+     * connection that is not authenticated yet stays open, but hands over its unsent frames and is no longer sent to.
+     */
+    private closeDuplicate(link: Link, peer: PeerName): void {
+        const other = this.byAddress.get(peer.address);
+        if (!other || other === link || !other.isAuthenticated) {
+            if (link.dialledTo !== undefined && link.dialledTo !== peer.address) this.byAddress.delete(link.dialledTo);
+            this.byAddress.set(peer.address, link);
             if (other && other !== link) {
-                link.unsent.push(...other.unsent.splice(0));
+                link.unsentFrames.push(...other.unsentFrames.splice(0));
             }
             return;
         }
-        const dialledByUs = link.dialled !== undefined;
-        const keepNew = dialledByUs === this.cfg.name < peer.name;
-        if (keepNew) this.links.set(peer.address, link);
-        (keepNew ? other : link).socket.end();
+        const dialledByUs = link.dialledTo !== undefined;
+        const keepsNew = dialledByUs === this.cfg.name < peer.name;
+        if (keepsNew) this.byAddress.set(peer.address, link);
+        (keepsNew ? other : link).socket.end();
     }
 
-    private mac(secret: string, nonce: Uint8Array, name: string): Buffer {
+    private computeMac(secret: string, nonce: Uint8Array, name: string): Buffer {
         return createHmac("sha256", secret).update(nonce).update(name).digest();
     }
 
     private close(): void {
-        for (const { socket } of this.adopted.values()) socket.destroy();
+        for (const { socket } of this.openLinks.values()) socket.destroy();
         this.server.close();
     }
 }
 
-function waitingFor({ unsent }: Link): number {
+function unsentBytesOf({ unsentFrames: unsent }: Link): number {
     return unsent.reduce((sum, frame) => sum + frame.length, 0);
 }
 
-function same(a: Uint8Array, b: unknown): boolean {
+function equalBytes(a: Uint8Array, b: unknown): boolean {
     return b instanceof Uint8Array && a.length === b.length && timingSafeEqual(a, b);
 }
--- a/packages/protocol/src/platform-wire.ts
+++ b/packages/protocol/src/platform-wire.ts
@@ -1,155 +1,155 @@
 /**
- * What travels with a call that is forwarded as it is, whatever the names on the wire: an adapter decodes a caller's
- * head, encodes the head for an endpoint, and decodes an endpoint's answer.
+ * The metadata of forwarded calls, independent of any platform's header names, and {@link PlatformWire}, the interface of
+ * the codec that a platform supplies for its headers and stored values.
  *
  * @module
  */
 import type { Deployment, EndpointEntry } from "@drumpaddle/routes";
 
-/** Headers as they stand on the wire: name, value, name, value. */
+/** Headers in the order received, as alternating names and values. */
 export type RawHeaders = readonly string[];
 
-/** One part of a prompt, in order; parts before the last are shared between calls. */
+/** One part of a prompt, in order. Calls may share all parts but the last. */
 export interface PromptPart {
     readonly id: string;
     readonly tokens: number;
 }
 
-/** What a generation call declares of itself. */
+/** What the head of a generation call declares. */
 export interface GenerationHead {
     readonly model: string;
     readonly promptTokens: number;
     readonly maxTokens: number;
-    /** The caller's guess of the output; right in the median, often far off. */
+    /** The caller's estimate of the output length; correct in the median, but often far off. */
     readonly hintTokens: number | undefined;
     readonly parts: readonly PromptPart[];
 }
 
-/** A caller's head, decoded. */
+/** The decoded head of a caller's request. */
 export interface CallHead {
-    /** The caller's name for this try; the endpoint sees the same. */
+    /** The caller's id of this attempt, which the endpoint receives unchanged. */
     readonly id: string;
-    /** How long the caller waits from when it sent, in milliseconds; undefined where it does not say. */
+    /** How long the caller waits after sending the request, in milliseconds; undefined if it sets no deadline. */
     readonly deadlineMs: number | undefined;
     readonly host: string;
     readonly key: string | undefined;
     readonly generation: GenerationHead | undefined;
-    /** The event after which a stream is to go on. */
+    /** Id of the last event that the caller has received, after which the stream resumes; undefined for a new stream. */
     readonly resumeAfter: string | undefined;
-    /** What else goes on to the endpoint, unchanged. */
+    /** The other headers, which the endpoint receives unchanged. */
     readonly passed: RawHeaders;
 }
 
-/** Why a caller's head is not understood. */
+/** Why a caller's head cannot be decoded. */
 export interface HeadError {
     readonly kind: "badHead";
     readonly detail: string;
 }
 
-/** How a generation that ran elsewhere goes on. */
+/** Continues a generation from a copy that another endpoint has made of it. */
 export interface Continuation {
-    /** `ip:port` of the endpoint that named the copy. */
+    /** `ip:port` of the endpoint that made the copy. */
     readonly source: string;
-    /** The copy's name there. */
+    /** The copy's name at that endpoint. */
     readonly copy: string;
-    /** The last event that the caller has; undefined while it has none. */
+    /** Id of the last event that the caller has received; undefined if it has none. */
     readonly lastEvent: string | undefined;
 }
 
-/** What this system says to an endpoint with a call. */
+/** What a host sends to an endpoint in the head of a call. */
 export interface SendHead {
     readonly call: CallHead;
-    /** What is left of the call's time, in milliseconds. */
+    /** Time left until the call's deadline, in milliseconds. */
     readonly deadlineMs: number;
-    /** Any other endpoint at the address must refuse the call; a later life of the same one does not. */
+    /** Id of the intended endpoint. Any other endpoint at the address must refuse the call; a later incarnation of the same one does not. */
     readonly endpointId: string;
     readonly workspace: string | undefined;
-    /** 0 (first) to 9. */
+    /** Priority of the call, from 0 (first) to 9. */
     readonly rank: number;
     readonly continueFrom?: Continuation | undefined;
-    /** `ip:port` of an endpoint that keeps a copy as the generation grows. */
+    /** `ip:port` of the standby endpoint to which the generation is copied as it grows. */
     readonly backUpTo?: string | undefined;
 }
 
-/** A number that an endpoint may say in an answer. */
+/** An optional number in the head of an endpoint's response. */
 export type SaidNumber =
     | { readonly kind: "none" }
     | { readonly kind: "number"; readonly value: number }
     | { readonly kind: "malformed"; readonly text: string };
 
-/** An endpoint's answer head, decoded. */
+/** The decoded head of an endpoint's response. */
 export interface AnswerHead {
-    /** Id of the call that it answers; undefined where it does not say. */
+    /** Id of the attempt that the endpoint answers; undefined if absent. */
     readonly id: string | undefined;
-    /** The endpoint's own word that it has not run the call and will not. */
+    /** Whether the endpoint declares that it has not run the call and never will. */
     readonly notRun: boolean;
-    /** Whether it carries the endpoint's seal. */
+    /** Whether the response carries the endpoint's seal. */
     readonly sealed: boolean;
-    /** Whether its body is encoded, which no endpoint does. */
+    /** Whether the body has a content encoding, which endpoints must not use. */
     readonly encoded: boolean;
     readonly isEventStream: boolean;
-    /** The endpoint will close the connection after it. */
+    /** Whether the endpoint closes the connection after this response. */
     readonly closes: boolean;
-    /** How long the endpoint keeps an idle connection, in milliseconds, where it says so. */
+    /** How long the endpoint keeps an idle connection, in milliseconds; undefined if not declared. */
     readonly keepAliveMs: number | undefined;
-    /** Length of the body in bytes, where it says so. */
+    /** Length of the body in bytes; undefined if not declared. */
     readonly length: number | undefined;
-    /** Whether its end can be seen in its bytes, by a length or by chunks. */
+    /** Whether a length or chunked encoding marks the end of the body, so that a truncated one is detected. */
     readonly framed: boolean;
-    /** The requests a second that the endpoint takes from all hosts together, for as long as it says so. */
+    /** The rate of requests per second that the endpoint accepts from all hosts together, while it declares one. */
     readonly limitPerS: SaidNumber;
-    /** Whether the endpoint says that it is leaving. */
+    /** Whether the endpoint announces that it is leaving. */
     readonly leaving: boolean;
-    /** Seconds after which a caller may come back; of a refusal, those for which the endpoint wants nothing from this host. */
+    /** Seconds after which a caller may retry; in a refusal, the seconds for which this host must send the endpoint nothing. */
     readonly retryAfterS: SaidNumber;
-    /** What goes on to the caller. */
+    /** The headers that are forwarded to the caller. */
     readonly passed: RawHeaders;
 }
 
-/** A value or why it could not be decoded. */
+/** A decoded value, or why it could not be decoded. */
 export type Decoded<T, E> = { readonly ok: true; readonly value: T } | { readonly ok: false; readonly err: E };
 
-/** Why a stored value is not understood: where in it and what is wrong. */
+/** Why a stored value cannot be decoded, and where in the value the error is. */
 export interface DecodeError {
     readonly kind: "badValue";
     readonly at: string;
     readonly detail: string;
 }
 
-/** A call of this system's own to an endpoint. */
+/** A control request from a host to an endpoint. */
 export interface EndpointCall {
     readonly method: "GET" | "POST" | "DELETE";
     readonly path: string;
     readonly body: string | undefined;
 }
 
-/** What an endpoint answers to the order to copy a running generation. */
+/** An endpoint's response to the request to copy a running generation. */
 export type CopyAnswer =
-    /** The copy's name at the endpoint that made it. */
+    /** `copy` is the copy's name at the endpoint that made it. */
     | { readonly kind: "copied"; readonly copy: string }
     | { readonly kind: "notMade"; readonly detail: string };
 
-/** What an endpoint says of its own stay. */
+/** An endpoint's response to the question of whether it is leaving. */
 export type StayAnswer =
     | {
         readonly kind: "told";
-        /** Whether it is about to end and takes no more work. */
+        /** Whether the endpoint is about to exit and accepts no new work. */
         readonly leaving: boolean;
-        /** Milliseconds until it ends, where it knows. */
+        /** Milliseconds until the endpoint exits; undefined if it does not know. */
         readonly endsInMs: number | undefined;
-        /** When the life that answers began, as {@link EndpointEntry} has it; undefined where it does not say. */
+        /** Start time of the incarnation that answers, as in {@link EndpointEntry}; undefined if not declared. */
         readonly born: number | undefined;
     }
     | { readonly kind: "notTold"; readonly detail: string };
 
-/** Names and formats of one platform. Decides nothing. */
+/** Encodes and decodes the header names, store keys and formats of one platform. Contains no policy. */
 export interface PlatformWire {
     readonly storeKeys: {
-        /** Key of the deployment. */
+        /** Key of the stored deployment. */
         readonly deployment: string;
-        /** Start of the keys of endpoints; what follows is the endpoint's id. */
+        /** Prefix of the keys of endpoint registrations; the endpoint's id follows. */
         readonly endpoints: string;
-        /** Start of the keys of evacuations; what follows is the hall's name. A key that stands is an order, whatever it holds. */
+        /** Prefix of the keys of evacuations; the hall's name follows. The hall is evacuated while its key exists, whatever the value. */
         readonly evacuations: string;
     };
     decodeDeployment(text: string): Decoded<Deployment, DecodeError>;
@@ -157,16 +157,16 @@
     readCall(headers: RawHeaders): Decoded<CallHead, HeadError>;
     writeSend(send: SendHead): string[];
     readAnswer(headers: RawHeaders): AnswerHead;
-    /** The order to copy a running generation to another endpoint, `ip:port`, while it goes on. */
+    /** Creates the request to copy a running generation to another endpoint (`ip:port`); the generation continues meanwhile. */
     copyCall(callId: string, target: string): EndpointCall;
     readCopy(status: number, body: string): CopyAnswer;
-    /** Gives up a copy; sent to the endpoint that made it. */
+    /** Creates the request to discard a copy, for the endpoint that made it. */
     dropCopyCall(copy: string): EndpointCall;
-    /** The question to an engine whether it is leaving. */
+    /** Creates the request that asks an endpoint whether it is leaving. */
     stayCall(): EndpointCall;
     readStay(status: number, body: string): StayAnswer;
-    /** Path at which the platform asks whether this host takes new connections. */
+    /** Path at which the platform asks whether this host accepts new connections. */
     readonly readyPath: string;
-    /** Headers of an answer of this system's own; `retryAfterMs` tells when to come back. */
+    /** Encodes the headers of a response that the host itself generates; `retryAfterMs` tells the caller when to retry. */
     writeRefusal(callId: string | undefined, retryAfterMs: number | undefined): string[];
 }
--- a/packages/protocol/src/time-limit.ts
+++ b/packages/protocol/src/time-limit.ts
@@ -1,22 +1,22 @@
 /**
- * Bounds the time that a call may take.
+ * Time limits for asynchronous calls.
  *
  * @module
  */
 
-/** A connection that comes up, a request that leaves and an answer that comes are read in turns of their own, and one is spare. */
-const SLICES = 4;
+/** A connection, a request and a response each take an iteration of the event loop; the fourth is spare. */
+const TIMER_SLICES = 4;
 
 /**
- * Runs a call with a signal that aborts when the time is over or the caller's signal does.
+ * Runs a call with a signal that aborts when the time limit expires or the caller's signal aborts.
  *
- * The timer and the signal are held until the call has settled. A signal that is only derived, as by `AbortSignal.any` from
- * `AbortSignal.timeout`, may be collected before it aborts (Node 20): the call then never ends.
+ * The timer and the signal are referenced until the call has settled. A derived signal, such as one of `AbortSignal.any` over
+ * `AbortSignal.timeout`, may be garbage-collected before it aborts (Node 20), so that the call never ends.
  *
- * The call is raced against its signal, as a library may not heed it at every step: undici's request does not while its
- * connection is coming up, so that a read limited to 1 s took 10.5 s where the host was cut off.
+ * The call is raced against its signal because a library may ignore the signal in some states. The request of undici does
+ * while it connects: on a host without a network a read with a limit of 1 s took 10.5 s.
  *
- * @param timeoutMs Time for the whole call, in milliseconds.
+ * @param timeoutMs Time limit of the whole call, in milliseconds.
  *
  * @example
  * ```ts
@@ -29,7 +29,7 @@
     run: (limited: AbortSignal) => Promise<T>,
 ): Promise<T> {
     const limit = new AbortController();
-    const stopTimer = afterAwake(timeoutMs, () => limit.abort(new TimeLimitError(timeoutMs)));
+    const stopTimer = setSlicedTimer(timeoutMs, () => limit.abort(new TimeLimitError(timeoutMs)));
     const onAbort = (): void => limit.abort(signal.reason);
     const ended = new Promise<never>((_resolve, reject) =>
         limit.signal.addEventListener("abort", () => reject(limit.signal.reason as Error), { once: true })
@@ -46,31 +46,31 @@
 }
 
 /**
- * Calls back after a time in which the host could read. Node runs timers before it reads: a host that was held up for longer than the
- * whole time would else take its own delay for the other side's. Of each delay one slice counts at most, and what has come is read
- * after each.
+ * Sets a timer that leaves the event loop time to read. Node runs due timers before it reads sockets, so that after a delay of this
+ * process longer than the time limit a single timer would expire before a response that has already arrived is read. The time is
+ * therefore divided into consecutive slices: a delay uses up one slice at most, and sockets are read after each.
  *
- * @returns Ends the wait.
+ * @returns Cancels the timer.
  */
-function afterAwake(ms: number, then: () => void): () => void {
+function setSlicedTimer(ms: number, onExpired: () => void): () => void {
     let timer: NodeJS.Timeout;
-    let look: NodeJS.Immediate | undefined;
-    let left = SLICES;
-    const wait = (): void => {
+    let immediate: NodeJS.Immediate | undefined;
+    let slicesLeft = TIMER_SLICES;
+    const startSlice = (): void => {
         timer = setTimeout(() => {
-            left -= 1;
-            if (left > 0) wait();
-            else look = setImmediate(then);
-        }, ms / SLICES);
+            slicesLeft -= 1;
+            if (slicesLeft > 0) startSlice();
+            else immediate = setImmediate(onExpired);
+        }, ms / TIMER_SLICES);
     };
-    wait();
+    startSlice();
     return () => {
         clearTimeout(timer);
-        clearImmediate(look);
+        clearImmediate(immediate);
     };
 }
 
-/** No whole answer came in time. */
+/** A call did not complete within its time limit. */
 export class TimeLimitError extends Error {
     override readonly name = "TimeLimitError";
 
--- a/packages/routes/src/cold-period.ts
+++ b/packages/routes/src/cold-period.ts
@@ -1,7 +1,7 @@
 /**
- * Until when an endpoint is taken for cold: by its registration's own word, and where that says nothing, for as long as its
- * service declares. What is heard late is counted from when it was heard, so that an endpoint is taken for cold too long
- * and never too short.
+ * How long an endpoint counts as cold: for the time that its registration declares or, without one, for the time that its
+ * service declares. The time runs from when the host learnt of it, so that a late report makes the cold period too long but
+ * never too short.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { Registered } from "./registry-state.js";
 
 /**
- * When an endpoint is warm, on the clock of the registry's times; -Infinity where it was not cold when it was heard of.
+ * Returns when an endpoint becomes warm, on the clock of the registry's times; -Infinity if it is not cold at all.
  *
  * @example
  * ```ts
@@ -22,11 +22,11 @@
     service: Pick<ServiceCfg, "coldMs"> | undefined,
     { reopened }: HallOrders,
 ): number {
-    const declared = service?.coldMs ?? 0;
-    const own = saidAt + (entry.coldMs ?? declared);
+    const declaredColdMs = service?.coldMs ?? 0;
+    const ownWarmAt = saidAt + (entry.coldMs ?? declaredColdMs);
     const reopenedAt = reopened.get(entry.hall);
-    // An entry that came after the hall was taken back speaks of now.
-    const returned = reopenedAt === undefined || saidAt > reopenedAt ? -Infinity : reopenedAt + declared;
-    const until = Math.max(own, returned);
-    return until > saidAt ? until : -Infinity;
+    // A registration that arrived after the hall was reopened already reflects the evacuation.
+    const reopenedWarmAt = reopenedAt === undefined || saidAt > reopenedAt ? -Infinity : reopenedAt + declaredColdMs;
+    const warmTime = Math.max(ownWarmAt, reopenedWarmAt);
+    return warmTime > saidAt ? warmTime : -Infinity;
 }
--- a/packages/routes/src/deployment.ts
+++ b/packages/routes/src/deployment.ts
@@ -1,129 +1,131 @@
 /**
- * What the operator declares for a deployment whose calls are forwarded as they are: routes, services, workspaces and
- * bounds on callers. A deployment is one versioned value; versions only ever grow.
+ * The operator's configuration of forwarded calls: routes, services, workspaces and caller limits. A deployment is one
+ * value whose version only increases.
  *
  * @module
  */
 
 import type { Life } from "./incarnation.js";
 
-/** How often a call of a route may run. */
+/** How often a call of a route may run, and how it is answered. */
 export const RouteKind = {
     /** May run more than once. */
     Repeatable: "repeatable",
     /** Runs at most once. */
     Once: "once",
-    /** Answered by a series of events; runs at most once. */
+    /** Answered by a stream of events; runs at most once. */
     Stream: "stream",
 } as const;
 /** One of {@link RouteKind}. */
 export type RouteKind = typeof RouteKind[keyof typeof RouteKind];
 
-/** A service that a route's calls go to, with its part of them. */
+/** A service that receives a share of a route's calls. */
 export interface WeightedService {
     readonly service: string;
-    /** Relative to the weights of the route's other services; not negative. */
+    /** Share relative to the weights of the route's other services; not negative. */
     readonly weight: number;
 }
 
-/** Where calls of one host name and path prefix go. Times are milliseconds. */
+/** Where calls with one host name and path prefix are sent. Times are in milliseconds. */
 export interface Route {
     readonly name: string;
+    /** Host name in the caller's request. */
     readonly host: string;
     /** Begins and ends with a slash. */
     readonly prefix: string;
     readonly kind: RouteKind;
-    /** The longest that a call may be held. */
+    /** Time after which a call that has not been answered fails. */
     readonly timeoutMs: number;
-    /** An answer (of a stream: its first event) within this time counts in full. */
+    /** Target time for the response or, in a stream, for the first event. */
     readonly objectiveMs: number;
-    /** Longest pause between two events that still keeps a stream in time; undefined for other kinds. */
+    /** Target for the longest gap between two events of a stream; undefined for other kinds. */
     readonly gapMs: number | undefined;
-    /** Silence after which a stream's caller leaves; undefined for other kinds. */
+    /** Silence after which a stream's caller disconnects; undefined for other kinds. */
     readonly patienceMs: number | undefined;
-    /** Rank of the route's calls: 0 goes first. */
+    /** Priority of the route's calls, from 0 (first). */
     readonly rank: number;
-    /** Endpoints that one call may be sent to at most. */
+    /** Largest number of endpoints to which one call may be sent. */
     readonly attempts: number;
-    /** Whether calls need no workspace's key. */
+    /** Whether calls are accepted without a workspace's key. */
     readonly isPublic: boolean;
-    /** Whether a stream may run more than once, and a new run may continue it at an event that the caller names. */
+    /** Whether a stream may run again and resume after an event that the caller names. */
     readonly resumable: boolean;
-    /** Regions whose endpoints may serve its calls; undefined where all may. */
+    /** Regions whose endpoints may serve the route's calls; undefined if all may. */
     readonly homes: readonly string[] | undefined;
     readonly services: readonly WeightedService[];
 }
 
-/** What is declared of a service's model engines. */
+/** The declared capacity and features of a service's model engines. */
 export interface EngineCfg {
-    /** Generations that run at once. */
+    /** Generations that one engine runs concurrently. */
     readonly slots: number;
+    /** Memory of one engine, in tokens. */
     readonly memoryTokens: number;
     /** Bytes of one token in an engine's memory. */
     readonly bytesPerToken: number;
-    /** Link of one engine, in megabits a second. */
+    /** Network bandwidth of one engine, in megabits per second. */
     readonly linkMbps: number;
-    /** Tokens in one event of a stream. */
+    /** Tokens per event of a stream. */
     readonly tokensPerEvent: number;
-    /** Whether running generations can be copied to another engine. */
+    /** Whether a running generation can be copied to another engine, which then continues it. */
     readonly canMove: boolean;
-    /** Whether a generation can be copied to another engine as it grows. */
+    /** Whether a generation can be copied continuously to a standby engine as it grows. */
     readonly canBackUp: boolean;
-    /** How long an engine keeps a copy that nobody continues, in milliseconds. */
+    /** How long an engine keeps a copy that is not continued, in milliseconds. */
     readonly copyTtlMs: number;
 }
 
-/** A service and how its endpoints are spoken to. */
+/** A service and the limits of its endpoints. */
 export interface ServiceCfg {
     readonly name: string;
-    /** Connections that one endpoint accepts from all callers together. */
+    /** Connections that one endpoint accepts in total. */
     readonly maxConnections: number;
-    /** How long an endpoint is cold from its start where it does not say so itself, in milliseconds. */
+    /** How long an endpoint is cold after it starts, in milliseconds, unless it declares a time itself. */
     readonly coldMs: number;
-    /** Requests that a cold endpoint bears in a second; undefined where none is declared. */
+    /** Requests per second that a cold endpoint can handle; undefined if not declared. */
     readonly coldPerS: number | undefined;
-    /** Undefined for plain services. */
+    /** Undefined for services that are not model engines. */
     readonly engine: EngineCfg | undefined;
 }
 
-/** Bounds on what a caller may send and how long it may take. */
+/** Limits on the size and duration of callers' requests. Times are in milliseconds. */
 export interface CallerLimits {
     readonly headerBytes: number;
     readonly bodyBytes: number;
-    /** Time to send the head of a request. */
+    /** Time limit for receiving the head of a request. */
     readonly headerMs: number;
-    /** How long a connection may rest between two requests. */
+    /** How long a connection may be idle between two requests. */
     readonly idleMs: number;
 }
 
-/** A workspace with its keys. */
+/** A workspace and its keys. */
 export interface WorkspaceCfg {
     readonly name: string;
     readonly keys: readonly string[];
-    /** Goes before a route's rank where it is given. */
+    /** Priority of the workspace's calls, which overrides the route's; undefined to use the route's. */
     readonly rank: number | undefined;
-    /** Regions whose endpoints may serve its calls, besides what their route says; undefined where all may. */
+    /** Regions whose endpoints may serve the workspace's calls, in addition to the route's restriction; undefined if all may. */
     readonly homes: readonly string[] | undefined;
 }
 
-/** Everything that is declared, at one version. */
+/** The complete configuration at one version. */
 export interface Deployment {
     readonly version: number;
     readonly routes: readonly Route[];
     readonly services: readonly ServiceCfg[];
     readonly limits: CallerLimits;
-    /** Undefined where calls carry no keys at all. */
+    /** Undefined if calls need no keys. */
     readonly workspaces: readonly WorkspaceCfg[] | undefined;
 }
 
-/** An endpoint's state by its own word. */
+/** The state that an endpoint declares in its registration. */
 export const EndpointState = { Ready: "ready", Leaving: "leaving" } as const;
 /** One of {@link EndpointState}. */
 export type EndpointState = typeof EndpointState[keyof typeof EndpointState];
 
-/** One life of an endpoint, as it registered itself. */
+/** The registration of one incarnation of an endpoint. */
 export interface EndpointEntry extends Life {
-    /** Name of this life: what runs, is held and was learnt there is known by it. */
+    /** Name of the incarnation, by which hosts refer to its running calls, its load and its measurements. */
     readonly incarnation: string;
     readonly service: string;
     /** `ip:port`. */
@@ -131,8 +133,8 @@
     readonly hall: string;
     readonly slots: number;
     readonly state: EndpointState;
-    /** How much longer it was cold when it registered, in milliseconds; undefined where it has not said so. */
+    /** How much longer the endpoint is cold as of this registration, in milliseconds; undefined if not declared. */
     readonly coldMs: number | undefined;
-    /** Version of its software. */
+    /** Version of the endpoint's software. */
     readonly software: string;
 }
--- a/packages/routes/src/endpoint-list.ts
+++ b/packages/routes/src/endpoint-list.ts
@@ -1,5 +1,6 @@
 /**
- * Endpoints as hosts tell each other of them: checked when they are read, as a peer may be of another version.
+ * The list of endpoints that hosts exchange, as JSON. Each entry is validated when it is read, since a peer may run another
+ * version.
  *
  * @module
  */
@@ -7,7 +8,7 @@
 import { TypeCompiler } from "@sinclair/typebox/compiler";
 import { type EndpointEntry, EndpointState } from "./deployment.js";
 
-const Entry = Type.Object({
+const EndpointEntrySchema = Type.Object({
     incarnation: Type.String({ minLength: 1 }),
     id: Type.String({ minLength: 1 }),
     born: Type.Optional(Type.Integer()),
@@ -19,31 +20,31 @@
     coldMs: Type.Optional(Type.Number({ minimum: 0 })),
     software: Type.String(),
 });
-const check = TypeCompiler.Compile(Entry);
+const entryCheck = TypeCompiler.Compile(EndpointEntrySchema);
 
-/** Why a list of endpoints cannot be read. */
+/** Why a list of endpoints cannot be decoded. */
 export type EndpointListError =
     | { readonly kind: "notJson"; readonly detail: string }
     | { readonly kind: "notList" };
 
-/** Why one endpoint of a list names none to use. */
-export interface BadEndpoint {
+/** An invalid entry: a JSON pointer into the list, and the error. */
+export interface InvalidEndpoint {
     readonly at: string;
     readonly detail: string;
 }
 
-/** The endpoints that can be used, and what else the list holds; or why there is no list. */
+/** The valid endpoints and the invalid entries of a list, or why the list cannot be decoded. */
 export type EndpointListResult =
-    | { readonly ok: true; readonly value: readonly EndpointEntry[]; readonly bad: readonly BadEndpoint[] }
+    | { readonly ok: true; readonly value: readonly EndpointEntry[]; readonly bad: readonly InvalidEndpoint[] }
     | { readonly ok: false; readonly err: EndpointListError };
 
-/** A list of endpoints as text. */
+/** Encodes a list of endpoints. */
 export function writeEndpoints(entries: readonly EndpointEntry[]): string {
     return JSON.stringify(entries);
 }
 
 /**
- * Reads a list of endpoints, each by itself; never throws.
+ * Decodes a list of endpoints and validates each entry on its own. Never throws.
  *
  * @example
  * ```ts
@@ -61,11 +62,11 @@
     }
     if (!Array.isArray(list)) return { ok: false, err: { kind: "notList" } };
     const value: EndpointEntry[] = [];
-    const bad: BadEndpoint[] = [];
+    const bad: InvalidEndpoint[] = [];
     list.forEach((item: unknown, at) => {
-        if (check.Check(item)) return void value.push({ ...item, born: item.born, coldMs: item.coldMs });
-        const first = check.Errors(item).First();
-        bad.push({ at: `/${at}${first?.path ?? ""}`, detail: first?.message ?? "not as expected" });
+        if (entryCheck.Check(item)) return void value.push({ ...item, born: item.born, coldMs: item.coldMs });
+        const firstError = entryCheck.Errors(item).First();
+        bad.push({ at: `/${at}${firstError?.path ?? ""}`, detail: firstError?.message ?? "not as expected" });
     });
     return { ok: true, value, bad };
 }
--- a/packages/routes/src/evacuation.ts
+++ b/packages/routes/src/evacuation.ts
@@ -1,40 +1,44 @@
 /**
- * Which halls the operator has evacuated: while an evacuation stands, nothing new goes to the hall's endpoints; what runs
- * there runs on. An order stands as a key of the store, so that a hall's state follows from the key with the highest
- * revision, and one order told late never comes back into force.
+ * The halls that the operator has evacuated. Hosts send no new calls to the endpoints of an evacuated hall; running calls
+ * continue. Each evacuation is a key in the store: the hall's state follows from the key's latest revision, so that an
+ * earlier change that is reported late has no effect.
  *
- * Pure: each function returns the next state. Times are milliseconds on one clock of the caller's choice.
+ * The functions are pure and return the next state. Times are milliseconds on any one clock.
  *
  * @module
  */
 
-/** What is known of evacuated halls. */
+/** The evacuated halls and those that were reopened. */
 export interface HallOrders {
     readonly evacuated: ReadonlySet<string>;
-    /** When the evacuation of a hall was found to be taken back: its endpoints may have become cold meanwhile. */
+    /** By hall, when this host learnt that its evacuation had ended. The hall's endpoints may have become cold meanwhile. */
     readonly reopened: ReadonlyMap<string, number>;
 }
 
-/** What became of a hall's evacuation. */
-export type HallChange =
+/** The start or the end of a hall's evacuation. */
+export type HallEvacuationChange =
     | { readonly kind: "evacuated"; readonly hall: string }
     | { readonly kind: "reopened"; readonly hall: string };
 
 /** No hall is evacuated. */
-export const NO_ORDERS: HallOrders = { evacuated: new Set(), reopened: new Map() };
+export const NO_EVACUATIONS: HallOrders = { evacuated: new Set(), reopened: new Map() };
 
 /**
- * The orders after one of them changed; the same value where nothing did.
+ * Applies one change; returns the same object if the hall is already in that state.
  *
  * @example
  * ```ts
- * orderHall(NO_ORDERS, { kind: "evacuated", hall: "hall-1" }, now).evacuated.has("hall-1"); // true
+ * applyEvacuationChange(NO_EVACUATIONS, { kind: "evacuated", hall: "hall-1" }, now).evacuated.has("hall-1"); // true
  * ```
  */
-export function orderHall(orders: HallOrders, { kind, hall }: HallChange, now: number): HallOrders {
-    if ((kind === "evacuated") === orders.evacuated.has(hall)) return orders;
-    const evacuated = new Set(orders.evacuated);
-    const reopened = new Map(orders.reopened);
+export function applyEvacuationChange(
+    evacuations: HallOrders,
+    { kind, hall }: HallEvacuationChange,
+    now: number,
+): HallOrders {
+    if ((kind === "evacuated") === evacuations.evacuated.has(hall)) return evacuations;
+    const evacuated = new Set(evacuations.evacuated);
+    const reopened = new Map(evacuations.reopened);
     if (kind === "evacuated") {
         evacuated.add(hall);
         reopened.delete(hall);
@@ -47,19 +51,19 @@
 }
 
 /**
- * The orders after all evacuations that stand were read; the same value where nothing changed.
+ * Applies a complete read of the evacuated halls; returns the same object if nothing has changed.
  *
  * @example
  * ```ts
- * replaceOrders(orders, ["hall-2"], now).evacuated.size; // 1
+ * replaceEvacuations(evacuations, ["hall-2"], now).evacuated.size; // 1
  * ```
  */
-export function replaceOrders(orders: HallOrders, halls: readonly string[], now: number): HallOrders {
-    const standing = new Set(halls);
-    const over = [...orders.evacuated].filter(hall => !standing.has(hall));
+export function replaceEvacuations(evacuations: HallOrders, halls: readonly string[], now: number): HallOrders {
+    const evacuatedHalls = new Set(halls);
+    const ended = [...evacuations.evacuated].filter(hall => !evacuatedHalls.has(hall));
     const changes = [
-        ...over.map((hall): HallChange => ({ kind: "reopened", hall })),
-        ...halls.map((hall): HallChange => ({ kind: "evacuated", hall })),
+        ...ended.map((hall): HallEvacuationChange => ({ kind: "reopened", hall })),
+        ...halls.map((hall): HallEvacuationChange => ({ kind: "evacuated", hall })),
     ];
-    return changes.reduce((sum, change) => orderHall(sum, change, now), orders);
+    return changes.reduce((sum, change) => applyEvacuationChange(sum, change, now), evacuations);
 }
--- a/packages/routes/src/incarnation.ts
+++ b/packages/routes/src/incarnation.ts
@@ -1,30 +1,31 @@
 /**
- * Which start of an endpoint is meant: an endpoint keeps its id when it starts again, and then holds and knows nothing of before.
+ * Incarnations of an endpoint. An endpoint that restarts keeps its id but has lost all its state, so hosts treat each start as a
+ * separate incarnation.
  *
  * @module
  */
 
-/** One start of an endpoint, by its own word. */
+/** Identifies one incarnation of an endpoint, as the endpoint declares it. */
 export interface Life {
-    /** What the endpoint calls itself, in every life. */
+    /** Id of the endpoint, the same in every incarnation. */
     readonly id: string;
-    /** When it started, in milliseconds on its own clock; undefined where it does not say. Compared, and nothing else. */
+    /** When it started, in milliseconds on the endpoint's clock; undefined if not declared. Only compared with other values of the same endpoint. */
     readonly born: number | undefined;
 }
 
-/** How one life stands to another. */
+/** How one incarnation relates to another. */
 export const LifeOrder = {
     Earlier: "earlier",
     Same: "same",
     Later: "later",
-    /** Of another endpoint. */
+    /** An incarnation of another endpoint. */
     Other: "other",
 } as const;
 /** One of {@link LifeOrder}. */
 export type LifeOrder = typeof LifeOrder[keyof typeof LifeOrder];
 
 /**
- * A life's name among all lives of all endpoints.
+ * Returns the name of an incarnation, which is unique among the incarnations of all endpoints.
  *
  * @example
  * ```ts
@@ -36,7 +37,7 @@
 }
 
 /**
- * How a life stands to one that is known. The id alone counts where either does not say when it began.
+ * Compares an incarnation with a known one. If either does not declare its start time, only the ids are compared.
  *
  * @example
  * ```ts
--- a/packages/routes/src/index.ts
+++ b/packages/routes/src/index.ts
@@ -12,16 +12,22 @@
     type WorkspaceCfg,
 } from "./deployment.js";
 export {
-    type BadEndpoint,
     type EndpointListError,
     type EndpointListResult,
+    type InvalidEndpoint,
     readEndpoints,
     writeEndpoints,
 } from "./endpoint-list.js";
-export { type HallChange, type HallOrders, NO_ORDERS, orderHall, replaceOrders } from "./evacuation.js";
+export {
+    applyEvacuationChange,
+    type HallEvacuationChange,
+    type HallOrders,
+    NO_EVACUATIONS,
+    replaceEvacuations,
+} from "./evacuation.js";
 export { compareLives, type Life, LifeOrder, nameOfLife } from "./incarnation.js";
 export {
-    type Departed,
+    type DepartedEndpoint,
     EMPTY_REGISTRY,
     type Registered,
     type Registry,
--- a/packages/routes/src/registry-state.ts
+++ b/packages/routes/src/registry-state.ts
@@ -1,58 +1,58 @@
 /**
- * What a host knows of endpoints and evacuated halls by the word of the platform's store.
+ * The state of the registry: what a host knows of endpoints and evacuated halls from the platform's store.
  *
  * @module
  */
 import type { EndpointEntry } from "./deployment.js";
-import { type HallChange, type HallOrders, NO_ORDERS } from "./evacuation.js";
+import { type HallEvacuationChange, type HallOrders, NO_EVACUATIONS } from "./evacuation.js";
 
-/** One endpoint that is or may be there. */
+/** An endpoint whose registration exists or may have lapsed during an outage of the store. */
 export interface Registered {
     readonly entry: EndpointEntry;
-    /** When its registration vanished for a reason that may be the store's; undefined while it stands. */
+    /** When the registration vanished, if an outage of the store may be the cause; undefined while it exists. */
     readonly lapsedAt: number | undefined;
-    /** When its registration was last heard to say what it says of its state and warmth. */
+    /** When the host learnt of the registration's current `state` and `coldMs`. */
     readonly saidAt: number;
 }
 
-/** All endpoints, and what is known of the store that names them. */
+/** All endpoints, and the state of the store that lists them. */
 export interface Registry {
-    /** By the names of their lives; of one endpoint no more than its latest. */
+    /** By incarnation; contains only the latest incarnation of each endpoint. */
     readonly endpoints: ReadonlyMap<string, Registered>;
-    /** Endpoints whose registration is gone, by the names of their lives: nothing new is sent to them. */
-    readonly departed: ReadonlyMap<string, Departed>;
-    /** The latest life that is known of each endpoint, by its id; also of one that has departed, so that none comes back. */
+    /** Endpoints whose registration is gone, by incarnation. They receive no new calls. */
+    readonly departed: ReadonlyMap<string, DepartedEndpoint>;
+    /** The latest known incarnation of each endpoint, by id. Includes departed endpoints, so that no earlier incarnation is accepted again. */
     readonly latest: ReadonlyMap<string, EndpointEntry>;
-    /** Whether the store has answered since it last failed to. */
+    /** Whether the last call to the store failed. */
     readonly storeAway: boolean;
-    /** When the store came back last; undefined if it was never away. */
+    /** When the store last answered again after a failure; undefined if it never failed. */
     readonly storeBackAt: number | undefined;
-    /** When the store was last found to have come back from an older copy; undefined if it never was. */
+    /** When the host last found the store restored from an older copy; undefined if it never was. */
     readonly restoredAt: number | undefined;
-    /** What such a copy says against what is known, until its writers have written again. */
+    /** Changes that contradict later knowledge and come from such a copy; see {@link SETTLE_MS}. */
     readonly deferred: readonly RegistryChange[];
-    /** Halls that take nothing new. */
+    /** The evacuated halls, which receive no new calls. */
     readonly halls: HallOrders;
 }
 
 /** An endpoint whose registration is gone. */
-export interface Departed {
+export interface DepartedEndpoint {
     readonly entry: EndpointEntry;
     readonly at: number;
-    /** Whether it has begun a later life, so that nothing of this one is left; what runs at others may go on for a while. */
+    /** Whether a later incarnation has replaced this one, which ends its calls. Calls at other departed endpoints may still finish. */
     readonly isOver: boolean;
 }
 
-/** What became of an endpoint's registration, or of a hall's evacuation. */
+/** A change of an endpoint's registration or of a hall's evacuation. */
 export type RegistryChange =
-    | HallChange
+    | HallEvacuationChange
     | { readonly kind: "registered"; readonly entry: EndpointEntry }
-    /** It was deleted, or ran out. */
+    /** The registration was deleted, or its lease expired. */
     | { readonly kind: "gone"; readonly id: string }
-    /** It stands there and cannot be read: the endpoint takes nothing new, and what runs there goes on. */
+    /** The registration exists but cannot be decoded: the endpoint receives no new calls; running ones continue. */
     | { readonly kind: "unreadable"; readonly id: string };
 
-/** A registry that knows of no endpoint. */
+/** A registry without endpoints. */
 export const EMPTY_REGISTRY: Registry = {
     endpoints: new Map(),
     departed: new Map(),
@@ -61,5 +61,5 @@
     storeBackAt: undefined,
     restoredAt: undefined,
     deferred: [],
-    halls: NO_ORDERS,
+    halls: NO_EVACUATIONS,
 };
--- a/packages/routes/src/registry.ts
+++ b/packages/routes/src/registry.ts
@@ -1,51 +1,52 @@
 /**
- * Which endpoints are there, by the word of the platform's store, and which of them take new work.
+ * Derives from the platform's store which endpoints exist and which of them accept new calls.
  *
- * Registrations that vanish while the store is away, or just after, may have lapsed because their owners could not reach
- * it: they are kept for {@link LAPSE_GRACE_MS} after its return, unless the endpoint had said that it leaves.
+ * A registration that vanishes during an outage of the store, or just after, may have expired because the endpoint could not
+ * reach the store. It is kept for {@link LAPSE_GRACE_MS} after the store answers again, unless the endpoint had announced
+ * that it is leaving.
  *
- * An endpoint that starts again under its id begins a new life: the earlier one is over at once, whoever tells of the later
- * one, and an earlier one that is told late changes nothing.
+ * An endpoint that restarts under the same id begins a new incarnation. The earlier one is over as soon as the host learns
+ * of the later one from any source; late reports of the earlier one are ignored.
  *
- * Pure: each function returns the next state. Times are milliseconds on one clock of the caller's choice.
+ * The functions are pure and return the next state. Times are milliseconds on any one clock.
  *
  * @module
  */
 import { type EndpointEntry, EndpointState } from "./deployment.js";
-import { type HallChange, orderHall, replaceOrders } from "./evacuation.js";
+import { applyEvacuationChange, type HallEvacuationChange, replaceEvacuations } from "./evacuation.js";
 import { compareLives, type Life, LifeOrder, nameOfLife } from "./incarnation.js";
-import type { Departed, Registered, Registry, RegistryChange } from "./registry-state.js";
-import { SETTLE_MS, settleContent, stillDeferred } from "./store-restore.js";
+import type { DepartedEndpoint, Registered, Registry, RegistryChange } from "./registry-state.js";
+import { reconcileContents, remainingDeferred, SETTLE_MS } from "./store-restore.js";
 
-/** Registrations of servers that live are back within about two seconds of the store's return (letter 2). */
+/** After an outage of the store, live endpoints have registered again within about two seconds. */
 export const LAPSE_GRACE_MS = 2_000;
 
-/** Departed endpoints are remembered for as long as they may still finish what they run. */
-export const DEPARTED_KEPT_MS = 30_000;
+/** How long departed endpoints are remembered: the time in which they may still finish their calls. */
+export const DEPARTED_TTL_MS = 30_000;
 
-/** The registry when a call to the store failed. */
+/** Records that a call to the store failed. */
 export function storeFailed(registry: Registry): Registry {
     return registry.storeAway ? registry : { ...registry, storeAway: true };
 }
 
-/** The registry when the store answered. */
+/** Records that the store answered. */
 export function storeAnswered(registry: Registry, now: number): Registry {
     return registry.storeAway ? { ...registry, storeAway: false, storeBackAt: now } : registry;
 }
 
-/** The registry when the store was found to have come back from an older copy: it lacks what was written since. */
+/** Records that the store was restored from an older copy, which lacks what was written since. */
 export function storeRestored(registry: Registry, now: number): Registry {
     return { ...registry, storeAway: false, storeBackAt: now, restoredAt: now, deferred: [] };
 }
 
-/** Whether a registration that vanishes now may have lapsed for the store's reasons. */
-function mayBeLapse(registry: Registry, now: number): boolean {
+/** Whether an outage of the store may be the reason why a registration vanishes now. */
+function mayHaveLapsed(registry: Registry, now: number): boolean {
     const { storeAway, storeBackAt } = registry;
     return storeAway || storeBackAt !== undefined && now - storeBackAt < LAPSE_GRACE_MS;
 }
 
 /**
- * The registry after changes that the store told. A life that is earlier than the latest one known changes nothing.
+ * Applies changes that the store has reported. Registrations of earlier incarnations than the latest known are ignored.
  *
  * @example
  * ```ts
@@ -53,71 +54,80 @@
  * ```
  */
 export function applyChanges(registry: Registry, changes: readonly RegistryChange[], now: number): Registry {
-    const isOrder = (change: RegistryChange): change is HallChange =>
+    const isEvacuationChange = (change: RegistryChange): change is HallEvacuationChange =>
         change.kind === "evacuated" || change.kind === "reopened";
-    const orders = changes.filter(isOrder);
-    const halls = orders.reduce((sum, change) => orderHall(sum, change, now), registry.halls);
-    const deferred = stillDeferred(registry.deferred, changes);
+    const evacuationChanges = changes.filter(isEvacuationChange);
+    const halls = evacuationChanges.reduce((sum, change) => applyEvacuationChange(sum, change, now), registry.halls);
+    const deferred = remainingDeferred(registry.deferred, changes);
     const draft = draftOf(registry);
-    for (const change of changes) if (!isOrder(change)) applyChange(draft, change, now);
+    for (const change of changes) if (!isEvacuationChange(change)) applyChange(draft, change, now);
     return withEndpoints({ ...registry, halls, deferred }, draft, now);
 }
 
-/** What changes while changes are taken in, one after another. */
-interface Draft {
+/** Mutable copies of the maps that a series of changes modifies. */
+interface RegistryDraft {
     readonly registry: Registry;
     readonly endpoints: Map<string, Registered>;
     readonly latest: Map<string, EndpointEntry>;
 }
 
-function draftOf(registry: Registry): Draft {
+function draftOf(registry: Registry): RegistryDraft {
     return { registry, endpoints: new Map(registry.endpoints), latest: new Map(registry.latest) };
 }
 
-function applyChange(draft: Draft, change: Exclude<RegistryChange, HallChange>, now: number): void {
-    if (change.kind === "registered") return register(draft, change.entry, now);
+function applyChange(draft: RegistryDraft, change: Exclude<RegistryChange, HallEvacuationChange>, now: number): void {
+    if (change.kind === "registered") return addRegistration(draft, change.entry, now);
     const known = draft.latest.get(change.id);
-    if (known) vanish(draft, known.incarnation, change.kind === "gone", now);
+    if (known) removeRegistration(draft, known.incarnation, change.kind === "gone", now);
 }
 
-function register({ registry, endpoints, latest }: Draft, entry: EndpointEntry, now: number): void {
+function addRegistration({ registry, endpoints, latest }: RegistryDraft, entry: EndpointEntry, now: number): void {
     const known = latest.get(entry.id);
     const order = known ? compareLives(entry, known) : LifeOrder.Later;
     if (order === LifeOrder.Earlier) return;
-    // One that does not say when it began goes by the name that its life has here already.
-    const taken = known && order === LifeOrder.Same
+    // An entry without a start time keeps the name under which its incarnation is already known.
+    const accepted = known && order === LifeOrder.Same
         ? { ...entry, incarnation: known.incarnation, born: known.born ?? entry.born }
         : entry;
     if (known && order === LifeOrder.Later) endpoints.delete(known.incarnation);
-    endpoints.set(taken.incarnation, { entry: taken, lapsedAt: undefined, saidAt: saidAt(registry, taken, now) });
-    latest.set(taken.id, taken);
+    endpoints.set(accepted.incarnation, {
+        entry: accepted,
+        lapsedAt: undefined,
+        saidAt: announcedAtOf(registry, accepted, now),
+    });
+    latest.set(accepted.id, accepted);
 }
 
-/** A registration that is told again says nothing new. */
-function saidAt({ endpoints }: Registry, { incarnation, coldMs, state }: EndpointEntry, now: number): number {
+/** When the entry's `state` and `coldMs` became known: now, unless the known registration already has both. */
+function announcedAtOf({ endpoints }: Registry, { incarnation, coldMs, state }: EndpointEntry, now: number): number {
     const known = endpoints.get(incarnation);
     return known && known.entry.coldMs === coldMs && known.entry.state === state ? known.saidAt : now;
 }
 
-function vanish({ registry, endpoints }: Draft, incarnation: string, mayLapse: boolean, now: number): void {
+function removeRegistration(
+    { registry, endpoints }: RegistryDraft,
+    incarnation: string,
+    mayLapse: boolean,
+    now: number,
+): void {
     const known = endpoints.get(incarnation);
     if (!known || mayLapse && known.lapsedAt !== undefined) return;
-    const stays = mayLapse && mayBeLapse(registry, now) && known.entry.state === EndpointState.Ready;
-    if (stays) endpoints.set(incarnation, { ...known, lapsedAt: now });
+    const isKept = mayLapse && mayHaveLapsed(registry, now) && known.entry.state === EndpointState.Ready;
+    if (isKept) endpoints.set(incarnation, { ...known, lapsedAt: now });
     else endpoints.delete(incarnation);
 }
 
-/** The registry with other endpoints; those that it had and has no more have departed. */
+/** Replaces the endpoints; those that are missing from the new ones have departed. */
 function withEndpoints(
     registry: Registry,
-    { endpoints, latest }: Pick<Draft, "endpoints" | "latest">,
+    { endpoints, latest }: Pick<RegistryDraft, "endpoints" | "latest">,
     now: number,
 ): Registry {
     const isOver = (entry: EndpointEntry): boolean => latest.get(entry.id)?.incarnation !== entry.incarnation;
-    const departed = new Map<string, Departed>();
+    const departed = new Map<string, DepartedEndpoint>();
     for (const [incarnation, { entry, at }] of registry.departed) {
         const isBack = endpoints.has(incarnation);
-        if (!isBack && now - at < DEPARTED_KEPT_MS) departed.set(incarnation, { entry, at, isOver: isOver(entry) });
+        if (!isBack && now - at < DEPARTED_TTL_MS) departed.set(incarnation, { entry, at, isOver: isOver(entry) });
     }
     for (const [incarnation, { entry }] of registry.endpoints) {
         if (!endpoints.has(incarnation)) departed.set(incarnation, { entry, at: now, isOver: isOver(entry) });
@@ -128,10 +138,10 @@
 }
 
 /**
- * The registry after all registrations were read: what is not among them has vanished.
+ * Applies a complete read of the store: registrations that it lacks have vanished.
  *
- * @param unreadable Ids of endpoints whose registrations stand there and cannot be read.
- * @param evacuated Halls whose evacuation stands there.
+ * @param unreadable Ids of endpoints whose registrations exist but cannot be decoded.
+ * @param evacuated Halls that are evacuated according to the store.
  */
 export function replaceAll(
     registry: Registry,
@@ -140,21 +150,21 @@
     evacuated: readonly string[],
     now: number,
 ): Registry {
-    const content = settleContent(registry, { entries, evacuated }, now);
-    const halls = replaceOrders(registry.halls, content.evacuated, now);
+    const contents = reconcileContents(registry, { entries, evacuated }, now);
+    const halls = replaceEvacuations(registry.halls, contents.evacuated, now);
     const present = new Set([...entries.map(({ id }) => id), ...unreadable]);
     const missing = [...registry.endpoints.values()].filter(({ entry }) => !present.has(entry.id));
     const next = applyChanges({ ...registry, halls }, [
         ...missing.map(({ entry: { id } }): RegistryChange => ({ kind: "gone", id })),
         ...unreadable.map((id): RegistryChange => ({ kind: "unreadable", id })),
-        ...content.entries.map((entry): RegistryChange => ({ kind: "registered", entry })),
+        ...contents.entries.map((entry): RegistryChange => ({ kind: "registered", entry })),
     ], now);
-    return { ...next, deferred: content.deferred };
+    return { ...next, deferred: contents.deferred };
 }
 
 /**
- * The registry with the endpoints of a host that the store answers, taken over as they are: which of them have lapsed was
- * judged there. Where a later life is known here than there, it stays.
+ * Adopts the endpoints of a peer that can reach the store, without a grace period of their own, since the peer has already
+ * decided which have lapsed. Later incarnations that this host knows are kept.
  */
 export function adoptEndpoints(
     registry: Registry,
@@ -162,21 +172,21 @@
     evacuated: readonly string[],
     now: number,
 ): Registry {
-    const content = settleContent(registry, { entries, evacuated }, now);
-    const halls = replaceOrders(registry.halls, content.evacuated, now);
-    const draft: Draft = { registry, endpoints: new Map(), latest: new Map(registry.latest) };
-    for (const entry of content.entries) {
-        register(draft, entry, now);
+    const contents = reconcileContents(registry, { entries, evacuated }, now);
+    const halls = replaceEvacuations(registry.halls, contents.evacuated, now);
+    const draft: RegistryDraft = { registry, endpoints: new Map(), latest: new Map(registry.latest) };
+    for (const entry of contents.entries) {
+        addRegistration(draft, entry, now);
         const latest = draft.latest.get(entry.id)!;
         const known = registry.endpoints.get(latest.incarnation);
         if (known && !draft.endpoints.has(latest.incarnation)) draft.endpoints.set(latest.incarnation, known);
     }
-    return withEndpoints({ ...registry, halls, deferred: content.deferred }, draft, now);
+    return withEndpoints({ ...registry, halls, deferred: contents.deferred }, draft, now);
 }
 
 /**
- * The registry after an endpoint was found to have begun a later life than the one known, by its own word or a peer's: it goes
- * on under that life's name until its registration says more. Any other life changes nothing.
+ * Records an incarnation that the endpoint itself or a peer has reported. If it is later than the known one, it replaces that one,
+ * with the known registration's data until its own registration arrives; otherwise nothing changes.
  *
  * @example
  * ```ts
@@ -186,7 +196,7 @@
 export function meetLife(registry: Registry, life: Life, now: number): Registry {
     const known = registry.latest.get(life.id);
     if (!known || compareLives(life, known) !== LifeOrder.Later) return registry;
-    // How cold it is, the later life has not said.
+    // The later incarnation has not declared yet how long it is cold.
     const entry = {
         ...known,
         ...life,
@@ -195,13 +205,13 @@
         coldMs: undefined,
     };
     const draft = draftOf(registry);
-    // Of one that has departed no more is learnt than that its earlier life is over.
-    if (draft.endpoints.has(known.incarnation)) register(draft, entry, now);
+    // A departed endpoint is not registered again; the host only learns that its earlier incarnation is over.
+    if (draft.endpoints.has(known.incarnation)) addRegistration(draft, entry, now);
     else draft.latest.set(life.id, entry);
     return withEndpoints(registry, draft, now);
 }
 
-/** The registry when nothing was told for a while: what was kept or deferred for a time goes by the store's word when that is over. */
+/** Drops lapsed registrations and applies deferred changes whose grace period has ended. Called even when no change arrives. */
 export function settle(registry: Registry, now: number): Registry {
     return registry.storeAway ? registry : expireLapsed(applyDeferred(registry, now), now);
 }
@@ -213,9 +223,9 @@
 }
 
 function expireLapsed(registry: Registry, now: number): Registry {
-    const since = registry.storeBackAt ?? -Infinity;
+    const storeBackAt = registry.storeBackAt ?? -Infinity;
     const kept = [...registry.endpoints].filter(([, { lapsedAt }]) =>
-        lapsedAt === undefined || now - since < LAPSE_GRACE_MS
+        lapsedAt === undefined || now - storeBackAt < LAPSE_GRACE_MS
     );
     if (kept.length === registry.endpoints.size) return registry;
     return withEndpoints(registry, { endpoints: new Map(kept), latest: new Map(registry.latest) }, now);
--- a/packages/routes/src/route-table.ts
+++ b/packages/routes/src/route-table.ts
@@ -1,31 +1,33 @@
 /**
- * Finds what a deployment says of one call: its route, the service of its turn, its workspace.
+ * Looks up a call's route, service and workspace in a deployment.
  *
  * @module
  */
 import type { Deployment, Route, ServiceCfg, WorkspaceCfg } from "./deployment.js";
 
-/** A deployment, indexed for look-ups; built once for each version. */
+/** An index of a deployment, built once per version. */
 export class RouteTable {
-    private readonly byHost = new Map<string, Route[]>();
-    private readonly services: ReadonlyMap<string, ServiceCfg>;
-    private readonly byKey: ReadonlyMap<string, WorkspaceCfg>;
+    private readonly routesByHost = new Map<string, Route[]>();
+    private readonly servicesByName: ReadonlyMap<string, ServiceCfg>;
+    private readonly workspacesByKey: ReadonlyMap<string, WorkspaceCfg>;
 
     private constructor(readonly deployment: Deployment) {
         for (const route of deployment.routes) {
             const host = route.host.toLowerCase();
-            const routes = this.byHost.get(host);
+            const routes = this.routesByHost.get(host);
             if (routes) routes.push(route);
-            else this.byHost.set(host, [route]);
+            else this.routesByHost.set(host, [route]);
         }
-        for (const routes of this.byHost.values()) routes.sort((a, b) => b.prefix.length - a.prefix.length);
-        this.services = new Map(deployment.services.map(service => [service.name, service]));
+        for (const routes of this.routesByHost.values()) routes.sort((a, b) => b.prefix.length - a.prefix.length);
+        this.servicesByName = new Map(deployment.services.map(service => [service.name, service]));
         const workspaces = deployment.workspaces ?? [];
-        this.byKey = new Map(workspaces.flatMap(workspace => workspace.keys.map(key => [key, workspace] as const)));
+        this.workspacesByKey = new Map(
+            workspaces.flatMap(workspace => workspace.keys.map(key => [key, workspace] as const)),
+        );
     }
 
     /**
-     * A table of one version.
+     * Builds the index of a deployment.
      *
      * @example
      * ```ts
@@ -40,31 +42,31 @@
         return this.deployment.version;
     }
 
-    /** Whether calls must carry a key unless their route is public. */
+    /** Whether calls need a key unless their route is public. */
     get usesKeys(): boolean {
         return this.deployment.workspaces !== undefined;
     }
 
-    /** The route with the longest prefix of the target's path among those of the host; a port in `host` is ignored. */
+    /** Finds the route of the host name whose prefix is the longest match of the target's path. A port in `host` is ignored. */
     find(host: string, target: string): Route | undefined {
-        const name = host.replace(/:\d+$/, "").toLowerCase();
+        const hostName = host.replace(/:\d+$/, "").toLowerCase();
         const path = target.split("?", 1)[0]!;
-        return this.byHost.get(name)?.find(route => path.startsWith(route.prefix));
+        return this.routesByHost.get(hostName)?.find(route => path.startsWith(route.prefix));
     }
 
     service(name: string): ServiceCfg | undefined {
-        return this.services.get(name);
+        return this.servicesByName.get(name);
     }
 
     workspaceOf(key: string): WorkspaceCfg | undefined {
-        return this.byKey.get(key);
+        return this.workspacesByKey.get(key);
     }
 }
 
 /**
- * The service of a call, by the route's weights.
+ * Picks the service of a call by the route's weights; undefined if no service has a positive weight.
  *
- * @param draw Evenly distributed from 0 up to 1.
+ * @param draw A random number, uniformly distributed in [0, 1).
  *
  * @example
  * ```ts
@@ -73,10 +75,10 @@
  */
 export function pickService(services: Route["services"], draw: number): string | undefined {
     const total = services.reduce((sum, { weight }) => sum + weight, 0);
-    let left = draw * total;
+    let remaining = draw * total;
     for (const { service, weight } of services) {
-        left -= weight;
-        if (left < 0) return service;
+        remaining -= weight;
+        if (remaining < 0) return service;
     }
     return undefined;
 }
--- a/packages/routes/src/store-restore.ts
+++ b/packages/routes/src/store-restore.ts
@@ -1,9 +1,9 @@
 /**
- * What a host goes on to believe when the store comes back from an older copy: the copy may name endpoints that have left since
- * and lack evacuations that stand. What contradicts later knowledge is deferred until its writer has written again, or for
- * {@link SETTLE_MS}, after which a registration that nobody keeps has lapsed.
+ * Reconciles the registry with a store that was restored from an older copy. The copy may contain endpoints that have left since and
+ * lack current evacuations. Entries that contradict what the host learnt later are deferred until their key is written again, or for
+ * {@link SETTLE_MS}, by which time registrations that no endpoint renews have expired.
  *
- * Pure. Times are milliseconds on one clock of the caller's choice.
+ * The functions are pure. Times are milliseconds on any one clock.
  *
  * @module
  */
@@ -11,46 +11,50 @@
 import { compareLives, LifeOrder } from "./incarnation.js";
 import type { Registry, RegistryChange } from "./registry-state.js";
 
-/** Above three heartbeats of an endpoint, and the time in which writers that live write again. */
+/** Longer than three heartbeats of an endpoint, within which every live writer has written its keys again. */
 export const SETTLE_MS = 5_000;
 
-/** What a store holds of endpoints and evacuations. */
-export interface StoreContent {
+/** The endpoints and evacuations in the store. */
+export interface StoreContents {
     readonly entries: readonly EndpointEntry[];
-    /** Halls whose evacuation stands. */
+    /** Halls that are evacuated. */
     readonly evacuated: readonly string[];
 }
 
-/** What is taken of a store's content now, and what is deferred. */
-export interface SettledContent extends StoreContent {
+/** The contents to apply now, and the changes to defer. */
+export interface ReconciledContents extends StoreContents {
     readonly deferred: readonly RegistryChange[];
 }
 
 /**
- * Divides what was read from the store into what counts now and what waits.
+ * Divides what was read from the store into the contents to apply now and the changes to defer.
  *
  * @example
  * ```ts
- * const { entries, evacuated, deferred } = settleContent(registry, { entries: read, evacuated: [] }, now);
+ * const { entries, evacuated, deferred } = reconcileContents(registry, { entries: read, evacuated: [] }, now);
  * ```
  */
-export function settleContent(registry: Registry, { entries, evacuated }: StoreContent, now: number): SettledContent {
+export function reconcileContents(
+    registry: Registry,
+    { entries, evacuated }: StoreContents,
+    now: number,
+): ReconciledContents {
     const { restoredAt } = registry;
     if (restoredAt === undefined || now - restoredAt >= SETTLE_MS) return { entries, evacuated, deferred: [] };
     const kept: EndpointEntry[] = [];
     const deferred: RegistryChange[] = [];
     for (const entry of entries) {
-        const settled = settleEntry(registry, entry, restoredAt);
-        if (settled) kept.push(settled);
-        if (settled !== entry) deferred.push({ kind: "registered", entry });
+        const accepted = reconcileEntry(registry, entry, restoredAt);
+        if (accepted) kept.push(accepted);
+        if (accepted !== entry) deferred.push({ kind: "registered", entry });
     }
-    const standing = [...registry.halls.evacuated].filter(hall => !evacuated.includes(hall));
-    for (const hall of standing) deferred.push({ kind: "reopened", hall });
-    return { entries: kept, evacuated: [...evacuated, ...standing], deferred };
+    const missingEvacuations = [...registry.halls.evacuated].filter(hall => !evacuated.includes(hall));
+    for (const hall of missingEvacuations) deferred.push({ kind: "reopened", hall });
+    return { entries: kept, evacuated: [...evacuated, ...missingEvacuations], deferred };
 }
 
-/** The entry itself where nothing later is known, the entry as leaving, or undefined for one that has departed. */
-function settleEntry(
+/** Returns the entry unless the host knows more: as leaving if the endpoint had announced that, undefined if it had departed. */
+function reconcileEntry(
     { endpoints, latest, departed }: Registry,
     entry: EndpointEntry,
     restoredAt: number,
@@ -59,20 +63,21 @@
     if (!known || compareLives(entry, known) !== LifeOrder.Same) return entry;
     const departure = endpoints.has(known.incarnation) ? undefined : departed.get(known.incarnation);
     if (departure && departure.at < restoredAt) return undefined;
-    const hasLeft = known.state === EndpointState.Leaving && entry.state !== EndpointState.Leaving;
-    return hasLeft ? { ...entry, state: EndpointState.Leaving } : entry;
+    const isKnownLeaving = known.state === EndpointState.Leaving && entry.state !== EndpointState.Leaving;
+    return isKnownLeaving ? { ...entry, state: EndpointState.Leaving } : entry;
 }
 
-/** What is still deferred after the store told changes: one that was written again is known by what was written. */
-export function stillDeferred(
+/** Drops the deferred changes whose endpoint or hall the store has reported again. */
+export function remainingDeferred(
     deferred: readonly RegistryChange[],
-    told: readonly RegistryChange[],
+    changes: readonly RegistryChange[],
 ): readonly RegistryChange[] {
     if (deferred.length === 0) return deferred;
-    const subjects = new Set(told.map(subjectOf));
-    return deferred.filter(change => !subjects.has(subjectOf(change)));
+    const rewritten = new Set(changes.map(subjectOf));
+    return deferred.filter(change => !rewritten.has(subjectOf(change)));
 }
 
+/** Names the hall or endpoint that a change is about. */
 function subjectOf(change: RegistryChange): string {
     if (change.kind === "evacuated" || change.kind === "reopened") return `hall ${change.hall}`;
     return `endpoint ${change.kind === "registered" ? change.entry.id : change.id}`;
--- a/packages/standins/src/endpoint-mutations.ts
+++ b/packages/standins/src/endpoint-mutations.ts
@@ -65,8 +65,8 @@
     {
         promise: "a hall that is taken back is cold",
         file: "packages/routes/src/cold-period.ts",
-        find: "Math.max(own, returned)",
-        replace: "own",
+        find: "Math.max(ownWarmAt, reopenedWarmAt)",
+        replace: "ownWarmAt",
         tests: [ORDERS],
     },
     {
--- a/packages/standins/src/memory-mutations.ts
+++ b/packages/standins/src/memory-mutations.ts
@@ -163,15 +163,15 @@
     {
         promise: "memory: what a peer does not read is dropped above the bound",
         file: MESH_SOURCE,
-        find: "return most === undefined || link.waitingBytes === 0 || link.waitingBytes < most;",
+        find: "return maxBytes === undefined || link.queuedBytes === 0 || link.queuedBytes < maxBytes;",
         replace: "return true;",
         tests: [MESH],
     },
     {
         promise: "memory: a message alone may wait, whatever its size",
         file: MESH_SOURCE,
-        find: "most === undefined || link.waitingBytes === 0 || ",
-        replace: "most === undefined || ",
+        find: "maxBytes === undefined || link.queuedBytes === 0 || ",
+        replace: "maxBytes === undefined || ",
         tests: [MESH],
     },
     {
--- a/packages/standins/src/mutations.ts
+++ b/packages/standins/src/mutations.ts
@@ -237,8 +237,8 @@
     {
         promise: "registrations that lapse in an outage are kept",
         file: "packages/routes/src/registry.ts",
-        find: "const stays = mayLapse && mayBeLapse(registry, now) &&",
-        replace: "const stays = mayLapse && now < 0 &&",
+        find: "const isKept = mayLapse && mayHaveLapsed(registry, now) &&",
+        replace: "const isKept = mayLapse && now < 0 &&",
         tests: [ROUTES],
     },
     {
@@ -440,7 +440,7 @@
     {
         promise: "suspended: a step of the time of day counts for nothing",
         file: CLOCK,
-        find: "if (Math.abs(gainedMs - jumpMs) <= AGREE_MS) suspendedMs = gainedMs;",
+        find: "if (Math.abs(gainedMs - jumpMs) <= JUMP_TOLERANCE_MS) suspendedMs = gainedMs;",
         replace: "suspendedMs = jumpMs;",
         tests: ["packages/protocol/test/clock.test.ts"],
     },
--- a/packages/standins/src/store-mutations.ts
+++ b/packages/standins/src/store-mutations.ts
@@ -75,8 +75,8 @@
     {
         promise: "restored: an endpoint that leaves goes on to leave",
         file: SETTLE,
-        find: "const hasLeft = known.state === EndpointState.Leaving",
-        replace: "const hasLeft = false",
+        find: "const isKnownLeaving = known.state === EndpointState.Leaving",
+        replace: "const isKnownLeaving = false",
         tests: [OLDER_COPY],
     },
     {
@@ -89,7 +89,7 @@
     {
         promise: "restored: an evacuation stands",
         file: SETTLE,
-        find: "evacuated: [...evacuated, ...standing]",
+        find: "evacuated: [...evacuated, ...missingEvacuations]",
         replace: "evacuated",
         tests: [OLDER_COPY],
     },
@@ -103,7 +103,7 @@
     {
         promise: "restored: what was written again is not deferred",
         file: SETTLE,
-        find: "return deferred.filter(change => !subjects.has(subjectOf(change)));",
+        find: "return deferred.filter(change => !rewritten.has(subjectOf(change)));",
         replace: "return deferred;",
         tests: [OLDER_COPY],
     },
