--- a/packages/protocol/src/peer-mesh.ts
+++ b/packages/protocol/src/peer-mesh.ts
@@ -100,7 +100,7 @@
     /** All open links, by {@link Link.id}. */
     private readonly openLinks = new Map<number, Link>();
     /** By address: when it may be dialled again, and the upper bound of the last delay, which doubles with each failure. */
-    private readonly redialBackoffs = new Map<string, { at: number; pauseMs: number }>();
+    private readonly redialBackoffs = new Map<string, { at: number; delayMs: number }>();
     private address = "";
     private lastLinkId = 0;
 
@@ -214,12 +214,12 @@
         if (this.cfg.signal.aborted || link.dialledTo === undefined) return;
         const delayMs = Math.min(
             MAX_REDIAL_DELAY_MS,
-            (this.redialBackoffs.get(link.dialledTo)?.pauseMs ?? MIN_REDIAL_DELAY_MS / 2) * 2,
+            (this.redialBackoffs.get(link.dialledTo)?.delayMs ?? MIN_REDIAL_DELAY_MS / 2) * 2,
         );
         // Full jitter keeps hosts that lost the same peer from reconnecting at the same time.
         this.redialBackoffs.set(link.dialledTo, {
             at: this.cfg.clock.now() + delayMs * Math.random(),
-            pauseMs: delayMs,
+            delayMs,
         });
         this.cfg.onError(link.dialledTo, { kind: "closed", detail: failure ?? "closed by the peer" });
     }
@@ -274,7 +274,9 @@
         if (hello.version !== PEER_VERSION) return this.fail(link, { kind: "otherVersion", found: hello.version });
         const isComplete = typeof hello.name === "string" && typeof hello.address === "string"
             && hello.nonce instanceof Uint8Array;
-        if (!isComplete || link.peer) return this.fail(link, { kind: "badFrame", detail: "incomplete hello" });
+        if (!isComplete || link.peer) {
+            return this.fail(link, { kind: "badFrame", detail: "incomplete or repeated hello" });
+        }
         link.peer = { name: hello.name, address: hello.address };
         const proof: Proof = {
             kind: "proof",
