--- a/packages/protocol/src/clock.ts
+++ b/packages/protocol/src/clock.ts
@@ -71,29 +71,29 @@
 
 class SuspendingClock implements Clock {
     private totalSuspendedMs = 0;
-    private steady: number;
-    private timeOfDay: number;
+    private lastAwakeMs: number;
+    private lastTimeOfDay: number;
     /** Offset of the boot clock from the monotonic clock when they were last compared, and when that was. */
-    private bootReading: { readonly offset: number; readonly at: number };
+    private lastBoot: { readonly offset: number; readonly at: number };
     /** Whether the boot clock runs at the rate of the monotonic clock; undefined before the first check. */
     private isBootReliable: boolean | undefined;
     private readonly listeners = new Set<(wake: Wake) => void>();
 
     constructor(private readonly sources: ClockSources) {
-        this.steady = sources.steady();
-        this.timeOfDay = sources.timeOfDay();
-        this.bootReading = this.readBoot(this.steady);
+        this.lastAwakeMs = sources.steady();
+        this.lastTimeOfDay = sources.timeOfDay();
+        this.lastBoot = this.readBoot(this.lastAwakeMs);
     }
 
     now(): number {
-        const steady = this.sources.steady();
+        const awakeMs = this.sources.steady();
         const timeOfDay = this.sources.timeOfDay();
-        const jumpMs = timeOfDay - this.timeOfDay - (steady - this.steady);
-        this.steady = steady;
-        this.timeOfDay = timeOfDay;
-        if (jumpMs >= MIN_JUMP_MS) this.handleJump(steady, jumpMs);
-        else if (steady - this.bootReading.at >= BOOT_CHECK_MS && this.isBootReliable !== false) this.checkBoot(steady);
-        return steady + this.totalSuspendedMs;
+        const jumpMs = timeOfDay - this.lastTimeOfDay - (awakeMs - this.lastAwakeMs);
+        this.lastAwakeMs = awakeMs;
+        this.lastTimeOfDay = timeOfDay;
+        if (jumpMs >= MIN_JUMP_MS) this.handleJump(awakeMs, jumpMs);
+        else if (awakeMs - this.lastBoot.at >= BOOT_CHECK_MS && this.isBootReliable !== false) this.checkBoot(awakeMs);
+        return awakeMs + this.totalSuspendedMs;
     }
 
     awake(): number {
@@ -105,25 +105,25 @@
     }
 
     /** Treats a jump of the time of day as a suspension if the boot clock has jumped as well, and calls the listeners. */
-    private handleJump(steady: number, jumpMs: number): void {
+    private handleJump(awakeMs: number, jumpMs: number): void {
         let suspendedMs = 0;
         if (this.isBootReliable === true) {
-            const before = this.bootReading;
-            this.bootReading = this.readBoot(steady);
-            const gainedMs = this.bootReading.offset - before.offset;
+            const before = this.lastBoot;
+            this.lastBoot = this.readBoot(awakeMs);
+            const gainedMs = this.lastBoot.offset - before.offset;
             if (Math.abs(gainedMs - jumpMs) <= JUMP_TOLERANCE_MS) suspendedMs = gainedMs;
         }
         this.totalSuspendedMs += suspendedMs;
         for (const listener of this.listeners) listener({ suspendedMs, jumpMs });
     }
 
-    private checkBoot(steady: number): void {
-        const before = this.bootReading;
-        this.bootReading = this.readBoot(steady);
-        this.isBootReliable = Math.abs(this.bootReading.offset - before.offset) < MAX_BOOT_DRIFT_MS;
+    private checkBoot(awakeMs: number): void {
+        const before = this.lastBoot;
+        this.lastBoot = this.readBoot(awakeMs);
+        this.isBootReliable = Math.abs(this.lastBoot.offset - before.offset) < MAX_BOOT_DRIFT_MS;
     }
 
-    private readBoot(steady: number): { readonly offset: number; readonly at: number } {
-        return { offset: this.sources.boot() - steady, at: steady };
+    private readBoot(awakeMs: number): { readonly offset: number; readonly at: number } {
+        return { offset: this.sources.boot() - awakeMs, at: awakeMs };
     }
 }
--- a/packages/protocol/test/clock.test.ts
+++ b/packages/protocol/test/clock.test.ts
@@ -1,17 +1,17 @@
 import test from "ava";
 import { type Clock, createClock, type Wake } from "../src/index.js";
 
-/** A clock whose sources are set by hand. */
-function clockOf(): {
+/** Creates a clock with sources that the test controls. */
+function fakeClock(): {
     readonly clock: Clock;
     readonly wakes: Wake[];
-    /** The host is awake for a time. */
+    /** Advances all clocks: the host is awake. */
     readonly pass: (ms: number) => void;
-    /** It is suspended for a time, of which the boot clock may know nothing. */
+    /** Suspends the host; the boot clock advances by `bootMs`. */
     readonly suspend: (ms: number, bootMs?: number) => void;
-    /** Its time of day is set. */
+    /** Sets the time of day forward, or back if negative. */
     readonly set: (ms: number) => void;
-    /** Its boot clock runs at another pace than its steady clock. */
+    /** Moves the boot clock alone, as if it ran at another rate than the monotonic clock. */
     readonly drift: (ms: number) => void;
     readonly bootReadings: () => number;
 } {
@@ -47,24 +47,24 @@
     };
 }
 
-const CHECKED_MS = 10_000;
+const BOOT_CHECK_MS = 10_000;
 
 for (const seconds of [1, 5, 30]) {
-    test(`a suspension of ${seconds} s counts, and is told before the first reading returns`, t => {
-        const { clock, wakes, pass, suspend } = clockOf();
-        pass(CHECKED_MS);
+    test(`a suspension of ${seconds} s is included, and reported before the first call of now returns`, t => {
+        const { clock, wakes, pass, suspend } = fakeClock();
+        pass(BOOT_CHECK_MS);
         const before = clock.now();
         suspend(seconds * 1_000);
         pass(1);
         t.is(clock.now(), before + seconds * 1_000 + 1);
         t.deepEqual(wakes, [{ suspendedMs: seconds * 1_000, jumpMs: seconds * 1_000 }]);
-        t.is(clock.awake(), 1_000 + CHECKED_MS + 1);
+        t.is(clock.awake(), 1_000 + BOOT_CHECK_MS + 1);
     });
 }
 
-test("a time of day that is set forward or back moves nothing; forward is told as a suspicion", t => {
-    const { clock, wakes, pass, set } = clockOf();
-    pass(CHECKED_MS);
+test("setting the time of day does not change the clock; only a forward jump is reported", t => {
+    const { clock, wakes, pass, set } = fakeClock();
+    pass(BOOT_CHECK_MS);
     const before = clock.now();
     set(7_000);
     t.is(clock.now(), before);
@@ -74,26 +74,26 @@
     t.is(wakes.length, 1);
 });
 
-test("a boot clock that was not held against the steady one yet, or runs at another pace, decides nothing", t => {
-    const early = clockOf();
+test("a boot clock that was not compared with the monotonic clock yet, or drifts from it, is ignored", t => {
+    const early = fakeClock();
     early.suspend(5_000);
     t.is(early.clock.now(), 1_000);
     t.deepEqual(early.wakes, [{ suspendedMs: 0, jumpMs: 5_000 }]);
-    const foreign = clockOf();
-    foreign.pass(CHECKED_MS);
+    const foreign = fakeClock();
+    foreign.pass(BOOT_CHECK_MS);
     foreign.drift(-8_000);
     const before = foreign.clock.now();
     foreign.suspend(5_000, 0);
     foreign.drift(5_000);
     t.is(foreign.clock.now(), before);
     const readings = foreign.bootReadings();
-    foreign.pass(2 * CHECKED_MS);
+    foreign.pass(2 * BOOT_CHECK_MS);
     foreign.clock.now();
     t.is(foreign.bootReadings(), readings);
 });
 
-test("a clock that is slewed, or read rarely, tells of no wake, and the boot clock is read every ten seconds", t => {
-    const { clock, wakes, pass, set, bootReadings } = clockOf();
+test("slewing reports no jump, and the boot clock is read every ten seconds", t => {
+    const { clock, wakes, pass, set, bootReadings } = fakeClock();
     for (let at = 0; at < 1_000; at++) {
         pass(50);
         set(0.025);
@@ -103,8 +103,8 @@
     t.is(bootReadings(), 6);
 });
 
-test("it never goes back, whatever is set and suspended", t => {
-    const { clock, pass, suspend, set } = clockOf();
+test("the clock never goes back, whatever the time of day and suspensions do", t => {
+    const { clock, pass, suspend, set } = fakeClock();
     let last = clock.now();
     const steps = [() => pass(11_000), () => set(-90_000), () => suspend(3_000), () => set(90_000), () => pass(5)];
     for (let at = 0; at < 50; at++) {
--- a/packages/protocol/test/event-splitter.test.ts
+++ b/packages/protocol/test/event-splitter.test.ts
@@ -10,7 +10,7 @@
     "id: 3\nversions: 4\ndata: ü\n\n",
 ];
 
-test("events come out whole and unchanged, however the bytes are cut", t => {
+test("events are complete and unchanged, however the bytes are divided into chunks", t => {
     const bytes = Buffer.from(EVENTS.join(""));
     fc.assert(fc.property(fc.array(fc.nat(bytes.length)), cuts => {
         const splitter = new EventSplitter();
@@ -26,7 +26,7 @@
     }));
 });
 
-test("ids are read, and an event that is not whole is kept back", t => {
+test("ids are parsed, and an incomplete event is held back", t => {
     const splitter = new EventSplitter();
     t.deepEqual(splitter.push(Buffer.from(`${EVENTS.join("")}id: 4\ndata`)).map(event => event.id), [
         "1",
--- a/packages/protocol/test/peer-mesh.test.ts
+++ b/packages/protocol/test/peer-mesh.test.ts
@@ -6,16 +6,16 @@
 import { PeerMesh, type WaitingBounds } from "../src/peer-mesh.js";
 
 const SECRET = "a-secret-of-these-tests";
-/** Where the peer says that it is; nobody dials it. */
-const ADDRESS = "127.0.0.9:9";
-/** Messages of this size fill what the system buffers within some dozen. */
+/** The address that the peer claims in its hello; it is never dialled. */
+const PEER_ADDRESS = "127.0.0.9:9";
+/** A few dozen messages of this size fill the socket buffers of the operating system. */
 const TEXT = "x".repeat(500_000);
 const MESSAGES = 60;
-const MOST = 2_000_000;
+const MAX_BYTES = 2_000_000;
 
-async function meshOf(t: ExecutionContext, waiting?: WaitingBounds): Promise<{ mesh: PeerMesh; errors: string[] }> {
-    const own = new AbortController();
-    t.teardown(() => own.abort());
+async function startMesh(t: ExecutionContext, waiting?: WaitingBounds): Promise<{ mesh: PeerMesh; errors: string[] }> {
+    const controller = new AbortController();
+    t.teardown(() => controller.abort());
     const errors: string[] = [];
     const mesh = await PeerMesh.listen({
         name: "host-a",
@@ -26,20 +26,25 @@
         onBytes: () => undefined,
         ...(waiting ? { waiting } : {}),
         clock: createClock(),
-        signal: own.signal,
+        signal: controller.signal,
     });
     return { mesh, errors };
 }
 
-/** A peer that proves who it is and then reads nothing, until it is told to. */
-async function deafPeer(t: ExecutionContext, mesh: PeerMesh): Promise<{ socket: Socket; received: FrameMessage[] }> {
+/** Connects a peer that completes the handshake and then reads nothing until its socket is resumed. */
+async function connectDeafPeer(
+    t: ExecutionContext,
+    mesh: PeerMesh,
+): Promise<{ socket: Socket; received: FrameMessage[] }> {
     const socket = connect(Number(mesh.at.split(":")[1]), "127.0.0.1");
     t.teardown(() => socket.destroy());
     const reader = new FrameReader();
     const received: FrameMessage[] = [];
     const nonce = Buffer.alloc(16);
     socket.write(
-        encodeFrame({ kind: "hello", version: PEER_VERSION, name: "host-b", address: ADDRESS, nonce } as FrameMessage),
+        encodeFrame(
+            { kind: "hello", version: PEER_VERSION, name: "host-b", address: PEER_ADDRESS, nonce } as FrameMessage,
+        ),
     );
     await new Promise<void>(resolve => {
         socket.on("data", (chunk: Buffer) => {
@@ -55,80 +60,80 @@
         });
     });
     socket.pause();
-    // Its own proof has to arrive there.
+    // Leaves time for the peer's own proof to arrive at the mesh.
     await new Promise(resolve => setTimeout(resolve, 50));
     return { socket, received };
 }
 
-function tell(mesh: PeerMesh): void {
-    for (let at = 0; at < MESSAGES; at++) mesh.send(ADDRESS, { kind: "news", at, text: TEXT } as FrameMessage);
+function sendMessages(mesh: PeerMesh): void {
+    for (let at = 0; at < MESSAGES; at++) mesh.send(PEER_ADDRESS, { kind: "news", at, text: TEXT } as FrameMessage);
 }
 
 const WAIT_MS = 5_000;
 
-async function until(what: () => boolean): Promise<void> {
+async function waitUntil(condition: () => boolean): Promise<void> {
     const end = performance.now() + WAIT_MS;
-    while (!what()) {
-        if (performance.now() > end) throw new Error(`not in ${WAIT_MS} ms: ${what.toString()}`);
+    while (!condition()) {
+        if (performance.now() > end) throw new Error(`not in ${WAIT_MS} ms: ${condition.toString()}`);
         await new Promise(resolve => setTimeout(resolve, 10));
     }
 }
 
-test("what is sent to a peer that reads nothing is dropped above the bound, and it hears again once it reads", async t => {
+test("messages to a peer that does not read are dropped above the bound, and delivered again once it reads", async t => {
     const waiting = new Map<number, number>();
     let mostWaiting = 0;
     let dropped = 0;
-    const { mesh, errors } = await meshOf(t, {
-        most: () => MOST,
+    const { mesh, errors } = await startMesh(t, {
+        most: () => MAX_BYTES,
         onChange: (link, bytes) => {
             waiting.set(link, bytes);
             mostWaiting = Math.max(mostWaiting, bytes);
         },
         onDrop: () => dropped += 1,
     });
-    const { socket, received } = await deafPeer(t, mesh);
-    tell(mesh);
+    const { socket, received } = await connectDeafPeer(t, mesh);
+    sendMessages(mesh);
     t.true(dropped > 0);
-    // One message may come on top of the bound.
-    t.true(mostWaiting >= MOST && mostWaiting <= MOST + 2 * TEXT.length, `${mostWaiting}`);
+    // One message may exceed the bound.
+    t.true(mostWaiting >= MAX_BYTES && mostWaiting <= MAX_BYTES + 2 * TEXT.length, `${mostWaiting}`);
     socket.resume();
-    await until(() => received.filter(({ kind }) => kind === "news").length === MESSAGES - dropped);
-    await until(() => [...waiting.values()].every(bytes => bytes === 0));
-    mesh.send(ADDRESS, { kind: "later" });
-    await until(() => received.at(-1)?.kind === "later");
+    await waitUntil(() => received.filter(({ kind }) => kind === "news").length === MESSAGES - dropped);
+    await waitUntil(() => [...waiting.values()].every(bytes => bytes === 0));
+    mesh.send(PEER_ADDRESS, { kind: "later" });
+    await waitUntil(() => received.at(-1)?.kind === "later");
     t.deepEqual(errors, []);
 });
 
-test("a message goes to a peer for which nothing waits, also where nothing more may wait", async t => {
+test("a message is sent to a peer with an empty queue, even with a bound of 0", async t => {
     let dropped = 0;
-    const { mesh } = await meshOf(t, { most: () => 0, onChange: () => undefined, onDrop: () => dropped += 1 });
-    const { socket, received } = await deafPeer(t, mesh);
+    const { mesh } = await startMesh(t, { most: () => 0, onChange: () => undefined, onDrop: () => dropped += 1 });
+    const { socket, received } = await connectDeafPeer(t, mesh);
     socket.resume();
-    mesh.send(ADDRESS, { kind: "tree", text: TEXT } as FrameMessage);
-    await until(() => received.at(-1)?.kind === "tree");
+    mesh.send(PEER_ADDRESS, { kind: "tree", text: TEXT } as FrameMessage);
+    await waitUntil(() => received.at(-1)?.kind === "tree");
     t.is(dropped, 0);
 });
 
-test("a link that is cut off lets go of all that waited on it", async t => {
+test("a link that is closed discards its queue", async t => {
     const waiting = new Map<number, number>();
-    const { mesh, errors } = await meshOf(t, {
-        most: () => MOST,
+    const { mesh, errors } = await startMesh(t, {
+        most: () => MAX_BYTES,
         onChange: (link, bytes) => waiting.set(link, bytes),
         onDrop: () => undefined,
     });
-    await deafPeer(t, mesh);
-    tell(mesh);
+    await connectDeafPeer(t, mesh);
+    sendMessages(mesh);
     const [[link, bytes]] = [...waiting] as [[number, number]];
     t.true(bytes > 0);
     mesh.cutOff(link);
-    await until(() => waiting.get(link) === 0);
+    await waitUntil(() => waiting.get(link) === 0);
     t.deepEqual(errors, ["slow"]);
 });
 
-test("without a bound of the host's, a link is ended as before when too much waits for its peer", async t => {
-    const { mesh, errors } = await meshOf(t);
-    await deafPeer(t, mesh);
-    tell(mesh);
-    await until(() => errors.length > 0);
+test("without queue bounds, a link is closed when its queue exceeds the fixed bound", async t => {
+    const { mesh, errors } = await startMesh(t);
+    await connectDeafPeer(t, mesh);
+    sendMessages(mesh);
+    await waitUntil(() => errors.length > 0);
     t.deepEqual([...new Set(errors)], ["slow"]);
 });
--- a/packages/routes/test/endpoint-list.test.ts
+++ b/packages/routes/test/endpoint-list.test.ts
@@ -17,32 +17,32 @@
     };
 }
 
-test("endpoints are read as they were written", t => {
+test("decoding an encoded list returns the same endpoints", t => {
     const again = entryOf({ incarnation: "i-1@1700", born: 1_700 });
     const entries = [again, entryOf({ incarnation: "i-2", id: "i-2", state: EndpointState.Leaving })];
     t.deepEqual(readEndpoints(writeEndpoints(entries)), { ok: true, value: entries, bad: [] });
 });
 
-const NO_LISTS: Readonly<Record<string, { readonly text: string; readonly kind: string }>> = {
-    "no JSON": { text: "{", kind: "notJson" },
-    "no list": { text: "{}", kind: "notList" },
+const INVALID_LISTS: Readonly<Record<string, { readonly text: string; readonly kind: string }>> = {
+    "text that is not JSON": { text: "{", kind: "notJson" },
+    "JSON that is not a list": { text: "{}", kind: "notList" },
 };
 
-for (const [name, { text, kind }] of Object.entries(NO_LISTS)) {
+for (const [name, { text, kind }] of Object.entries(INVALID_LISTS)) {
     test(`${name} is a typed error`, t => {
         t.like(readEndpoints(text), { ok: false, err: { kind } });
     });
 }
 
-const BAD_ENDPOINTS: Readonly<Record<string, { readonly item: unknown; readonly at: string }>> = {
+const INVALID_ENDPOINTS: Readonly<Record<string, { readonly item: unknown; readonly at: string }>> = {
     "an endpoint without an address": { item: { ...entryOf(), address: undefined }, at: "/1/address" },
     "an unknown state": { item: { ...entryOf(), state: "asleep" }, at: "/1/state" },
-    "a life that is no whole number": { item: { ...entryOf(), born: 1.5 }, at: "/1/born" },
-    "no endpoint at all": { item: null, at: "/1" },
+    "a start time that is not an integer": { item: { ...entryOf(), born: 1.5 }, at: "/1/born" },
+    "an entry that is not an object": { item: null, at: "/1" },
 };
 
-for (const [name, { item, at }] of Object.entries(BAD_ENDPOINTS)) {
-    test(`${name} names none to use; the others hold`, t => {
+for (const [name, { item, at }] of Object.entries(INVALID_ENDPOINTS)) {
+    test(`${name} is invalid; the other entries are accepted`, t => {
         const good = entryOf({ incarnation: "i-2", id: "i-2" });
         const read = readEndpoints(JSON.stringify([good, item]));
         t.like(read, { ok: true, value: [good] });
--- a/packages/routes/test/store-restore.test.ts
+++ b/packages/routes/test/store-restore.test.ts
@@ -13,8 +13,8 @@
     storeRestored,
 } from "../src/index.js";
 
-/** When the store came back from an older copy. */
-const BACK = 10_000;
+/** When the store was restored from an older copy. */
+const RESTORED_AT = 10_000;
 const { Ready, Leaving } = EndpointState;
 
 function entryOf(id: string, state: EndpointState = Ready, born = 1): EndpointEntry {
@@ -40,9 +40,13 @@
     return { kind: "registered", entry };
 }
 
-/** The registry after the store was found to have come back and was read. */
-function readBack(before: Registry, entries: readonly EndpointEntry[], evacuated: readonly string[] = []): Registry {
-    return replaceAll(storeRestored(before, BACK), entries, [], evacuated, BACK);
+/** The registry after the host has detected the restore and read the store. */
+function readRestored(
+    before: Registry,
+    entries: readonly EndpointEntry[],
+    evacuated: readonly string[] = [],
+): Registry {
+    return replaceAll(storeRestored(before, RESTORED_AT), entries, [], evacuated, RESTORED_AT);
 }
 
 function statesOf({ endpoints }: Registry): Readonly<Record<string, EndpointState>> {
@@ -52,73 +56,75 @@
 const leaving = registryAfter(registered(entryOf("a")), registered(entryOf("b")), registered(entryOf("a", Leaving)));
 const departed = registryAfter(registered(entryOf("a")), registered(entryOf("b")), { kind: "gone", id: "a" });
 const evacuated = registryAfter({ kind: "evacuated", hall: "hall-2" });
-const copied = [entryOf("a"), entryOf("b")];
+const olderCopy = [entryOf("a"), entryOf("b")];
 
-test("an endpoint that said that it leaves goes on to leave", t => {
-    t.deepEqual(statesOf(readBack(leaving, copied)), { "a@1": Leaving, "b@1": Ready });
+test("an endpoint that announced that it is leaving stays leaving", t => {
+    t.deepEqual(statesOf(readRestored(leaving, olderCopy)), { "a@1": Leaving, "b@1": Ready });
 });
 
-test("one that had departed stays so", t => {
-    const back = readBack(departed, copied);
+test("an endpoint that had departed stays departed", t => {
+    const back = readRestored(departed, olderCopy);
     t.deepEqual(statesOf(back), { "b@1": Ready });
     t.true(back.departed.has("a@1"));
 });
 
-test("the same holds for what a peer tells of the store's new history", t => {
-    const adopted = adoptEndpoints(storeRestored(departed, BACK), copied, [], BACK);
+test("an endpoint that had departed stays departed if a peer reports the restored store", t => {
+    const adopted = adoptEndpoints(storeRestored(departed, RESTORED_AT), olderCopy, [], RESTORED_AT);
     t.deepEqual(statesOf(adopted), { "b@1": Ready });
 });
 
-test("and for a second read", t => {
-    t.deepEqual(statesOf(replaceAll(readBack(departed, copied), copied, [], [], BACK + 1_000)), { "b@1": Ready });
+test("an endpoint that had departed stays departed after a second read", t => {
+    t.deepEqual(statesOf(replaceAll(readRestored(departed, olderCopy), olderCopy, [], [], RESTORED_AT + 1_000)), {
+        "b@1": Ready,
+    });
 });
 
-test("an endpoint that writes again is what it writes", t => {
-    const again = applyChanges(readBack(departed, copied), [registered(entryOf("a"))], BACK + 100);
+test("an endpoint that registers again is accepted as registered", t => {
+    const again = applyChanges(readRestored(departed, olderCopy), [registered(entryOf("a"))], RESTORED_AT + 100);
     t.deepEqual(statesOf(again), { "a@1": Ready, "b@1": Ready });
-    t.deepEqual(statesOf(settle(again, BACK + SETTLE_MS)), { "a@1": Ready, "b@1": Ready });
+    t.deepEqual(statesOf(settle(again, RESTORED_AT + SETTLE_MS)), { "a@1": Ready, "b@1": Ready });
 });
 
-test("a later life takes new work at once", t => {
+test("a later incarnation accepts new calls at once", t => {
     for (const before of [leaving, departed]) {
-        t.is(statesOf(readBack(before, [entryOf("a", Ready, 2), entryOf("b")]))["a@2"], Ready);
+        t.is(statesOf(readRestored(before, [entryOf("a", Ready, 2), entryOf("b")]))["a@2"], Ready);
     }
 });
 
-test("one that the copy lacks is kept for a while, as its registration is written again", t => {
-    const back = readBack(registryAfter(registered(entryOf("a")), registered(entryOf("b"))), [entryOf("b")]);
+test("an endpoint that the copy lacks is kept for the grace period, in which it can register again", t => {
+    const back = readRestored(registryAfter(registered(entryOf("a")), registered(entryOf("b"))), [entryOf("b")]);
     t.deepEqual(statesOf(back), { "a@1": Ready, "b@1": Ready });
-    t.deepEqual(statesOf(settle(back, BACK + SETTLE_MS)), { "b@1": Ready });
+    t.deepEqual(statesOf(settle(back, RESTORED_AT + SETTLE_MS)), { "b@1": Ready });
 });
 
-test("what stands in the store after a while counts, also where nobody has written again", t => {
+test("after the grace period the store's contents apply even if nothing was written again", t => {
     for (const before of [leaving, departed]) {
-        const back = readBack(before, copied);
-        t.is(settle(back, BACK + SETTLE_MS - 1), back);
-        t.deepEqual(statesOf(settle(back, BACK + SETTLE_MS)), { "a@1": Ready, "b@1": Ready });
+        const back = readRestored(before, olderCopy);
+        t.is(settle(back, RESTORED_AT + SETTLE_MS - 1), back);
+        t.deepEqual(statesOf(settle(back, RESTORED_AT + SETTLE_MS)), { "a@1": Ready, "b@1": Ready });
     }
 });
 
-test("what vanishes meanwhile does not come back", t => {
-    const gone = applyChanges(readBack(departed, copied), [{ kind: "gone", id: "a" }], BACK + 3_000);
-    t.deepEqual(statesOf(settle(gone, BACK + SETTLE_MS)), { "b@1": Ready });
+test("a registration that vanishes in the grace period does not return", t => {
+    const gone = applyChanges(readRestored(departed, olderCopy), [{ kind: "gone", id: "a" }], RESTORED_AT + 3_000);
+    t.deepEqual(statesOf(settle(gone, RESTORED_AT + SETTLE_MS)), { "b@1": Ready });
 });
 
-test("an evacuation that the copy lacks stands until the operator has written again, or for a while", t => {
-    const back = readBack(evacuated, []);
+test("an evacuation that the copy lacks stays in force until the operator writes again or the grace period ends", t => {
+    const back = readRestored(evacuated, []);
     t.deepEqual([...back.halls.evacuated], ["hall-2"]);
-    const reopened = applyChanges(back, [{ kind: "reopened", hall: "hall-2" }], BACK + 100);
+    const reopened = applyChanges(back, [{ kind: "reopened", hall: "hall-2" }], RESTORED_AT + 100);
     t.deepEqual([...reopened.halls.evacuated], []);
-    const again = applyChanges(back, [{ kind: "evacuated", hall: "hall-2" }], BACK + 100);
-    t.deepEqual([...settle(again, BACK + SETTLE_MS).halls.evacuated], ["hall-2"]);
-    t.deepEqual([...settle(back, BACK + SETTLE_MS).halls.evacuated], []);
+    const again = applyChanges(back, [{ kind: "evacuated", hall: "hall-2" }], RESTORED_AT + 100);
+    t.deepEqual([...settle(again, RESTORED_AT + SETTLE_MS).halls.evacuated], ["hall-2"]);
+    t.deepEqual([...settle(back, RESTORED_AT + SETTLE_MS).halls.evacuated], []);
 });
 
-test("an evacuation that the copy holds is obeyed", t => {
-    t.deepEqual([...readBack(registryAfter(), [], ["hall-2"]).halls.evacuated], ["hall-2"]);
+test("an evacuation that the copy contains is in force", t => {
+    t.deepEqual([...readRestored(registryAfter(), [], ["hall-2"]).halls.evacuated], ["hall-2"]);
 });
 
-test("without a return from a copy the store's word counts at once", t => {
-    t.deepEqual(statesOf(replaceAll(departed, copied, [], [], BACK)), { "a@1": Ready, "b@1": Ready });
-    t.deepEqual([...replaceAll(evacuated, [], [], [], BACK).halls.evacuated], []);
+test("without a restore the store's contents apply at once", t => {
+    t.deepEqual(statesOf(replaceAll(departed, olderCopy, [], [], RESTORED_AT)), { "a@1": Ready, "b@1": Ready });
+    t.deepEqual([...replaceAll(evacuated, [], [], [], RESTORED_AT).halls.evacuated], []);
 });
