--- a/packages/protocol/src/peer-mesh.ts
+++ b/packages/protocol/src/peer-mesh.ts
@@ -274,9 +274,7 @@
         if (hello.version !== PEER_VERSION) return this.fail(link, { kind: "otherVersion", found: hello.version });
         const isComplete = typeof hello.name === "string" && typeof hello.address === "string"
             && hello.nonce instanceof Uint8Array;
-        if (!isComplete || link.peer) {
-            return this.fail(link, { kind: "badFrame", detail: "incomplete or repeated hello" });
-        }
+        if (!isComplete || link.peer) return this.fail(link, { kind: "badFrame", detail: "invalid hello" });
         link.peer = { name: hello.name, address: hello.address };
         const proof: Proof = {
             kind: "proof",
