--- a/packages/routes/src/index.ts
+++ b/packages/routes/src/index.ts
@@ -1,3 +1,4 @@
+export { warmAt } from "./cold-period.js";
 export {
     type CallerLimits,
     type Deployment,
@@ -11,17 +12,22 @@
     type WorkspaceCfg,
 } from "./deployment.js";
 export {
-    type BadEndpoint,
     type EndpointListError,
     type EndpointListResult,
+    type InvalidEndpoint,
     readEndpoints,
     writeEndpoints,
 } from "./endpoint-list.js";
-export { type HallChange, type HallOrders, NO_ORDERS, orderHall, replaceOrders } from "./evacuation.js";
-export { compareLives, type Life, LifeOrder, nameOfLife } from "./life.js";
-export { SETTLE_MS } from "./older-copy.js";
 export {
-    type Departed,
+    applyEvacuationChange,
+    type HallEvacuationChange,
+    type HallOrders,
+    NO_EVACUATIONS,
+    replaceEvacuations,
+} from "./evacuation.js";
+export { compareLives, type Life, LifeOrder, nameOfLife } from "./incarnation.js";
+export {
+    type DepartedEndpoint,
     EMPTY_REGISTRY,
     type Registered,
     type Registry,
@@ -39,4 +45,4 @@
     storeRestored,
 } from "./registry.js";
 export { pickService, RouteTable } from "./route-table.js";
-export { warmAt } from "./warmth.js";
+export { SETTLE_MS } from "./store-restore.js";
--- a/packages/standins/src/store-mutations.ts
+++ b/packages/standins/src/store-mutations.ts
@@ -6,11 +6,11 @@
 import type { Mutation } from "./mutation.js";
 
 const RESTORED = "platform/test/store-restored.test.ts";
-const OLDER_COPY = "packages/routes/test/older-copy.test.ts";
+const OLDER_COPY = "packages/routes/test/store-restore.test.ts";
 const FOLLOWING = "packages/hall/test/store-watchers.test.ts";
 const CLIENT = "platform/test/store.test.ts";
 const FEED = "packages/host/src/store/deployment-feed.ts";
-const SETTLE = "packages/routes/src/older-copy.ts";
+const SETTLE = "packages/routes/src/store-restore.ts";
 const POSITION = "packages/hall/src/store-position.ts";
 const STORE = "platform/src/store.ts";
 
@@ -75,8 +75,8 @@
     {
         promise: "restored: an endpoint that leaves goes on to leave",
         file: SETTLE,
-        find: "const hasLeft = known.state === EndpointState.Leaving",
-        replace: "const hasLeft = false",
+        find: "const isKnownLeaving = known.state === EndpointState.Leaving",
+        replace: "const isKnownLeaving = false",
         tests: [OLDER_COPY],
     },
     {
@@ -89,7 +89,7 @@
     {
         promise: "restored: an evacuation stands",
         file: SETTLE,
-        find: "evacuated: [...evacuated, ...standing]",
+        find: "evacuated: [...evacuated, ...missingEvacuations]",
         replace: "evacuated",
         tests: [OLDER_COPY],
     },
@@ -103,7 +103,7 @@
     {
         promise: "restored: what was written again is not deferred",
         file: SETTLE,
-        find: "return deferred.filter(change => !subjects.has(subjectOf(change)));",
+        find: "return deferred.filter(change => !rewritten.has(subjectOf(change)));",
         replace: "return deferred;",
         tests: [OLDER_COPY],
     },
