--- a/packages/cli/src/client.ts
+++ b/packages/cli/src/client.ts
@@ -8,7 +8,7 @@
 import { request } from "undici";
 
 /** The hosts to call, by the base URL of their operators' port, and how to call them. */
-export interface ClientCfg {
+export interface ClientOptions {
     readonly hosts: readonly string[];
     readonly token: string;
     readonly timeoutMs: number;
@@ -35,7 +35,7 @@
  * ```
  */
 export async function callAnyHost(
-    client: ClientCfg,
+    client: ClientOptions,
     method: "GET" | "POST",
     path: string,
     body?: object,
@@ -52,7 +52,7 @@
 
 /** Calls one host, by the base URL of its operators' port. */
 export async function callHost(
-    client: ClientCfg,
+    client: ClientOptions,
     host: string,
     method: "GET" | "POST",
     path: string,
--- a/packages/cli/src/endpoints.ts
+++ b/packages/cli/src/endpoints.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { callAnyHost, type ClientCfg } from "./client.js";
+import { callAnyHost, type ClientOptions } from "./client.js";
 import { type CommandResult, errorMessageOf, Exit, formatTable, resultOf } from "./output.js";
 
 /** An endpoint in a host's answer. */
@@ -53,7 +53,7 @@
 }
 
 /** The command `endpoints`: lists the endpoints that one host knows. */
-export async function listEndpoints(client: ClientCfg): Promise<CommandResult> {
+export async function listEndpoints(client: ClientOptions): Promise<CommandResult> {
     const result = await callAnyHost(client, "GET", "/endpoints");
     if (result.kind !== "answer") return resultOf(Exit.Failed, result.detail);
     if (result.status !== 200) return resultOf(Exit.Failed, errorMessageOf(result.body));
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,4 +1,4 @@
-export { callAnyHost, type CallResult, type ClientCfg } from "./client.js";
+export { callAnyHost, type CallResult, type ClientOptions } from "./client.js";
 export { explainRequest, linesAboutRequest, type LogLine, parseLogLine, readLogFiles } from "./explain.js";
 export { expireKey, issueKey, issueToken, listKeys } from "./keys.js";
 export { countLosses, DEFAULT_STEP_S, type Loss, losses } from "./losses.js";
--- a/packages/cli/src/keys.ts
+++ b/packages/cli/src/keys.ts
@@ -6,7 +6,7 @@
  */
 import { type Change, NodeKind, type Tree } from "@drumpaddle/settings";
 import { createHash, randomBytes } from "node:crypto";
-import { callAnyHost, type ClientCfg } from "./client.js";
+import { callAnyHost, type ClientOptions } from "./client.js";
 import { type CommandResult, Exit, formatTable, resultOf } from "./output.js";
 import { failureResult, submitEdit } from "./settings.js";
 
@@ -25,14 +25,19 @@
 }
 
 /** Issues a key for a workspace. Its older keys stay valid until they expire. */
-export async function issueKey(client: ClientCfg, workspace: string, why: string): Promise<CommandResult> {
+export async function issueKey(client: ClientOptions, workspace: string, why: string): Promise<CommandResult> {
     const { secret, hash } = newSecret("dp");
     const id = `${workspace}-${randomBytes(ID_BYTES).toString("hex")}`;
     return secretResult(await submitEdit(client, addNode(`key/${id}`, { workspace, hash }), why), id, secret);
 }
 
 /** Issues an operator's token. */
-export async function issueToken(client: ClientCfg, name: string, role: string, why: string): Promise<CommandResult> {
+export async function issueToken(
+    client: ClientOptions,
+    name: string,
+    role: string,
+    why: string,
+): Promise<CommandResult> {
     const { secret, hash } = newSecret("op");
     return secretResult(await submitEdit(client, addNode(`operator/${name}`, { role, hash }), why), name, secret);
 }
@@ -43,7 +48,7 @@
     return resultOf(Exit.Done, `${id}\n${secret}\nkeep this secret: it is not shown again`, { id, secret });
 }
 
-async function fetchTree(client: ClientCfg): Promise<Tree | CommandResult> {
+async function fetchTree(client: ClientOptions): Promise<Tree | CommandResult> {
     const result = await callAnyHost(client, "GET", "/settings");
     return result.kind === "answer" && result.status === 200 ? result.body["tree"] as Tree : failureResult(result);
 }
@@ -53,7 +58,7 @@
 }
 
 /** Lists keys and tokens, with the first digits of their hashes. */
-export async function listKeys(client: ClientCfg): Promise<CommandResult> {
+export async function listKeys(client: ClientOptions): Promise<CommandResult> {
     const tree = await fetchTree(client);
     if (isCommandResult(tree)) return tree;
     const paths = Object.keys(tree).filter(path =>
@@ -72,7 +77,7 @@
 }
 
 /** Sets the time at which a key or token expires. */
-export async function expireKey(client: ClientCfg, path: string, at: Date, why: string): Promise<CommandResult> {
+export async function expireKey(client: ClientOptions, path: string, at: Date, why: string): Promise<CommandResult> {
     const tree = await fetchTree(client);
     if (isCommandResult(tree)) return tree;
     if (!tree[path]) return resultOf(Exit.Failed, `node [${path}] does not exist`);
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -6,7 +6,7 @@
  */
 import { SingleBar } from "cli-progress";
 import sade from "sade";
-import type { ClientCfg } from "./client.js";
+import type { ClientOptions } from "./client.js";
 import { listEndpoints } from "./endpoints.js";
 import { explainRequest } from "./explain.js";
 import { expireKey, issueKey, issueToken, listKeys } from "./keys.js";
@@ -34,7 +34,7 @@
 const DEFAULT_HOST = "http://127.0.0.1:9080";
 const DEFAULT_TIMEOUT_MS = 20_000;
 
-function clientOptionsOf(flags: Flags): ClientCfg {
+function clientOptionsOf(flags: Flags): ClientOptions {
     const hosts = (flags.hosts ?? process.env["DRUMPADDLE_OPERATORS"] ?? DEFAULT_HOST).split(",").map(host =>
         host.trim()
     );
--- a/packages/cli/src/quarantine.ts
+++ b/packages/cli/src/quarantine.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { callAnyHost, type ClientCfg } from "./client.js";
+import { callAnyHost, type ClientOptions } from "./client.js";
 import { type CommandResult, errorMessageOf, Exit, formatTable, resultOf } from "./output.js";
 
 /** An unexpected end of an endpoint at which the request was running there, in a host's answer. */
@@ -25,7 +25,7 @@
 const MS_PER_SECOND = 1_000;
 
 /** Lists the suspected and quarantined requests that one host knows. */
-export async function listQuarantine(client: ClientCfg): Promise<CommandResult> {
+export async function listQuarantine(client: ClientOptions): Promise<CommandResult> {
     const result = await callAnyHost(client, "GET", "/quarantine");
     if (result.kind !== "answer") return resultOf(Exit.Failed, result.detail);
     if (result.status !== 200) return resultOf(Exit.Failed, errorMessageOf(result.body));
@@ -43,7 +43,7 @@
 }
 
 /** Lifts a quarantine at all hosts: the host that is called informs the others. */
-export async function liftQuarantine(client: ClientCfg, fingerprint: string): Promise<CommandResult> {
+export async function liftQuarantine(client: ClientOptions, fingerprint: string): Promise<CommandResult> {
     const result = await callAnyHost(client, "POST", `/quarantine/${encodeURIComponent(fingerprint)}/lift`, {});
     if (result.kind === "lost") return resultOf(Exit.Unknown, result.detail);
     if (result.kind === "unreachable") return resultOf(Exit.Failed, result.detail);
--- a/packages/cli/src/settings.ts
+++ b/packages/cli/src/settings.ts
@@ -8,9 +8,9 @@
     type Change,
     checkTree,
     describeError,
-    diff,
-    readFiles,
-    reverse,
+    diffTrees,
+    parseSettingsFiles,
+    reverseChanges,
     type SettingsError,
     type SourceFile,
     type Tree,
@@ -18,7 +18,7 @@
 import { randomUUID } from "node:crypto";
 import { readdirSync, readFileSync, statSync } from "node:fs";
 import { join } from "node:path";
-import { callAnyHost, callHost, type CallResult, type ClientCfg } from "./client.js";
+import { callAnyHost, callHost, type CallResult, type ClientOptions } from "./client.js";
 import { type CommandResult, Exit, formatChanges, formatTable, resultOf } from "./output.js";
 
 /** Reads the file at a path or, if it is a folder, the `.ini` files in it, sorted by name. */
@@ -29,7 +29,7 @@
 }
 
 function readAndCheck(path: string): { readonly tree: Tree; readonly errors: readonly SettingsError[] } {
-    const read = readFiles(readSettingsFiles(path));
+    const read = parseSettingsFiles(readSettingsFiles(path));
     return { tree: read.tree, errors: [...read.errors, ...checkTree(read)] };
 }
 
@@ -63,18 +63,18 @@
     readonly ini: string;
 }
 
-async function fetchCurrent(client: ClientCfg): Promise<CurrentSettings | CommandResult> {
+async function fetchCurrent(client: ClientOptions): Promise<CurrentSettings | CommandResult> {
     const result = await callAnyHost(client, "GET", "/settings");
     return bodyIfOk(result) as unknown as CurrentSettings | undefined ?? failureResult(result);
 }
 
 /** The command `settings plan`: shows what applying files would change. */
-export async function plan(client: ClientCfg, path: string): Promise<CommandResult> {
+export async function plan(client: ClientOptions, path: string): Promise<CommandResult> {
     const { tree, errors } = readAndCheck(path);
     if (errors.length > 0) return invalidFilesResult(errors);
     const inForce = await fetchCurrent(client);
     if ("exit" in inForce) return inForce;
-    const changes = diff(inForce.tree, tree);
+    const changes = diffTrees(inForce.tree, tree);
     const text = changes.length === 0
         ? `no changes against version ${inForce.version}`
         : `${
@@ -88,7 +88,7 @@
  * one.
  */
 export async function apply(
-    client: ClientCfg,
+    client: ClientOptions,
     path: string,
     why: string,
     planned: number | undefined,
@@ -98,13 +98,13 @@
     const inForce = await fetchCurrent(client);
     if ("exit" in inForce) return inForce;
     if (planned !== undefined && planned !== inForce.version) return stalePlanResult(client, planned, inForce.version);
-    const changes = diff(inForce.tree, tree);
+    const changes = diffTrees(inForce.tree, tree);
     if (changes.length === 0) return resultOf(Exit.Done, `no changes against version ${inForce.version}`);
     return submitEdit(client, changes, why, inForce.version);
 }
 
 /** Returns the result of applying a stale plan, with the edits accepted since. */
-async function stalePlanResult(client: ClientCfg, planned: number, version: number): Promise<CommandResult> {
+async function stalePlanResult(client: ClientOptions, planned: number, version: number): Promise<CommandResult> {
     const trail = await callAnyHost(client, "GET", "/settings/log");
     const entries = (bodyIfOk(trail)?.["entries"] ?? []) as readonly AuditEntry[];
     const since = entries.filter(entry => entry.version > planned);
@@ -125,7 +125,7 @@
 
 /** Sends an edit to a host. Sending it again with the same id does not make a second edit. */
 export async function submitEdit(
-    client: ClientCfg,
+    client: ClientOptions,
     changes: readonly Change[],
     why: string,
     onlyAt?: number,
@@ -172,7 +172,7 @@
 
 /** The commands `settings set` and `settings unset`: set a key of a node, or unset it if `after` is undefined. */
 export async function setKey(
-    client: ClientCfg,
+    client: ClientOptions,
     path: string,
     key: string,
     after: string | undefined,
@@ -184,7 +184,7 @@
 }
 
 /** The command `settings get`: prints the value of a key as it is set at one node. */
-export async function getKey(client: ClientCfg, path: string, key: string): Promise<CommandResult> {
+export async function getKey(client: ClientOptions, path: string, key: string): Promise<CommandResult> {
     const inForce = await fetchCurrent(client);
     if ("exit" in inForce) return inForce;
     const value = inForce.tree[path]?.[key];
@@ -195,7 +195,7 @@
 
 /** The command `settings explain`: shows the values in force for a scope, and the nodes that set them. */
 export async function explainKey(
-    client: ClientCfg,
+    client: ClientOptions,
     key: string | undefined,
     scope: Readonly<Record<string, string | undefined>>,
 ): Promise<CommandResult> {
@@ -215,14 +215,14 @@
     return resultOf(Exit.Done, formatTable(["key", "value", "from", "instead of"], rows), body);
 }
 
-async function fetchAuditTrail(client: ClientCfg): Promise<readonly AuditEntry[] | CommandResult> {
+async function fetchAuditTrail(client: ClientOptions): Promise<readonly AuditEntry[] | CommandResult> {
     const result = await callAnyHost(client, "GET", "/settings/log");
     const body = bodyIfOk(result);
     return body ? body["entries"] as readonly AuditEntry[] : failureResult(result);
 }
 
 /** The command `settings log`: shows the audit trail. */
-export async function log(client: ClientCfg): Promise<CommandResult> {
+export async function log(client: ClientOptions): Promise<CommandResult> {
     const trail = await fetchAuditTrail(client);
     if ("exit" in trail) return trail;
     const rows = trail.map((
@@ -232,23 +232,23 @@
 }
 
 /** The command `settings show`: prints the tree of a version. */
-export async function show(client: ClientCfg, version: number): Promise<CommandResult> {
+export async function show(client: ClientOptions, version: number): Promise<CommandResult> {
     const result = await callAnyHost(client, "GET", `/settings/version/${version}`);
     const body = bodyIfOk(result);
     return body ? resultOf(Exit.Done, String(body["ini"]), body) : failureResult(result);
 }
 
 /** The command `settings revert`: undoes an edit by a new one. */
-export async function revert(client: ClientCfg, version: number, why: string): Promise<CommandResult> {
+export async function revert(client: ClientOptions, version: number, why: string): Promise<CommandResult> {
     const trail = await fetchAuditTrail(client);
     if ("exit" in trail) return trail;
     const entry = trail.find(other => other.version === version);
     if (!entry) return resultOf(Exit.Failed, `there is no version ${version}`);
-    return submitEdit(client, reverse(entry.changes), why);
+    return submitEdit(client, reverseChanges(entry.changes), why);
 }
 
 /** The command `settings outcome`: shows whether an edit was accepted whose answer was lost. */
-export async function outcome(client: ClientCfg, editId: string): Promise<CommandResult> {
+export async function outcome(client: ClientOptions, editId: string): Promise<CommandResult> {
     const result = await callAnyHost(client, "GET", `/settings/outcome/${encodeURIComponent(editId)}`);
     const body = bodyIfOk(result);
     if (!body) return { ...failureResult(result), exit: Exit.Unknown };
@@ -259,7 +259,7 @@
 /**
  * The command `settings verify`: checks that the audit trail is complete, so that replaying it gives the tree in force.
  */
-export async function verify(client: ClientCfg): Promise<CommandResult> {
+export async function verify(client: ClientOptions): Promise<CommandResult> {
     const result = await callAnyHost(client, "GET", "/settings/verify");
     const body = bodyIfOk(result);
     if (!body) return failureResult(result);
@@ -280,7 +280,7 @@
 }
 
 async function fetchStatuses(
-    client: ClientCfg,
+    client: ClientOptions,
 ): Promise<readonly { readonly url: string; readonly status: HostStatus | undefined }[]> {
     return Promise.all(client.hosts.map(async url => {
         const result = await callHost(client, url, "GET", "/status");
@@ -291,7 +291,7 @@
 /**
  * The command `status`: shows the version and load of each given host, and which hosts are behind the newest version.
  */
-export async function status(client: ClientCfg): Promise<CommandResult> {
+export async function status(client: ClientOptions): Promise<CommandResult> {
     const all = await fetchStatuses(client);
     const newest = Math.max(0, ...all.map(({ status: s }) => s?.version ?? 0));
     const rows = all.map(({ url, status: s }) => {
@@ -313,7 +313,7 @@
 
 /** The command `settings wait`: waits until all given hosts have this version or a newer one in force. */
 export async function wait(
-    client: ClientCfg,
+    client: ClientOptions,
     version: number,
     timeoutMs: number,
     onProgress: (reached: number, total: number) => void,
--- a/packages/cli/test/cli.test.ts
+++ b/packages/cli/test/cli.test.ts
@@ -1,22 +1,22 @@
-import { writeTree } from "@drumpaddle/settings";
-import { callOnce, type Stage, startStage, waitUntil } from "@drumpaddle/standins";
+import { formatTree } from "@drumpaddle/settings";
+import { callOnce, type LocalCluster, startLocalCluster, waitUntil } from "@drumpaddle/standins";
 import test, { type ExecutionContext } from "ava";
 import { spawnSync } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
-import { type ClientCfg, Exit, expireKey, issueKey, issueToken, listKeys, settings } from "../src/index.js";
+import { type ClientOptions, Exit, expireKey, issueKey, issueToken, listKeys, settings } from "../src/index.js";
 
 interface Fixture {
-    readonly stage: Stage;
-    readonly client: ClientCfg;
+    readonly stage: LocalCluster;
+    readonly client: ClientOptions;
     /** Writes a settings file into a new folder and returns the folder's path. */
     readonly createSettingsFolder: (text: string) => string;
 }
 
 async function startFixture(t: ExecutionContext): Promise<Fixture> {
-    const stage = await startStage({ halls: ["k1"], hostsPerHall: 2, enginesPerHall: 1 });
+    const stage = await startLocalCluster({ halls: ["k1"], hostsPerHall: 2, enginesPerHall: 1 });
     const createdFolders: string[] = [];
     t.teardown(async () => {
         await stage.stop();
@@ -36,7 +36,7 @@
     return { stage, client, createSettingsFolder };
 }
 
-const settingsTextOf = (stage: Stage): string => writeTree(stage.hosts[0]!.daemon.host.feed.directory!.tree);
+const settingsTextOf = (stage: LocalCluster): string => formatTree(stage.hosts[0]!.daemon.host.feed.directory!.tree);
 
 test("files are checked, planned and applied; a stale plan is refused with the edits since", async t => {
     const { stage, client, createSettingsFolder } = await startFixture(t);
--- a/packages/hall/src/settings-exchange.ts
+++ b/packages/hall/src/settings-exchange.ts
@@ -6,11 +6,11 @@
  */
 import {
     completeSnapshot,
-    type Head,
-    type InForce,
     type PartName,
     partsToRead,
+    type SettingsInForce,
     type Snapshot,
+    type SnapshotHead,
 } from "@drumpaddle/settings";
 
 /** The sender's version of the settings, as a probe carries it. */
@@ -27,12 +27,12 @@
 
 /** A version with the parts that the requester lacked. */
 export interface SettingsResponse {
-    readonly head: Head;
+    readonly head: SnapshotHead;
     readonly parts: Readonly<Record<PartName, string>>;
 }
 
 /** Returns the version in force for a probe. */
-export function versionNews(inForce: InForce | undefined): VersionNews {
+export function versionNews(inForce: SettingsInForce | undefined): VersionNews {
     const head = inForce?.snapshot.head;
     return { version: head?.version ?? 0, hash: head?.hash ?? "" };
 }
@@ -45,13 +45,16 @@
  * const request = settingsRequestFor(feed.inForce, message.settings);
  * ```
  */
-export function settingsRequestFor(inForce: InForce | undefined, news: VersionNews): SettingsRequest | undefined {
+export function settingsRequestFor(
+    inForce: SettingsInForce | undefined,
+    news: VersionNews,
+): SettingsRequest | undefined {
     const head = inForce?.snapshot.head;
     return news.version > (head?.version ?? 0) ? { have: head?.parts ?? {} } : undefined;
 }
 
 /** Answers a request with the newest head and the parts that the requester lacks, or undefined if no version is in force. */
-export function give(inForce: InForce | undefined, ask: SettingsRequest): SettingsResponse | undefined {
+export function give(inForce: SettingsInForce | undefined, ask: SettingsRequest): SettingsResponse | undefined {
     if (!inForce) return undefined;
     const { head, parts } = inForce.snapshot;
     const lacking = Object.keys(head.parts).filter(name => ask.have[name] !== head.parts[name]);
@@ -59,7 +62,7 @@
 }
 
 /** Assembles a snapshot from a response and the parts in force. The caller validates it like any other offered snapshot. */
-export function snapshotFromResponse(inForce: InForce | undefined, given: SettingsResponse): Snapshot {
+export function snapshotFromResponse(inForce: SettingsInForce | undefined, given: SettingsResponse): Snapshot {
     const missing = partsToRead(inForce, given.head);
     const read = Object.fromEntries(
         missing.flatMap(name => given.parts[name] === undefined ? [] : [[name, given.parts[name]]]),
--- a/packages/hall/test/load-fleet.ts
+++ b/packages/hall/test/load-fleet.ts
@@ -443,7 +443,7 @@
     }
 
     private step(engine: EngineSim): void {
-        engine.stepping = engine.model.busy;
+        engine.stepping = engine.model.hasWork;
         if (!engine.stepping) return;
         const { durationMs, emitted, preempted } = engine.model.step();
         this.preemptions += preempted.length;
--- a/packages/host/src/calls/engine-runner.ts
+++ b/packages/host/src/calls/engine-runner.ts
@@ -3,7 +3,13 @@
  *
  * @module
  */
-import { cancelStream, type EngineCall, type EngineEnd, openStream, type StreamLimits } from "@drumpaddle/protocol";
+import {
+    cancelStream,
+    type EngineStreamEnd,
+    type EngineStreamRequest,
+    readEngineStream,
+    type StreamLimits,
+} from "@drumpaddle/protocol";
 import type { Dispatcher } from "undici";
 import { ReadPauses } from "./read-pauses.js";
 import type { AttemptRunner, AttemptSink } from "./request-driver.js";
@@ -37,7 +43,7 @@
  * ```
  */
 export function engineRunner(deps: EngineRunnerDeps): AttemptRunner<EngineEventData> {
-    const common = (attempt: string, url: string): Omit<EngineCall, "path" | "method"> => ({
+    const common = (attempt: string, url: string): Omit<EngineStreamRequest, "path" | "method"> => ({
         dispatcher: deps.dispatcher,
         url,
         requestId: deps.requestId,
@@ -52,7 +58,7 @@
                 return;
             }
             sink.report({ kind: "sending", attempt });
-            const call: EngineCall = {
+            const call: EngineStreamRequest = {
                 ...common(attempt, url),
                 path: deps.path,
                 method: "POST",
@@ -82,14 +88,14 @@
 }
 
 async function runStream(
-    call: EngineCall,
+    call: EngineStreamRequest,
     resuming: string | undefined,
     deps: EngineRunnerDeps,
     sink: AttemptSink<EngineEventData>,
     signal: AbortSignal,
 ): Promise<void> {
     const pauses = new ReadPauses(deps.now);
-    const end = await openStream(
+    const end = await readEngineStream(
         call,
         {
             onEvent: event => sink.report(event, "data" in event ? event.data : undefined),
@@ -114,7 +120,7 @@
 }
 
 function lossOf(
-    end: EngineEnd,
+    end: EngineStreamEnd,
     resuming: boolean,
 ): { cause: "connect" | "reset" | "idle" | "firstToken" | "invalid" | "resumeRefused"; detail: string } {
     if (end.kind === "closed") return { cause: "reset", detail: "the stream ended before its answer was whole" };
--- a/packages/host/src/calls/forward-attempt.ts
+++ b/packages/host/src/calls/forward-attempt.ts
@@ -7,12 +7,12 @@
  */
 import {
     type AnswerHead,
+    type AttemptHead,
     errText,
     EventSplitter,
     type PlatformWire,
     type RawHeaders,
-    type SendHead,
-    type WholeEvent,
+    type ServerSentEvent,
 } from "@drumpaddle/protocol";
 import { FailCode, type LossCause } from "@drumpaddle/request";
 import type { EndpointEntry } from "@drumpaddle/routes";
@@ -44,7 +44,7 @@
     readonly endpoint: EndpointEntry;
     readonly method: string;
     readonly path: string;
-    readonly send: SendHead;
+    readonly send: AttemptHead;
     readonly body: Buffer | undefined;
     /** What earlier attempts have sent to the caller; undefined if nothing. */
     readonly before: SentBefore | undefined;
@@ -137,7 +137,7 @@
         const { endpoint, method, path, send, body, life, signal } = this.attempt;
         signal.addEventListener("abort", () => this.onAbort(), { once: true });
         life.addEventListener("abort", this.onLifeOver, { once: true });
-        const call = { method, path, headers: this.wire.writeSend(send), body };
+        const call = { method, path, headers: this.wire.encodeAttemptHead(send), body };
         this.attempt.trackBodyStall(() => this.bodyUnreadMs);
         this.exchange = this.connections.send(endpoint.address, call, this);
         if (this.hasEnded) this.exchange.destroy();
@@ -153,7 +153,7 @@
         if (this.hasEnded || status < 200) return;
         const { id, send, sink, before, onAnswered, onSelfReport } = this.attempt;
         this.status = status;
-        this.head = this.wire.readAnswer(headers);
+        this.head = this.wire.decodeAnswerHead(headers);
         onAnswered(status, this.head);
         // An answer to another call is a late one, and the answer to a misdirected call comes from another incarnation.
         if (this.head.id === send.call.id && status !== MISDIRECTED) onSelfReport(status, this.head);
@@ -234,7 +234,7 @@
         this.attempt.sink.report({ kind: "endpointRefused", attempt: this.attempt.id, detail });
     }
 
-    private reportEvents(events: readonly WholeEvent[], unfinishedBytes: number): void {
+    private reportEvents(events: readonly ServerSentEvent[], unfinishedBytes: number): void {
         this.silence?.onEvent();
         this.attempt.onHeld(unfinishedBytes);
         if (unfinishedBytes > Math.max(MAX_EVENT_BYTES, this.attempt.holdLimit())) {
@@ -263,7 +263,7 @@
     private get endsWithinEvent(): boolean {
         const isPartial = this.splitter !== undefined && this.splitter.unfinished.length > 0;
         const { before, send } = this.attempt;
-        return isPartial && (before !== undefined || this.head?.framed === false && send.backUpTo !== undefined);
+        return isPartial && (before !== undefined || this.head?.framed === false && send.standbyAddress !== undefined);
     }
 
     private reportHeld(): void {
@@ -289,7 +289,7 @@
         const framed = this.head?.framed ?? true;
         const wholeLength = this.hasEnded && framed ? this.heldBytes : undefined;
         const length = this.splitter ? undefined : this.head?.length ?? wholeLength;
-        return { status: this.status, headers: this.head?.passed ?? [], body, length, framed, eventId };
+        return { status: this.status, headers: this.head?.forwardedHeaders ?? [], body, length, framed, eventId };
     }
 
     /** Pauses reading while the caller is too far behind. */
--- a/packages/host/src/calls/forward-call.ts
+++ b/packages/host/src/calls/forward-call.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { CallHead, Clock, PlatformWire } from "@drumpaddle/protocol";
-import type { EndpointEntry, EngineCfg, Life, Route, RouteTable, WorkspaceCfg } from "@drumpaddle/routes";
+import type { EndpointEntry, EngineCfg, IncarnationId, Route, RouteTable, WorkspaceCfg } from "@drumpaddle/routes";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { EndpointConnections } from "../endpoints/endpoint-connections.js";
 import type { EndpointNotices } from "../endpoints/endpoint-notices.js";
@@ -63,7 +63,7 @@
     /** Called when an endpoint refused a call because another incarnation runs at its address. */
     onMisdirected(incarnation: string): void;
     /** Called when a later incarnation of an endpoint has answered than the one that was called. */
-    meetLife(life: Life): void;
+    meetLife(life: IncarnationId): void;
 }
 
 /** A call, with what is fixed when it arrives. */
--- a/packages/host/src/calls/forward-job.ts
+++ b/packages/host/src/calls/forward-job.ts
@@ -64,7 +64,9 @@
  * all may.
  */
 export function hallsOf(deps: GatewayContext, { route, workspace }: ForwardCall): readonly string[] | undefined {
-    const allowedHalls = [route.homes, workspace?.homes].flatMap(homes => homes ? [deps.hallsInRegions(homes)] : []);
+    const allowedHalls = [route.allowedRegions, workspace?.allowedRegions].flatMap(homes =>
+        homes ? [deps.hallsInRegions(homes)] : []
+    );
     if (allowedHalls.length === 0) return undefined;
     return allowedHalls.reduce((both, halls) => both.filter(hall => halls.includes(hall)));
 }
--- a/packages/host/src/calls/forward-reply.ts
+++ b/packages/host/src/calls/forward-reply.ts
@@ -37,7 +37,7 @@
     const retryAfterMs = NOT_RUN_STATUSES.has(status) ? err.retryAfterMs ?? DEFAULT_RETRY_MS : undefined;
     const body = JSON.stringify(errorBody(err));
     out.writeHead(status, [
-        ...wire.writeRefusal(callId, retryAfterMs),
+        ...wire.encodeRefusalHead(callId, retryAfterMs),
         "Content-Type",
         "application/json",
         "Content-Length",
--- a/packages/host/src/calls/forward-runner.ts
+++ b/packages/host/src/calls/forward-runner.ts
@@ -64,7 +64,7 @@
                     endpointId: endpoint.id,
                     workspace: workspace?.name,
                     rank: rankOf(call),
-                    backUpTo: progress.standby?.address,
+                    standbyAddress: progress.standby?.address,
                     continueFrom: continueAt === undefined
                         ? undefined
                         : continuationOf(progress, head.id, endpoint, copy),
--- a/packages/host/src/calls/forward-silence.ts
+++ b/packages/host/src/calls/forward-silence.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { errText } from "@drumpaddle/protocol";
-import { compareLives, type EndpointEntry, LifeOrder } from "@drumpaddle/routes";
+import { compareIncarnations, type EndpointEntry, IncarnationOrder } from "@drumpaddle/routes";
 import { callEndpoint } from "../endpoints/call-endpoint.js";
 import type { ForwardCall, GatewayContext } from "./forward-call.js";
 import type { SilenceCfg } from "./silence-watch.js";
@@ -33,7 +33,7 @@
     backUp: string | undefined,
 ): SilenceCfg | undefined {
     if (backUp === undefined || gapMs === undefined) return undefined;
-    const awakeMs = (): number => deps.clock.awake();
+    const awakeMs = (): number => deps.clock.awakeMs();
     return {
         probeAfterMs: gapMs * PROBE_GAP_SHARE,
         lostAfterMs: gapMs * LOST_GAPS,
@@ -52,10 +52,10 @@
     // An endpoint that limits its requests may not be probed: it is slow rather than gone.
     if (!deps.engines.admitsControlCall(incarnation)) return true;
     try {
-        const { status, body } = await callEndpoint(address, deps.wire.stayCall(), PROBE_TIMEOUT_MS, deps.signal);
-        const stay = deps.wire.readStay(status, body);
+        const { status, body } = await callEndpoint(address, deps.wire.leavingCall(), PROBE_TIMEOUT_MS, deps.signal);
+        const stay = deps.wire.decodeLeavingAnswer(status, body);
         const life = { id, born: stay.kind === "told" ? stay.born : undefined };
-        if (compareLives(life, endpoint) !== LifeOrder.Later) return true;
+        if (compareIncarnations(life, endpoint) !== IncarnationOrder.Later) return true;
         deps.meetLife(life);
         return false;
     }
--- a/packages/host/src/calls/forward.ts
+++ b/packages/host/src/calls/forward.ts
@@ -73,7 +73,7 @@
     out: ServerResponse,
 ): void {
     const arrivedAt = deps.clock.now();
-    const parsed = deps.wire.readCall(req.rawHeaders);
+    const parsed = deps.wire.decodeCallHead(req.rawHeaders);
     if (!parsed.ok) {
         const err: ApiError = { status: 400, code: "bad_request", message: parsed.err.detail, ran: "no" };
         return refuse(deps, out, undefined, err);
@@ -86,10 +86,10 @@
     const { limits } = table.deployment;
     const headBytes = req.rawHeaders.reduce((sum, text) => sum + text.length, 0);
     if (headBytes > limits.headerBytes) return refuse(deps, out, head.id, REFUSALS.headTooLarge);
-    const route = table.find(head.host, target);
+    const route = table.findRoute(head.host, target);
     if (!route) return refuse(deps, out, head.id, REFUSALS.noRoute);
     const workspace = head.key === undefined ? undefined : table.workspaceOf(head.key);
-    if (table.usesKeys && !route.isPublic && !workspace) return refuse(deps, out, head.id, REFUSALS.badKey);
+    if (table.requiresKeys && !route.isPublic && !workspace) return refuse(deps, out, head.id, REFUSALS.badKey);
     if (!canFinish(deps, route)) return refuse(deps, out, head.id, REFUSALS.stopping);
     const service = pickService(route.services, Math.random()) ?? "";
     const engine = table.service(service)?.engine;
--- a/packages/host/src/calls/generate.ts
+++ b/packages/host/src/calls/generate.ts
@@ -18,10 +18,10 @@
 } from "@drumpaddle/policy";
 import {
     type BodyFacts,
+    bodyFactsOf,
     ChatBody,
     checkBody,
     CompletionBody,
-    factsOf,
     type GenerationBody,
 } from "@drumpaddle/protocol";
 import { FailCode } from "@drumpaddle/request";
@@ -131,7 +131,7 @@
             field: checked.err.field,
         });
     }
-    const facts = factsOf(checked.body, call.bytes);
+    const facts = bodyFactsOf(checked.body, call.bytes);
     const service = directory.models.get(facts.model);
     if (service === undefined) {
         return refuse({ status: 404, code: "model_not_found", message: `no such model`, ran: "no", field: "/model" });
--- a/packages/host/src/calls/generation-copies.ts
+++ b/packages/host/src/calls/generation-copies.ts
@@ -140,7 +140,7 @@
     private async requestCopy({ address, incarnation }: EndpointEntry, call: EndpointCall): Promise<CopyAnswer> {
         try {
             const { status, body } = await callEndpoint(address, call, COPY_TIMEOUT_MS, this.deps.signal);
-            return this.deps.wire.readCopy(status, body);
+            return this.deps.wire.decodeCopyAnswer(status, body);
         }
         catch (err) {
             // Nothing more is scheduled to or copied from this endpoint; its streams end on their own.
--- a/packages/host/src/calls/judge-answer.ts
+++ b/packages/host/src/calls/judge-answer.ts
@@ -58,7 +58,7 @@
     if (head.id !== undefined && head.id !== call) return invalid(`an answer to ${head.id}`);
     if (head.notRun || status === MISDIRECTED) return { kind: "refused" };
     if (NOT_RUN_STATUSES.has(status)) return invalid(`${status} without a word on whether it ran`);
-    if (head.encoded) return invalid("an encoded body");
+    if (head.hasContentEncoding) return invalid("an encoded body");
     if (status >= 200 && status < 300) {
         if (head.id === undefined) return invalid("a success that names no call");
         if (!head.sealed) return invalid("a success without a seal");
--- a/packages/host/src/daemon.ts
+++ b/packages/host/src/daemon.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { DEFAULT_VARIANT } from "@drumpaddle/policy";
-import { type Clock, createClock, createEtcd } from "@drumpaddle/protocol";
+import { type Clock, createClock, createEtcdClient } from "@drumpaddle/protocol";
 import type { FastifyInstance } from "fastify";
 import { setMaxListeners } from "node:events";
 import { readFileSync } from "node:fs";
@@ -64,7 +64,7 @@
     // Each running call adds a listener, so there is no maximum to warn about.
     setMaxListeners(0, controller.signal);
     const { signal } = controller;
-    const kv = createEtcd({ url: cfg["platform.key-value"], timeoutMs: cfg["platform.timeout"] });
+    const kv = createEtcdClient({ url: cfg["platform.key-value"], timeoutMs: cfg["platform.timeout"] });
     const store = new SettingsStore(kv, cfg["platform.prefix"]);
     const metrics = new Metrics();
     const feed = new SettingsFeed({ kv, store, hall: cfg["host.hall"], log, metrics, signal });
--- a/packages/host/src/endpoints/call-endpoint.ts
+++ b/packages/host/src/endpoints/call-endpoint.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { type EndpointCall, withinTime } from "@drumpaddle/protocol";
+import { type EndpointCall, withTimeLimit } from "@drumpaddle/protocol";
 import { request } from "undici";
 
 /** Status and body of an endpoint's answer. */
@@ -29,7 +29,7 @@
     signal: AbortSignal,
 ): Promise<EndpointResponse> {
     const headers = body === undefined ? {} : { "content-type": "application/json" };
-    return withinTime(timeoutMs, signal, async limited => {
+    return withTimeLimit(timeoutMs, signal, async limited => {
         const res = await request(`http://${address}${path}`, { method, headers, signal: limited, body: body ?? null });
         return { status: res.statusCode, body: await res.body.text() };
     });
--- a/packages/host/src/endpoints/crash-detector.ts
+++ b/packages/host/src/endpoints/crash-detector.ts
@@ -9,12 +9,12 @@
  * @module
  */
 import type { Clock } from "@drumpaddle/protocol";
-import { compareLives, type Life, LifeOrder, type Registry } from "@drumpaddle/routes";
+import { compareIncarnations, type IncarnationId, IncarnationOrder, type Registry } from "@drumpaddle/routes";
 import type { Log } from "../runtime/log.js";
 import type { ProbeResult } from "./endpoint-probe.js";
 
 /** One incarnation of an endpoint: one run of its process. */
-export interface EndpointIncarnation extends Life {
+export interface EndpointIncarnation extends IncarnationId {
     /** Unique name of the incarnation; the endpoint's id alone if endpoints do not report their incarnations. */
     readonly incarnation: string;
     /** `ip:port`, or the endpoint's URL if endpoints do not report their incarnations. */
@@ -63,7 +63,7 @@
     /** The endpoint is alive, or it cannot be probed; in the latter case a crash may still be reported later. */
     onNoCrash(runs: readonly InterruptedRun[]): void;
     /** A probe was answered by this later incarnation. */
-    learnIncarnation(life: Life): void;
+    learnIncarnation(life: IncarnationId): void;
 }
 
 /**
@@ -121,7 +121,9 @@
         for (const { endpoint } of [...this.pending.values()]) {
             const { incarnation, id } = endpoint;
             const known = latest.get(id);
-            if (known && compareLives(known, endpoint) === LifeOrder.Later) this.confirmCrash(incarnation, "laterLife");
+            if (known && compareIncarnations(known, endpoint) === IncarnationOrder.Later) {
+                this.confirmCrash(incarnation, "laterLife");
+            }
             else if (!endpoints.has(incarnation) && departed.has(incarnation) && !this.deps.isRegistryStale()) {
                 this.confirmCrash(incarnation, "gone");
             }
--- a/packages/host/src/endpoints/declare-endpoints.ts
+++ b/packages/host/src/endpoints/declare-endpoints.ts
@@ -6,12 +6,12 @@
 import type { ColdCfg, EndpointCfg } from "@drumpaddle/policy";
 import {
     EndpointState,
-    type HallOrders,
-    type Registered,
+    type HallEvacuations,
+    type RegisteredEndpoint,
     type Registry,
     type RouteTable,
     type ServiceCfg,
-    warmAt,
+    warmTimeOf,
 } from "@drumpaddle/routes";
 import type { Placement } from "./placement.js";
 import { plainModel } from "./plain-model.js";
@@ -25,13 +25,13 @@
 }
 
 function coldCfgOf(
-    registered: Registered,
+    registered: RegisteredEndpoint,
     service: ServiceCfg | undefined,
-    halls: HallOrders,
+    halls: HallEvacuations,
     { over, slack }: ColdLimits,
 ): ColdCfg | undefined {
     if (service?.coldPerS === undefined) return undefined;
-    return { until: warmAt(registered, service, halls), perS: service.coldPerS * over + slack };
+    return { until: warmTimeOf(registered, service, halls), perS: service.coldPerS * over + slack };
 }
 
 /**
--- a/packages/host/src/endpoints/endpoint-probe.ts
+++ b/packages/host/src/endpoints/endpoint-probe.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { errText, type PlatformWire } from "@drumpaddle/protocol";
-import { compareLives, type Life, LifeOrder } from "@drumpaddle/routes";
+import { compareIncarnations, type IncarnationId, IncarnationOrder } from "@drumpaddle/routes";
 import { connect } from "node:net";
 import { callEndpoint } from "./call-endpoint.js";
 
@@ -15,7 +15,7 @@
     /** The connection was refused. */
     | { readonly kind: "refused" }
     /** A later incarnation answered. */
-    | { readonly kind: "laterLife"; readonly life: Life }
+    | { readonly kind: "laterLife"; readonly life: IncarnationId }
     /** The probe got no usable answer. */
     | { readonly kind: "unknown"; readonly detail: string };
 
@@ -36,14 +36,14 @@
 export async function probeByStatusCall(
     wire: PlatformWire,
     address: string,
-    known: Life,
+    known: IncarnationId,
     signal: AbortSignal,
 ): Promise<ProbeResult> {
     try {
-        const { status, body } = await callEndpoint(address, wire.stayCall(), PROBE_TIMEOUT_MS, signal);
-        const stay = wire.readStay(status, body);
+        const { status, body } = await callEndpoint(address, wire.leavingCall(), PROBE_TIMEOUT_MS, signal);
+        const stay = wire.decodeLeavingAnswer(status, body);
         const life = { id: known.id, born: stay.kind === "told" ? stay.born : undefined };
-        if (compareLives(life, known) === LifeOrder.Later) return { kind: "laterLife", life };
+        if (compareIncarnations(life, known) === IncarnationOrder.Later) return { kind: "laterLife", life };
         return { kind: "lives", reportsBirth: life.born !== undefined };
     }
     catch (err) {
--- a/packages/host/src/endpoints/leaving-poll.ts
+++ b/packages/host/src/endpoints/leaving-poll.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { errText, type PlatformWire, type StayAnswer } from "@drumpaddle/protocol";
+import { errText, type LeavingAnswer, type PlatformWire } from "@drumpaddle/protocol";
 import type { EndpointEntry } from "@drumpaddle/routes";
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
@@ -23,7 +23,7 @@
     /** Whether a control call may be sent to the endpoint now. */
     mayPoll(incarnation: string): boolean;
     /** An engine answered whether it is leaving. */
-    onAnswer(endpoint: EndpointEntry, stay: Extract<StayAnswer, { kind: "told" }>): void;
+    onAnswer(endpoint: EndpointEntry, stay: Extract<LeavingAnswer, { kind: "told" }>): void;
 }
 
 /**
@@ -49,8 +49,8 @@
     const { wire, log, metrics, signal } = deps;
     const { incarnation, address } = endpoint;
     try {
-        const { status, body } = await callEndpoint(address, wire.stayCall(), POLL_TIMEOUT_MS, signal);
-        const answer = wire.readStay(status, body);
+        const { status, body } = await callEndpoint(address, wire.leavingCall(), POLL_TIMEOUT_MS, signal);
+        const answer = wire.decodeLeavingAnswer(status, body);
         metrics.countStayAnswer(answer.kind === "told" ? leavingLabel(answer.leaving) : answer.kind);
         if (answer.kind === "told") return deps.onAnswer(endpoint, answer);
         log.debug({ endpoint: incarnation, detail: answer.detail }, "stay_not_told");
--- a/packages/host/src/endpoints/restart-suspicions.ts
+++ b/packages/host/src/endpoints/restart-suspicions.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { Life } from "@drumpaddle/routes";
+import type { IncarnationId } from "@drumpaddle/routes";
 import type { Log } from "../runtime/log.js";
 import type { EndpointIncarnation } from "./crash-detector.js";
 import type { ProbeResult } from "./endpoint-probe.js";
@@ -18,7 +18,7 @@
     /** Asks an endpoint whether this incarnation is still alive. */
     probe(endpoint: EndpointIncarnation): Promise<ProbeResult>;
     /** Records a later incarnation and tells the hall. */
-    learnIncarnation(life: Life): void;
+    learnIncarnation(life: IncarnationId): void;
 }
 
 /** How long a suspicion holds without an answer: a restarted endpoint has registered again by then. */
--- a/packages/host/src/gateway.ts
+++ b/packages/host/src/gateway.ts
@@ -8,11 +8,11 @@
 import { createFleetRetryBudget, DEFAULT_VARIANT, type EndpointView } from "@drumpaddle/policy";
 import { type Clock, createClock } from "@drumpaddle/protocol";
 import {
-    compareLives,
+    compareIncarnations,
     type EndpointEntry,
     EndpointState,
-    LifeOrder,
-    nameOfLife,
+    incarnationOf,
+    IncarnationOrder,
     type Registry,
 } from "@drumpaddle/routes";
 import Fastify, { type FastifyInstance } from "fastify";
@@ -282,10 +282,10 @@
         mayPoll: incarnation => engines.admitsControlCall(incarnation),
         onAnswer: (endpoint, { leaving, born }) => {
             const life = { id: endpoint.id, born };
-            const order = compareLives(life, endpoint);
-            if (order === LifeOrder.Earlier) return;
+            const order = compareIncarnations(life, endpoint);
+            if (order === IncarnationOrder.Earlier) return;
             peers.learnIncarnation(life);
-            const incarnation = order === LifeOrder.Later ? nameOfLife(life) : endpoint.incarnation;
+            const incarnation = order === IncarnationOrder.Later ? incarnationOf(life) : endpoint.incarnation;
             if (!engines.setLeaving(incarnation, "endpoint", leaving)) return;
             log.info({ endpoint: incarnation, leaving, source: "endpoint" }, "endpoint_stay_changed");
             peers.shareLoadNow();
--- a/packages/host/src/operators/operators.ts
+++ b/packages/host/src/operators/operators.ts
@@ -5,15 +5,15 @@
  */
 import {
     type AuditEntry,
-    diff,
-    EMPTY,
-    explain,
-    INHERITED,
+    diffTrees,
+    EMPTY_TREE,
+    explainValue,
+    formatTree,
+    INHERITED_KEYS,
     type InheritedKey,
     lineage,
-    replay,
+    replayAuditTrail,
     type Tree,
-    writeTree,
 } from "@drumpaddle/settings";
 import { type Static, Type } from "@sinclair/typebox";
 import Fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from "fastify";
@@ -111,14 +111,14 @@
 }
 
 function treeOf(host: Host): Tree {
-    return host.feed.inForce?.tree ?? EMPTY;
+    return host.feed.inForce?.tree ?? EMPTY_TREE;
 }
 
 function addSettingsRoutes(host: Host, app: FastifyInstance): void {
     app.get("/settings", (req, reply) => {
         if (!allow(host, req, reply, "read")) return reply;
         const head = host.feed.inForce?.snapshot.head;
-        return { version: head?.version ?? 0, hash: head?.hash, tree: treeOf(host), ini: writeTree(treeOf(host)) };
+        return { version: head?.version ?? 0, hash: head?.hash, tree: treeOf(host), ini: formatTree(treeOf(host)) };
     });
     app.get<{ Querystring: Static<typeof PlaceQuery> }>(
         "/settings/explain",
@@ -126,14 +126,14 @@
         (req, reply) => {
             if (!allow(host, req, reply, "read")) return reply;
             const { key, ...place } = req.query;
-            if (key !== undefined && !Object.hasOwn(INHERITED, key)) {
+            if (key !== undefined && !Object.hasOwn(INHERITED_KEYS, key)) {
                 return reply.code(422).send({
                     kind: "unknownKey",
                     key,
                 });
             }
-            const keys = key === undefined ? Object.keys(INHERITED) as InheritedKey[] : [key as InheritedKey];
-            return { lineage: lineage(place), values: keys.map(name => explain(treeOf(host), name, place)) };
+            const keys = key === undefined ? Object.keys(INHERITED_KEYS) as InheritedKey[] : [key as InheritedKey];
+            return { lineage: lineage(place), values: keys.map(name => explainValue(treeOf(host), name, place)) };
         },
     );
     app.get("/status", (req, reply) => {
@@ -218,17 +218,17 @@
         const trail = await readAuditTrail(host, req, reply);
         if (!trail) return reply;
         const version = Number(req.params.version);
-        const replayed = replay(trail.slice(0, version));
+        const replayed = replayAuditTrail(trail.slice(0, version));
         if (!replayed.ok || !(version >= 1 && version <= trail.length)) {
             return reply.code(404).send({ kind: "noSuchVersion" });
         }
-        return { version, tree: replayed.tree, ini: writeTree(replayed.tree) };
+        return { version, tree: replayed.tree, ini: formatTree(replayed.tree) };
     });
     app.get("/settings/verify", async (req, reply) => {
         const trail = await readAuditTrail(host, req, reply);
         if (!trail) return reply;
-        const replayed = replay(trail);
-        const differences = replayed.ok ? diff(replayed.tree, treeOf(host)) : [];
+        const replayed = replayAuditTrail(trail);
+        const differences = replayed.ok ? diffTrees(replayed.tree, treeOf(host)) : [];
         return { complete: replayed.ok && differences.length === 0, versions: trail.length, differences };
     });
 }
--- a/packages/host/src/peers/peers.ts
+++ b/packages/host/src/peers/peers.ts
@@ -44,7 +44,7 @@
 } from "@drumpaddle/hall";
 import type { EndpointTable } from "@drumpaddle/policy";
 import { type Clock, type FrameMessage, type PeerError, PeerMesh, type PeerName } from "@drumpaddle/protocol";
-import type { Life } from "@drumpaddle/routes";
+import type { IncarnationId } from "@drumpaddle/routes";
 import { randomInt } from "node:crypto";
 import type { EndpointNotices } from "../endpoints/endpoint-notices.js";
 import type { Placement } from "../endpoints/placement.js";
@@ -187,14 +187,14 @@
             onError: (peer: string, err: PeerError) =>
                 log.debug({ peer, err: err.kind, detail: "detail" in err ? err.detail : undefined }, "peer_error"),
             onBytes: (direction, bytes) => metrics.countPeerBytes(direction, bytes),
-            waiting: {
+            sendQueues: {
                 most: () => memory?.maxLinkBytes(),
                 onChange: (link, bytes) => memory?.setLinkBytes(link, bytes),
                 onDrop: () => metrics.countDroppedPeerMessage(),
             },
             signal,
         });
-        if (memory) memory.onCloseLink = link => mesh.cutOff(link);
+        if (memory) memory.onCloseLink = link => mesh.closeLink(link);
         const peers = new Peers(deps, mesh, cfg["peers.seeds"]);
         started.peers = peers;
         peers.activate();
@@ -226,7 +226,7 @@
 
     /** Number of open connections to peers. */
     get connections(): number {
-        return this.mesh.size;
+        return this.mesh.openConnections;
     }
 
     /** Sorted names of the live hosts of this host's scope. */
@@ -267,7 +267,7 @@
     }
 
     /** Records, and shares, which incarnation of an endpoint has answered this host. */
-    learnIncarnation(life: Life): void {
+    learnIncarnation(life: IncarnationId): void {
         this.storeSharing?.meetLife(life);
     }
 
--- a/packages/host/src/runtime/config.ts
+++ b/packages/host/src/runtime/config.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { budgetOf } from "@drumpaddle/policy";
-import { choice, count, duration, flag, list, NAME, ratio, text, type ValueType } from "@drumpaddle/settings";
+import { choice, count, decimal, duration, flag, list, NODE_NAME, text, type ValueType } from "@drumpaddle/settings";
 import { parse } from "ini";
 
 const ADDRESS = /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/;
@@ -21,23 +21,23 @@
 }
 
 const KEYS = {
-    "host.name": { type: text(NAME, "a name"), doc: "The name of this host, unique among all hosts." },
-    "host.hall": { type: text(NAME, "a name"), doc: "The hall that this host is in." },
+    "host.name": { type: text(NODE_NAME, "a name"), doc: "The name of this host, unique among all hosts." },
+    "host.hall": { type: text(NODE_NAME, "a name"), doc: "The hall that this host is in." },
     "host.cores": {
-        type: ratio(0, 1_000),
+        type: decimal(0, 1_000),
         optional: true,
         doc: "Cores of this machine, in units of the fleet's usual core. Hosts share work in proportion to their capacity; one "
             + "without this setting counts as one core.",
     },
-    "host.core-share": { type: ratio(0, 1), fallback: "1", doc: "Share of the cores that this process may use." },
-    "host.link": { type: ratio(0, 1_000_000), optional: true, doc: "Bandwidth of this machine's link, in Mbit/s." },
+    "host.core-share": { type: decimal(0, 1), fallback: "1", doc: "Share of the cores that this process may use." },
+    "host.link": { type: decimal(0, 1_000_000), optional: true, doc: "Bandwidth of this machine's link, in Mbit/s." },
     "host.descriptors": {
         type: count(0, 100_000_000),
         optional: true,
         doc: "Maximum number of file descriptors of this process; before they run out, calls are refused as not run.",
     },
     "host.memory": {
-        type: ratio(0, 1_000_000),
+        type: decimal(0, 1_000_000),
         fallback: "0",
         doc: "Memory in MB above which the platform ends this process; data buffered for slow readers is limited to a part of "
             + "it. 0 if it is not known: then there is no such limit.",
@@ -88,7 +88,7 @@
         doc: "Hosts to contact if the host list is unavailable.",
     },
     "peers.scope": {
-        type: text(NAME, "a name"),
+        type: text(NODE_NAME, "a name"),
         optional: true,
         doc: "Hosts of the same scope share their endpoints; defaults to the hall.",
     },
@@ -101,12 +101,12 @@
     },
     "platform.timeout": { type: duration(1, 60_000), fallback: "2s", doc: "Time limit of one call to the platform." },
     "forward.retry-ratio": {
-        type: ratio(0, 1),
+        type: decimal(0, 1),
         fallback: "0.2",
         doc: "Retries that all hosts together may send to the endpoints of a service, as a share of its requests.",
     },
     "forward.retry-slack": {
-        type: ratio(0, 1_000_000),
+        type: decimal(0, 1_000_000),
         fallback: "50",
         doc: "Retries that all hosts together may send beyond that share, in each window.",
     },
@@ -116,13 +116,13 @@
         doc: "The window in which retries are counted.",
     },
     "forward.cold-over": {
-        type: ratio(0, 1_000),
+        type: decimal(0, 1_000),
         fallback: "1",
         doc: "Requests that all hosts together may send to a cold endpoint each second, as a multiple of the rate that its "
             + "service declares for cold endpoints.",
     },
     "forward.cold-slack": {
-        type: ratio(0, 1_000_000),
+        type: decimal(0, 1_000_000),
         fallback: "0",
         doc: "Requests that all hosts together may send to a cold endpoint each second beyond that.",
     },
--- a/packages/host/src/store/deployment-feed.ts
+++ b/packages/host/src/store/deployment-feed.ts
@@ -18,18 +18,18 @@
 } from "@drumpaddle/hall";
 import type { Clock, KeyValue, KvChange, KvEntry, KvError, PlatformWire, WatchTiming } from "@drumpaddle/protocol";
 import {
-    adoptEndpoints,
+    adoptPeerEndpoints,
     applyChanges,
     EMPTY_REGISTRY,
     type EndpointEntry,
-    type HallOrders,
-    type Life,
-    meetLife,
-    nameOfLife,
+    expireGracePeriods,
+    type HallEvacuations,
+    type IncarnationId,
+    incarnationOf,
+    learnIncarnation,
     type Registry,
-    replaceAll,
+    replaceRegistrations,
     RouteTable,
-    settle,
     storeAnswered,
     storeFailed,
     storeRestored,
@@ -68,9 +68,9 @@
  * costs money, so changes that follow each other closely share one; the second watcher is a standby and gathers more of them.
  */
 const WATCH_TIMINGS: Readonly<Record<WatchReason, WatchTiming>> = {
-    first: { waitMs: 1_000, gatherMs: 100 },
-    second: { waitMs: 1_000, gatherMs: 600 },
-    alone: { waitMs: 1_000, gatherMs: 300 },
+    first: { waitMs: 1_000, batchMs: 100 },
+    second: { waitMs: 1_000, batchMs: 600 },
+    alone: { waitMs: 1_000, batchMs: 300 },
 };
 /** The first call of a watch returns without waiting for changes, which shows at once whether the store answers. */
 const INITIAL_WATCH_TIMING: WatchTiming = { waitMs: 1 };
@@ -119,7 +119,7 @@
 
     /** Whether this host gets no changes: neither the store answers it, nor a peer that the store answers. */
     get isStoreAway(): boolean {
-        return this.registry.storeAway;
+        return this.registry.isStoreAway;
     }
 
     /** Exchanges deployments with peers, so that a host that the store does not answer gets them too. */
@@ -227,7 +227,7 @@
         if (!entries) return;
         this.setPosition({ epoch, revision }, "peer");
         this.deps.log.info({ endpoints: entries.length, revision, age_ms: ageMs }, "endpoints_from_peer");
-        this.replaceRegistry(adoptEndpoints(this.registry, entries, evacuated, this.deps.clock.now()));
+        this.replaceRegistry(adoptPeerEndpoints(this.registry, entries, evacuated, this.deps.clock.now()));
     }
 
     /**
@@ -235,10 +235,10 @@
      *
      * @returns Whether this host did not know that life.
      */
-    private meetLife(life: Life, source: "endpoint" | "peer"): boolean {
-        const next = meetLife(this.registry, life, this.deps.clock.now());
+    private meetLife(life: IncarnationId, source: "endpoint" | "peer"): boolean {
+        const next = learnIncarnation(this.registry, life, this.deps.clock.now());
         if (next === this.registry) return false;
-        this.deps.log.info({ endpoint: nameOfLife(life), source }, "endpoint_began_again");
+        this.deps.log.info({ endpoint: incarnationOf(life), source }, "endpoint_began_again");
         this.setRegistry(next);
         return true;
     }
@@ -285,7 +285,7 @@
     start(): void {
         const { signal } = this.deps;
         const timer = setInterval(
-            () => this.setRegistry(settle(this.registry, this.deps.clock.now())),
+            () => this.setRegistry(expireGracePeriods(this.registry, this.deps.clock.now())),
             EXPIRY_INTERVAL_MS,
         );
         signal.addEventListener("abort", () => clearInterval(timer), { once: true });
@@ -405,7 +405,7 @@
         if (deployment) this.offerStored(deployment, "store");
         const summary = { endpoints: endpoints.length, deployment: deployment !== undefined };
         log.info({ epoch, revision, ...summary, behind: isOutdated }, "store_read");
-        const registry = isOutdated ? answered : replaceAll(answered, endpoints, unreadable, evacuated, now);
+        const registry = isOutdated ? answered : replaceRegistrations(answered, endpoints, unreadable, evacuated, now);
         this.replaceRegistry(registry, unreadable);
         this.setLastCallAnswered(true);
         return { epoch, revision };
@@ -472,7 +472,7 @@
         if (update) { for (const listener of this.changeListeners) listener(update); }
     }
 
-    private logEvacuations(before: HallOrders, { evacuated }: HallOrders): void {
+    private logEvacuations(before: HallEvacuations, { evacuated }: HallEvacuations): void {
         if (evacuated === before.evacuated) return;
         const { log, metrics } = this.deps;
         const revision = this.position?.revision;
@@ -492,10 +492,10 @@
 
     private setRegistry(registry: Registry): void {
         if (registry === this.registry) return;
-        const { storeAway, endpoints, halls } = this.registry;
+        const { isStoreAway, endpoints, halls } = this.registry;
         this.registry = registry;
-        if (registry.storeAway !== storeAway) {
-            this.deps.log.info({}, registry.storeAway ? "store_lost" : "store_regained");
+        if (registry.isStoreAway !== isStoreAway) {
+            this.deps.log.info({}, registry.isStoreAway ? "store_lost" : "store_regained");
         }
         this.logEvacuations(halls, registry.halls);
         if (registry.endpoints === endpoints && registry.halls === halls) return;
--- a/packages/host/src/store/directory.ts
+++ b/packages/host/src/store/directory.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { EndpointCfg } from "@drumpaddle/policy";
-import { type InForce, namedNodes, NodeKind, type Settings, settingsAt, type Tree } from "@drumpaddle/settings";
+import { namedNodes, NodeKind, type Settings, settingsAt, type SettingsInForce, type Tree } from "@drumpaddle/settings";
 import { createHash } from "node:crypto";
 
 /** An endpoint as the settings declare it. */
@@ -63,7 +63,7 @@
     private readonly parts: ReadonlyMap<Tree, PartIndex>;
     private readonly cache = new Map<string, Settings>();
 
-    constructor(inForce: InForce, private readonly hall: string, before?: Directory) {
+    constructor(inForce: SettingsInForce, private readonly hall: string, before?: Directory) {
         this.version = inForce.snapshot.head.version;
         this.tree = inForce.tree;
         const trees = Object.values(inForce.partTrees);
--- a/packages/host/src/store/endpoint-log.ts
+++ b/packages/host/src/store/endpoint-log.ts
@@ -3,7 +3,13 @@
  *
  * @module
  */
-import { compareLives, type EndpointEntry, LifeOrder, type Registry, type RegistryChange } from "@drumpaddle/routes";
+import {
+    compareIncarnations,
+    type EndpointEntry,
+    IncarnationOrder,
+    type Registry,
+    type RegistryChange,
+} from "@drumpaddle/routes";
 import type { Log } from "../runtime/log.js";
 
 /** A change of the registry, with the store's revision that made it. */
@@ -19,7 +25,7 @@
     if (change.kind !== "registered") return logRemoved(log, change.id, change.kind, revision);
     const { entry } = change;
     const known = latest.get(entry.id);
-    const isEarlier = known !== undefined && compareLives(entry, known) === LifeOrder.Earlier;
+    const isEarlier = known !== undefined && compareIncarnations(entry, known) === IncarnationOrder.Earlier;
     logRegistered(log, entry, isEarlier ? "earlier_life" : entry.state, revision);
 }
 
--- a/packages/host/src/store/settings-feed.ts
+++ b/packages/host/src/store/settings-feed.ts
@@ -5,7 +5,14 @@
  * @module
  */
 import type { KeyValue } from "@drumpaddle/protocol";
-import { adopt, type AdoptResult, type Head, type InForce, judgeHead, type Snapshot } from "@drumpaddle/settings";
+import {
+    type AdoptResult,
+    adoptSnapshot,
+    checkHead,
+    type SettingsInForce,
+    type Snapshot,
+    type SnapshotHead,
+} from "@drumpaddle/settings";
 import type { Log } from "../runtime/log.js";
 import type { Metrics } from "../runtime/metrics.js";
 import { Directory } from "./directory.js";
@@ -30,7 +37,7 @@
 
 /** Holds the settings in force at one host and follows their changes. */
 export class SettingsFeed {
-    private current: InForce | undefined;
+    private current: SettingsInForce | undefined;
     private currentDirectory: Directory | undefined;
     private readonly listeners = new Set<(directory: Directory) => void>();
     private pendingRead: Promise<void> | undefined;
@@ -40,7 +47,7 @@
     constructor(private readonly deps: SettingsFeedDeps) {}
 
     /** The version in force; undefined before the first one. */
-    get inForce(): InForce | undefined {
+    get inForce(): SettingsInForce | undefined {
         return this.current;
     }
 
@@ -57,7 +64,7 @@
 
     /** Puts a version in force if it is newer and complete; otherwise logs why not. */
     offer(snapshot: Snapshot, source: OfferSource): AdoptResult {
-        const result = adopt(this.current, snapshot, Date.now());
+        const result = adoptSnapshot(this.current, snapshot, Date.now());
         this.deps.metrics.countOffer(result.kind);
         if (result.kind === "adopted") this.putInForce(result.inForce, source);
         else if (result.kind !== "same") {
@@ -66,7 +73,7 @@
         return result;
     }
 
-    private putInForce(inForce: InForce, source: OfferSource): void {
+    private putInForce(inForce: SettingsInForce, source: OfferSource): void {
         this.current = inForce;
         this.currentDirectory = new Directory(inForce, this.deps.hall, this.currentDirectory);
         const { version, hash } = inForce.snapshot.head;
@@ -124,8 +131,8 @@
 
     private onHead(value: string | undefined): void {
         if (value === undefined) return;
-        const head = JSON.parse(value) as Head;
-        const verdict = judgeHead(this.current, head);
+        const head = JSON.parse(value) as SnapshotHead;
+        const verdict = checkHead(this.current, head);
         if (!verdict) {
             void this.refresh().then(() =>
                 this.current && this.current.snapshot.head.version < head.version ? this.refresh() : undefined
--- a/packages/host/src/store/settings-store.ts
+++ b/packages/host/src/store/settings-store.ts
@@ -15,17 +15,17 @@
     checkTree,
     completeSnapshot,
     type EditConflict,
-    EMPTY,
-    type Head,
-    type InForce,
+    EMPTY_TREE,
+    formatTree,
     joinSnapshot,
+    parseSettingsFiles,
     partsToRead,
-    readFiles,
     type SettingsError,
+    type SettingsInForce,
     type Snapshot,
+    type SnapshotHead,
     snapshotOf,
     type Tree,
-    writeTree,
 } from "@drumpaddle/settings";
 
 /** An operator's edit of the settings. */
@@ -68,7 +68,10 @@
     }
 
     /** Reads the newest version. Only the parts that differ from `inForce` are read, if it is given. */
-    async read(inForce: InForce | undefined, signal: AbortSignal): Promise<StoreResult<StoredSettings | undefined>> {
+    async read(
+        inForce: SettingsInForce | undefined,
+        signal: AbortSignal,
+    ): Promise<StoreResult<StoredSettings | undefined>> {
         const head = await this.kv.get(this.headKey, signal);
         if (!head.ok) return head;
         if (!head.value) return { ok: true, value: undefined };
@@ -76,11 +79,11 @@
     }
 
     private async readChanged(
-        inForce: InForce,
+        inForce: SettingsInForce,
         entry: KvEntry,
         signal: AbortSignal,
     ): Promise<StoreResult<StoredSettings | undefined>> {
-        const head = JSON.parse(entry.value) as Head;
+        const head = JSON.parse(entry.value) as SnapshotHead;
         const read: Record<string, string> = {};
         for (const name of partsToRead(inForce, head)) {
             const part = await this.kv.get(this.partKey(name), signal);
@@ -101,7 +104,7 @@
         const partPrefix = this.partKey("");
         const parts = listed.value.entries.filter(entry => entry.key.startsWith(partPrefix));
         const named = Object.fromEntries(parts.map(entry => [entry.key.slice(partPrefix.length), entry.value]));
-        const snapshot = completeSnapshot(undefined, JSON.parse(head.value) as Head, named);
+        const snapshot = completeSnapshot(undefined, JSON.parse(head.value) as SnapshotHead, named);
         return { ok: true, value: { snapshot, headRevision: head.modRevision } };
     }
 
@@ -109,7 +112,7 @@
      * Writes an edit. If a reply is lost, the edit is planned and written again; every write is conditional on the edit's id not
      * being written yet, so that the edit takes effect at most once.
      */
-    async edit(edit: EditRequest, inForce: InForce | undefined, signal: AbortSignal): Promise<EditResult> {
+    async edit(edit: EditRequest, inForce: SettingsInForce | undefined, signal: AbortSignal): Promise<EditResult> {
         let maybeWritten = false;
         for (let attempt = 0; attempt < MAX_ATTEMPTS && !signal.aborted; attempt++) {
             const result = await this.tryEdit(edit, inForce, signal);
@@ -136,7 +139,7 @@
 
     private async tryEdit(
         edit: EditRequest,
-        inForce: InForce | undefined,
+        inForce: SettingsInForce | undefined,
         signal: AbortSignal,
     ): Promise<EditResult | { readonly kind: "again"; readonly maybeWritten: boolean }> {
         const done = await this.outcome(edit.editId, signal);
@@ -217,7 +220,7 @@
     if (edit.onlyAt !== undefined && edit.onlyAt !== version) return { kind: "conflict", version, conflicts: [] };
     const applied = applyChanges(tree, edit.changes);
     if (!applied.ok) return { kind: "conflict", version, conflicts: applied.conflicts };
-    const read = readFiles([{ name: "(edit)", text: writeTree(applied.tree) }]);
+    const read = parseSettingsFiles([{ name: "(edit)", text: formatTree(applied.tree) }]);
     const errors = [...read.errors, ...checkTree(read)];
     if (errors.length > 0) return { kind: "invalid", errors };
     const next = snapshotOf(version + 1, applied.tree);
@@ -236,7 +239,7 @@
 }
 
 function treeOf(stored: StoredSettings | undefined): Tree | undefined {
-    if (!stored) return EMPTY;
+    if (!stored) return EMPTY_TREE;
     const joined = joinSnapshot(stored.snapshot);
     return joined.ok ? joined.joined.tree : undefined;
 }
--- a/packages/host/src/store/store-sharing.ts
+++ b/packages/host/src/store/store-sharing.ts
@@ -18,7 +18,7 @@
     type Weights,
 } from "@drumpaddle/hall";
 import type { Clock } from "@drumpaddle/protocol";
-import type { Life } from "@drumpaddle/routes";
+import type { IncarnationId } from "@drumpaddle/routes";
 import { repeat } from "../runtime/repeat.js";
 import type { StorePeerMessage, StoreStamp, StoreState, StoreUpdate } from "./store-messages.js";
 
@@ -47,7 +47,7 @@
     /** Replaces this host's state with a peer's, if that is further ahead. */
     adoptState(state: StoreState): void;
     /** Records that an endpoint has begun a later life; returns whether this host did not know that life. */
-    meetLife(life: Life, source: "endpoint" | "peer"): boolean;
+    meetLife(life: IncarnationId, source: "endpoint" | "peer"): boolean;
 }
 
 /** What {@link StoreSharing} depends on. */
@@ -111,7 +111,7 @@
     }
 
     /** Records which life of an endpoint has answered this host, and tells the hall if that life was not known. */
-    meetLife({ id, born }: Life): void {
+    meetLife({ id, born }: IncarnationId): void {
         const { deps } = this;
         if (born === undefined || !deps.follower.meetLife({ id, born }, "endpoint")) return;
         deps.send(deps.inHall().filter(name => name !== deps.name), { kind: "lifeMet", id, born });
--- a/packages/host/src/watch-endpoints.ts
+++ b/packages/host/src/watch-endpoints.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { fetchHosts, fetchLoad } from "@drumpaddle/protocol";
+import { fetchEngineLoad, fetchHostList } from "@drumpaddle/protocol";
 import type { Host } from "./calls/host.js";
 import type { Placement } from "./endpoints/placement.js";
 import { plainModel } from "./endpoints/plain-model.js";
@@ -82,7 +82,7 @@
 
 async function pollLoad(host: Host, endpoint: DeclaredEndpoint, preemptions: Map<string, number>): Promise<void> {
     const timeout = host.cfg["control.load-interval"] * TIMEOUT_INTERVALS;
-    const load = await fetchLoad(host.dispatcher, endpoint.url, timeout, host.signal);
+    const load = await fetchEngineLoad(host.dispatcher, endpoint.url, timeout, host.signal);
     if (!load || host.signal.aborted) return;
     if (host.engines.setLeaving(endpoint.id, "endpoint", load.leaving)) host.peers?.shareLoadNow();
     host.engines.report(endpoint.id, { ...load, at: host.clock.now() - load.ageMs });
@@ -95,7 +95,7 @@
 async function pollHostList(host: Host): Promise<number | undefined> {
     const url = host.cfg["platform.host-list"];
     if (url === undefined) return undefined;
-    const response = await fetchHosts(url, host.cfg["host.hall"], host.cfg["platform.timeout"], host.signal);
+    const response = await fetchHostList(url, host.cfg["host.hall"], host.cfg["platform.timeout"], host.signal);
     if (!response) return undefined;
     const peers = response.hosts.filter(machine => machine.peer !== undefined && machine.state === "live");
     host.peers?.setListedHosts(peers.map(machine => machine.peer!));
--- a/packages/host/test/late-deployment.test.ts
+++ b/packages/host/test/late-deployment.test.ts
@@ -3,7 +3,7 @@
 import test, { type ExecutionContext } from "ava";
 import { PassThrough } from "node:stream";
 import { Agent, buildConnector } from "undici";
-import { configOf, until } from "../../../platform/test/stand-in/setup.js";
+import { configOf, waitUntil } from "../../../platform/test/stand-in/setup.js";
 import { StandInStore } from "../../../platform/test/stand-in/store.js";
 import { createLog } from "../src/runtime/log.js";
 import { Metrics } from "../src/runtime/metrics.js";
@@ -69,11 +69,11 @@
 test("a host gets the newest deployment soon after connections to the store come up again", async t => {
     const { store, feed, hanging, setCut } = await cutOffHost(t);
     feed.follower.setWatching("alone");
-    await until(() => feed.table?.version === 1);
+    await waitUntil(() => feed.table?.version === 1);
     setCut(true);
-    await until(() => hanging() > 0);
+    await waitUntil(() => hanging() > 0);
     store.put("op/config", configOf(2));
     setCut(false);
-    await until(() => feed.table?.version === 2, SOON_MS);
+    await waitUntil(() => feed.table?.version === 2, SOON_MS);
     t.is(feed.table?.version, 2);
 });
--- a/packages/host/test/odd-registrations.test.ts
+++ b/packages/host/test/odd-registrations.test.ts
@@ -5,7 +5,7 @@
 import test from "ava";
 import fc from "fast-check";
 import { PassThrough } from "node:stream";
-import { configOf, registrationOf, until } from "../../../platform/test/stand-in/setup.js";
+import { configOf, registrationOf, waitUntil } from "../../../platform/test/stand-in/setup.js";
 import { StandInStore } from "../../../platform/test/stand-in/store.js";
 import { createLog } from "../src/runtime/log.js";
 import { Metrics } from "../src/runtime/metrics.js";
@@ -104,7 +104,7 @@
     if (startsIncarnation) births.set(id, (births.get(id) ?? 1_000) + 1);
     const isEntry = typeof value === "object" && value !== null && "Addr" in value;
     if (isEntry) store.put(`servers/${id}`, { ...value, born: births.get(id) });
-    else store.putOdd(`servers/${id}`, value);
+    else store.putRawValue(`servers/${id}`, value);
 }
 
 test("hosts that learn of registrations by a watch, a read or a peer know the same endpoints, whatever was written", async t => {
@@ -115,15 +115,15 @@
             store.put("op/config", configOf(1));
             const watching = createFeed(store.url, own.signal);
             watching.follower.setWatching("alone");
-            await until(() => watching.isReady);
+            await waitUntil(() => watching.isReady);
             const births = new Map<string, number>();
             for (const each of writes) write(store, each, births);
             // A last, valid registration shows that the others did not stop the watch.
             store.put("servers/last", registrationOf("app", "10.0.0.9:80"));
-            await until(() => endpointsKnownTo(watching).some(text => text.includes('"last"')));
+            await waitUntil(() => endpointsKnownTo(watching).some(text => text.includes('"last"')));
             const reading = createFeed(store.url, own.signal);
             reading.start();
-            await until(() => reading.isReady);
+            await waitUntil(() => reading.isReady);
             const told = createFeed(store.url, own.signal);
             told.follower.adoptState(watching.follower.state(NO_PROGRESS)!);
             t.deepEqual(endpointsKnownTo(reading), endpointsKnownTo(watching));
--- a/packages/protocol/src/clock.ts
+++ b/packages/protocol/src/clock.ts
@@ -12,7 +12,7 @@
 
 /** A forward jump of the time of day: the host was suspended, or its time of day was set. */
 export interface Wake {
-    /** Duration of the suspension in milliseconds, accurate to {@link BOOT_STEP_MS}; 0 if the boot clock does not confirm one. */
+    /** Duration of the suspension in milliseconds, accurate to {@link SUSPENSION_ERROR_MS}; 0 if the boot clock does not confirm one. */
     readonly suspendedMs: number;
     /** How far the time of day has jumped ahead of the monotonic clock, in milliseconds. */
     readonly jumpMs: number;
@@ -23,7 +23,7 @@
     /** Elapsed milliseconds, suspensions included. The first call after a wake calls the listeners before it returns. */
     now(): number;
     /** Elapsed milliseconds, suspensions excluded. */
-    awake(): number;
+    awakeMs(): number;
     /** Registers a listener for each jump of the time of day, which may be a wake from suspension. */
     onWake(listener: (wake: Wake) => void): void;
 }
@@ -31,7 +31,7 @@
 /** The system clocks that a {@link Clock} combines, in milliseconds. */
 export interface ClockSources {
     /** Monotonic; stops while the host is suspended. */
-    steady(): number;
+    monotonic(): number;
     /** Continues during a suspension, and may be set at any time. */
     timeOfDay(): number;
     /** Continues during a suspension and is never set; has a coarse resolution. */
@@ -39,14 +39,14 @@
 }
 
 /** The clocks of the operating system. `os.uptime()` reads `/proc/uptime` in steps of 10 ms and takes 9 µs (monotonic clock: 0.2 µs). */
-export const SYSTEM_SOURCES: ClockSources = {
-    steady: () => performance.now(),
+export const SYSTEM_CLOCK_SOURCES: ClockSources = {
+    monotonic: () => performance.now(),
     timeOfDay: () => Date.now(),
     boot: () => uptime() * 1_000,
 };
 
 /** Error of a measured suspension: the step of the boot clock, and the time between the readings of two clocks. */
-export const BOOT_STEP_MS = 20;
+export const SUSPENSION_ERROR_MS = 20;
 /** Shorter jumps come from a clock that is being slewed, or from a delay between the readings of two clocks. */
 const MIN_JUMP_MS = 200;
 /** Largest difference between the jumps of both clocks in a suspension: the time of day may be adjusted as the host wakes. */
@@ -65,7 +65,7 @@
  * clock.onWake(({ suspendedMs }) => log.warn({ suspended_ms: suspendedMs }, "host_woke"));
  * ```
  */
-export function createClock(sources: ClockSources = SYSTEM_SOURCES): Clock {
+export function createClock(sources: ClockSources = SYSTEM_CLOCK_SOURCES): Clock {
     return new SuspendingClock(sources);
 }
 
@@ -80,13 +80,13 @@
     private readonly listeners = new Set<(wake: Wake) => void>();
 
     constructor(private readonly sources: ClockSources) {
-        this.lastAwakeMs = sources.steady();
+        this.lastAwakeMs = sources.monotonic();
         this.lastTimeOfDay = sources.timeOfDay();
         this.lastBoot = this.readBoot(this.lastAwakeMs);
     }
 
     now(): number {
-        const awakeMs = this.sources.steady();
+        const awakeMs = this.sources.monotonic();
         const timeOfDay = this.sources.timeOfDay();
         const jumpMs = timeOfDay - this.lastTimeOfDay - (awakeMs - this.lastAwakeMs);
         this.lastAwakeMs = awakeMs;
@@ -96,8 +96,8 @@
         return awakeMs + this.totalSuspendedMs;
     }
 
-    awake(): number {
-        return this.sources.steady();
+    awakeMs(): number {
+        return this.sources.monotonic();
     }
 
     onWake(listener: (wake: Wake) => void): void {
--- a/packages/protocol/src/completions-api.ts
+++ b/packages/protocol/src/completions-api.ts
@@ -83,7 +83,7 @@
  * factsOf(body, 4096).promptTokens; // 1024
  * ```
  */
-export function factsOf(body: GenerationBody, bytes: number): BodyFacts {
+export function bodyFactsOf(body: GenerationBody, bytes: number): BodyFacts {
     return {
         model: body.model,
         stream: body.stream === true,
--- a/packages/protocol/src/engine-client.ts
+++ b/packages/protocol/src/engine-client.ts
@@ -11,7 +11,7 @@
 import { StringDecoder } from "node:string_decoder";
 import { type Dispatcher, request } from "undici";
 import { errText, neverSent } from "./net-error.js";
-import { withinTime } from "./time-limit.js";
+import { withTimeLimit } from "./time-limit.js";
 
 /** An event of an engine's stream. `data` is the event's text as received. */
 export type EngineEvent =
@@ -32,7 +32,7 @@
     };
 
 /** How a stream ended. */
-export type EngineEnd =
+export type EngineStreamEnd =
     /** The engine ended the response, with or without a `finished` event. */
     | { readonly kind: "closed" }
     /** The engine declares that it has not run the request. */
@@ -56,7 +56,7 @@
 }
 
 /** A request to an engine for a stream. */
-export interface EngineCall {
+export interface EngineStreamRequest {
     readonly dispatcher: Dispatcher;
     readonly url: string;
     readonly path: string;
@@ -68,7 +68,7 @@
 }
 
 /** Receives the events of a stream. */
-export interface EngineSink {
+export interface EngineStreamHandler {
     /** Returns whether the event made progress; an engine that sends only events without progress counts as silent. */
     onEvent(event: EngineEvent): boolean;
     /** Called after each chunk of the stream. Reading pauses until the returned promise, if any, resolves. */
@@ -95,7 +95,11 @@
  * if (end.kind === "refused") end.retryAfterMs;
  * ```
  */
-export async function openStream(call: EngineCall, sink: EngineSink, signal: AbortSignal): Promise<EngineEnd> {
+export async function readEngineStream(
+    call: EngineStreamRequest,
+    sink: EngineStreamHandler,
+    signal: AbortSignal,
+): Promise<EngineStreamEnd> {
     const silenceTimer = createSilenceTimer(call.limits, signal);
     try {
         const res = await request(call.url + call.path, {
@@ -176,9 +180,9 @@
 async function readResponse(
     res: Dispatcher.ResponseData,
     attempt: string,
-    sink: EngineSink,
+    sink: EngineStreamHandler,
     silenceTimer: SilenceTimer,
-): Promise<EngineEnd> {
+): Promise<EngineStreamEnd> {
     const { statusCode, headers, body } = res;
     if (statusCode !== 200) return readRefusal(res);
     if (!String(headers["content-type"]).startsWith("text/event-stream")) {
@@ -209,9 +213,9 @@
     body: Dispatcher.ResponseData["body"],
     parser: { feed(text: string): void },
     invalidEventReason: () => string | undefined,
-    sink: EngineSink,
+    sink: EngineStreamHandler,
     silenceTimer: SilenceTimer,
-): Promise<EngineEnd> {
+): Promise<EngineStreamEnd> {
     return new Promise((resolve, reject) => {
         let pendingChars = 0;
         const decoder = new StringDecoder("utf8");
@@ -247,7 +251,7 @@
     });
 }
 
-async function readRefusal({ statusCode, headers, body }: Dispatcher.ResponseData): Promise<EngineEnd> {
+async function readRefusal({ statusCode, headers, body }: Dispatcher.ResponseData): Promise<EngineStreamEnd> {
     const text = await body.text();
     const detail = `${statusCode}: ${errorMessageOf(text)}`;
     if (headers["x-ran"] !== "no") return { kind: "lost", cause: "invalid", detail };
@@ -304,14 +308,14 @@
  * (await fetchLoad(agent, "http://10.0.0.5:8000", 1000, signal))?.running;
  * ```
  */
-export async function fetchLoad(
+export async function fetchEngineLoad(
     dispatcher: Dispatcher,
     url: string,
     timeoutMs: number,
     signal: AbortSignal,
 ): Promise<EngineLoadReport | undefined> {
     try {
-        const { status, raw } = await withinTime(timeoutMs, signal, async limited => {
+        const { status, raw } = await withTimeLimit(timeoutMs, signal, async limited => {
             const res = await request(`${url}/v1/load`, { dispatcher, signal: limited });
             return { status: res.statusCode, raw: await res.body.json() as Record<string, unknown> };
         });
--- a/packages/protocol/src/etcd.ts
+++ b/packages/protocol/src/etcd.ts
@@ -13,10 +13,10 @@
     type KvError,
     kvOk,
     type KvResult,
-    type KvWatch,
+    type KvWatchOptions,
 } from "./kv.js";
 import { neverSent } from "./net-error.js";
-import { withinTime } from "./time-limit.js";
+import { withTimeLimit } from "./time-limit.js";
 
 /** Address of the service and time limit of a call. */
 export interface EtcdCfg {
@@ -65,10 +65,10 @@
  * const head = await kv.get("drumpaddle/head", signal);
  * ```
  */
-export function createEtcd(cfg: EtcdCfg): KeyValue {
+export function createEtcdClient(cfg: EtcdCfg): KeyValue {
     const call = async <T>(path: string, body: object, signal: AbortSignal): Promise<KvResult<T>> => {
         try {
-            return await withinTime(cfg.timeoutMs, signal, async limited => {
+            return await withTimeLimit(cfg.timeoutMs, signal, async limited => {
                 const res = await request(cfg.url + path, {
                     method: "POST",
                     body: JSON.stringify(body),
@@ -106,7 +106,7 @@
             const res = await call<{ ID: string }>("/v3/lease/grant", { TTL: String(ttlS) }, signal);
             return res.ok ? kvOk(res.value.ID) : res;
         },
-        keepLease: async (lease, signal) => {
+        keepLeaseAlive: async (lease, signal) => {
             const res = await call<{ result?: { TTL?: string } }>("/v3/lease/keepalive", { ID: lease }, signal);
             return res.ok ? kvOk(Number(res.value.result?.TTL ?? 0) > 0) : res;
         },
@@ -134,7 +134,7 @@
 
 async function watchPrefix(
     cfg: EtcdCfg,
-    { prefix, after }: KvWatch,
+    { prefix, after }: KvWatchOptions,
     onChanges: (changes: readonly KvChange[]) => void,
     signal: AbortSignal,
 ): Promise<KvError> {
--- a/packages/protocol/src/event-splitter.ts
+++ b/packages/protocol/src/event-splitter.ts
@@ -6,7 +6,7 @@
  */
 
 /** One complete server-sent event as received. */
-export interface WholeEvent {
+export interface ServerSentEvent {
     /** All bytes of the event, including the blank line that ends it. */
     readonly bytes: Buffer;
     /** The `id` field; undefined if the event has none. */
@@ -31,9 +31,9 @@
      * new EventSplitter().push(Buffer.from("id: 1\ndata: x\n\nid: 2"))[0]?.id; // "1"
      * ```
      */
-    push(chunk: Buffer): readonly WholeEvent[] {
+    push(chunk: Buffer): readonly ServerSentEvent[] {
         const bytes = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
-        const events: WholeEvent[] = [];
+        const events: ServerSentEvent[] = [];
         let start = 0;
         for (;;) {
             const end = endOfEvent(bytes, start);
@@ -64,7 +64,7 @@
     }
 }
 
-function fieldsOf(event: Buffer): Pick<WholeEvent, "id" | "hasData"> {
+function fieldsOf(event: Buffer): Pick<ServerSentEvent, "id" | "hasData"> {
     const lines = event.toString("latin1").split(/\r?\n/);
     const id = lines.find(line => line.startsWith("id:"))?.slice("id:".length).trim();
     return { id, hasData: lines.some(line => line.startsWith("data")) };
--- a/packages/protocol/src/host-list.ts
+++ b/packages/protocol/src/host-list.ts
@@ -6,7 +6,7 @@
 import { type Static, Type } from "@sinclair/typebox";
 import { Value } from "@sinclair/typebox/value";
 import { request } from "undici";
-import { withinTime } from "./time-limit.js";
+import { withTimeLimit } from "./time-limit.js";
 
 const ListedHostSchema = Type.Object({
     name: Type.String(),
@@ -37,14 +37,14 @@
  * const answer = await fetchHosts("http://10.0.0.2:7000", "k1", 1000, signal);
  * ```
  */
-export async function fetchHosts(
+export async function fetchHostList(
     url: string,
     hall: string,
     timeoutMs: number,
     signal: AbortSignal,
 ): Promise<HostListAnswer | undefined> {
     try {
-        const { status, text } = await withinTime(timeoutMs, signal, async limited => {
+        const { status, text } = await withTimeLimit(timeoutMs, signal, async limited => {
             const res = await request(`${url}/hosts?hall=${encodeURIComponent(hall)}`, { signal: limited });
             return { status: res.statusCode, text: await res.body.text() };
         });
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,28 +1,35 @@
-export { BOOT_STEP_MS, type Clock, type ClockSources, createClock, SYSTEM_SOURCES, type Wake } from "./clock.js";
+export {
+    type Clock,
+    type ClockSources,
+    createClock,
+    SUSPENSION_ERROR_MS,
+    SYSTEM_CLOCK_SOURCES,
+    type Wake,
+} from "./clock.js";
 export {
     type BodyError,
     type BodyFacts,
+    bodyFactsOf,
     type BodyResult,
     ChatBody,
     checkBody,
     CompletionBody,
-    factsOf,
     type GenerationBody,
 } from "./completions-api.js";
 export {
     cancelStream,
-    type EngineCall,
-    type EngineEnd,
     type EngineEvent,
     type EngineLoadReport,
-    type EngineSink,
-    fetchLoad,
-    openStream,
+    type EngineStreamEnd,
+    type EngineStreamHandler,
+    type EngineStreamRequest,
+    fetchEngineLoad,
+    readEngineStream,
     type StreamLimits,
 } from "./engine-client.js";
-export { createEtcd, type EtcdCfg } from "./etcd.js";
-export { EventSplitter, type WholeEvent } from "./event-splitter.js";
-export { fetchHosts, type HostListAnswer, type ListedHost } from "./host-list.js";
+export { createEtcdClient, type EtcdCfg } from "./etcd.js";
+export { EventSplitter, type ServerSentEvent } from "./event-splitter.js";
+export { fetchHostList, type HostListAnswer, type ListedHost } from "./host-list.js";
 export {
     type KeyValue,
     type KvChange,
@@ -33,7 +40,7 @@
     type KvList,
     kvOk,
     type KvResult,
-    type KvWatch,
+    type KvWatchOptions,
     type WatchTiming,
 } from "./kv.js";
 export { errText, neverSent } from "./net-error.js";
@@ -45,22 +52,22 @@
     MAX_FRAME_BYTES,
     PEER_VERSION,
 } from "./peer-codec.js";
-export { type MeshCfg, type PeerError, PeerMesh, type PeerName, type WaitingBounds } from "./peer-mesh.js";
+export { type MeshCfg, type PeerError, PeerMesh, type PeerName, type SendQueueBounds } from "./peer-mesh.js";
 export {
     type AnswerHead,
+    type AttemptHead,
     type CallHead,
     type Continuation,
     type CopyAnswer,
+    type DeclaredNumber,
     type Decoded,
     type DecodeError,
     type EndpointCall,
     type GenerationHead,
     type HeadError,
+    type LeavingAnswer,
     type PlatformWire,
     type PromptPart,
     type RawHeaders,
-    type SaidNumber,
-    type SendHead,
-    type StayAnswer,
 } from "./platform-wire.js";
-export { TimeLimitError, withinTime } from "./time-limit.js";
+export { TimeLimitError, withTimeLimit } from "./time-limit.js";
--- a/packages/protocol/src/kv.ts
+++ b/packages/protocol/src/kv.ts
@@ -59,7 +59,7 @@
 }
 
 /** Options of a watch. */
-export interface KvWatch {
+export interface KvWatchOptions {
     readonly prefix: string;
     /** Reports the changes after this revision; only future ones if absent. */
     readonly after?: number;
@@ -74,7 +74,7 @@
     /** How long a poll may wait for a change; the client's default if absent. */
     readonly waitMs?: number;
     /** Pause after a poll that returned changes, so that the next one returns several at once. */
-    readonly gatherMs?: number;
+    readonly batchMs?: number;
 }
 
 /** The key-value service. Every call ends when its signal aborts. */
@@ -88,14 +88,18 @@
     /** Grants a lease that expires after `ttlS` seconds unless it is kept alive; resolves with its id. */
     grantLease(ttlS: number, signal: AbortSignal): Promise<KvResult<string>>;
     /** Renews a lease; false if it has expired. */
-    keepLease(lease: string, signal: AbortSignal): Promise<KvResult<boolean>>;
+    keepLeaseAlive(lease: string, signal: AbortSignal): Promise<KvResult<boolean>>;
     /** Revokes a lease and deletes the keys attached to it. */
     revokeLease(lease: string, signal: AbortSignal): Promise<KvResult<void>>;
     /**
      * Reports changes in order until the signal aborts or the watch fails; resolves with the failure. An empty list means
      * only that the service has answered.
      */
-    watch(watch: KvWatch, onChanges: (changes: readonly KvChange[]) => void, signal: AbortSignal): Promise<KvError>;
+    watch(
+        watch: KvWatchOptions,
+        onChanges: (changes: readonly KvChange[]) => void,
+        signal: AbortSignal,
+    ): Promise<KvError>;
 }
 
 /** Creates a successful result. */
--- a/packages/protocol/src/peer-mesh.ts
+++ b/packages/protocol/src/peer-mesh.ts
@@ -37,13 +37,13 @@
     readonly onError: (peer: string, err: PeerError) => void;
     readonly onBytes: (direction: "in" | "out", bytes: number) => void;
     /** Bounds the send queues; if absent, a link whose queue exceeds a fixed bound is closed. */
-    readonly waiting?: WaitingBounds;
+    readonly sendQueues?: SendQueueBounds;
     readonly clock: Clock;
     readonly signal: AbortSignal;
 }
 
 /** Bounds the send queues of peers that read slowly. */
-export interface WaitingBounds {
+export interface SendQueueBounds {
     /** Queued bytes per peer above which further messages to it are dropped; undefined for the fixed bound. */
     most(): number | undefined;
     /** Called when the number of queued bytes of a link changes. */
@@ -78,7 +78,7 @@
     isAuthenticated: boolean;
     /** Frames that wait for the peer's proof. */
     readonly unsentFrames: Buffer[];
-    /** Bytes that wait to be sent, as last reported to {@link WaitingBounds}. */
+    /** Bytes that wait to be sent, as last reported to {@link SendQueueBounds}. */
     queuedBytes: number;
 }
 
@@ -128,7 +128,7 @@
     }
 
     /** Number of open connections, dialled and accepted. */
-    get size(): number {
+    get openConnections(): number {
         return this.openLinks.size;
     }
 
@@ -231,7 +231,7 @@
     }
 
     private write(link: Link, frame: Buffer, isHandshake: boolean): void {
-        if (!isHandshake && !this.mayQueue(link)) return this.cfg.waiting?.onDrop();
+        if (!isHandshake && !this.mayQueue(link)) return this.cfg.sendQueues?.onDrop();
         if (!isHandshake && !link.isAuthenticated) {
             if (link.unsentFrames.length < MAX_UNSENT_FRAMES) link.unsentFrames.push(frame);
             return this.setQueuedBytes(link, unsentBytesOf(link));
@@ -247,18 +247,18 @@
 
     /** Whether the link's queue has room for a message. An empty queue accepts a message of any size. */
     private mayQueue(link: Link): boolean {
-        const maxBytes = this.cfg.waiting?.most();
+        const maxBytes = this.cfg.sendQueues?.most();
         return maxBytes === undefined || link.queuedBytes === 0 || link.queuedBytes < maxBytes;
     }
 
     private setQueuedBytes(link: Link, bytes: number): void {
         if (link.queuedBytes === bytes) return;
         link.queuedBytes = bytes;
-        this.cfg.waiting?.onChange(link.id, bytes);
+        this.cfg.sendQueues?.onChange(link.id, bytes);
     }
 
     /** Closes a link and discards its queue. */
-    cutOff(id: number): void {
+    closeLink(id: number): void {
         const link = this.openLinks.get(id);
         if (link) this.fail(link, { kind: "slow", waitingBytes: link.queuedBytes });
     }
--- a/packages/protocol/src/platform-wire.ts
+++ b/packages/protocol/src/platform-wire.ts
@@ -37,7 +37,7 @@
     /** Id of the last event that the caller has received, after which the stream resumes; undefined for a new stream. */
     readonly resumeAfter: string | undefined;
     /** The other headers, which the endpoint receives unchanged. */
-    readonly passed: RawHeaders;
+    readonly forwardedHeaders: RawHeaders;
 }
 
 /** Why a caller's head cannot be decoded. */
@@ -57,7 +57,7 @@
 }
 
 /** What a host sends to an endpoint in the head of a call. */
-export interface SendHead {
+export interface AttemptHead {
     readonly call: CallHead;
     /** Time left until the call's deadline, in milliseconds. */
     readonly deadlineMs: number;
@@ -68,11 +68,11 @@
     readonly rank: number;
     readonly continueFrom?: Continuation | undefined;
     /** `ip:port` of the standby endpoint to which the generation is copied as it grows. */
-    readonly backUpTo?: string | undefined;
+    readonly standbyAddress?: string | undefined;
 }
 
 /** An optional number in the head of an endpoint's response. */
-export type SaidNumber =
+export type DeclaredNumber =
     | { readonly kind: "none" }
     | { readonly kind: "number"; readonly value: number }
     | { readonly kind: "malformed"; readonly text: string };
@@ -86,7 +86,7 @@
     /** Whether the response carries the endpoint's seal. */
     readonly sealed: boolean;
     /** Whether the body has a content encoding, which endpoints must not use. */
-    readonly encoded: boolean;
+    readonly hasContentEncoding: boolean;
     readonly isEventStream: boolean;
     /** Whether the endpoint closes the connection after this response. */
     readonly closes: boolean;
@@ -97,13 +97,13 @@
     /** Whether a length or chunked encoding marks the end of the body, so that a truncated one is detected. */
     readonly framed: boolean;
     /** The rate of requests per second that the endpoint accepts from all hosts together, while it declares one. */
-    readonly limitPerS: SaidNumber;
+    readonly limitPerS: DeclaredNumber;
     /** Whether the endpoint announces that it is leaving. */
     readonly leaving: boolean;
     /** Seconds after which a caller may retry; in a refusal, the seconds for which this host must send the endpoint nothing. */
-    readonly retryAfterS: SaidNumber;
+    readonly retryAfterS: DeclaredNumber;
     /** The headers that are forwarded to the caller. */
-    readonly passed: RawHeaders;
+    readonly forwardedHeaders: RawHeaders;
 }
 
 /** A decoded value, or why it could not be decoded. */
@@ -130,7 +130,7 @@
     | { readonly kind: "notMade"; readonly detail: string };
 
 /** An endpoint's response to the question of whether it is leaving. */
-export type StayAnswer =
+export type LeavingAnswer =
     | {
         readonly kind: "told";
         /** Whether the endpoint is about to exit and accepts no new work. */
@@ -154,19 +154,19 @@
     };
     decodeDeployment(text: string): Decoded<Deployment, DecodeError>;
     decodeEndpoint(id: string, text: string): Decoded<EndpointEntry, DecodeError>;
-    readCall(headers: RawHeaders): Decoded<CallHead, HeadError>;
-    writeSend(send: SendHead): string[];
-    readAnswer(headers: RawHeaders): AnswerHead;
+    decodeCallHead(headers: RawHeaders): Decoded<CallHead, HeadError>;
+    encodeAttemptHead(send: AttemptHead): string[];
+    decodeAnswerHead(headers: RawHeaders): AnswerHead;
     /** Creates the request to copy a running generation to another endpoint (`ip:port`); the generation continues meanwhile. */
     copyCall(callId: string, target: string): EndpointCall;
-    readCopy(status: number, body: string): CopyAnswer;
+    decodeCopyAnswer(status: number, body: string): CopyAnswer;
     /** Creates the request to discard a copy, for the endpoint that made it. */
     dropCopyCall(copy: string): EndpointCall;
     /** Creates the request that asks an endpoint whether it is leaving. */
-    stayCall(): EndpointCall;
-    readStay(status: number, body: string): StayAnswer;
+    leavingCall(): EndpointCall;
+    decodeLeavingAnswer(status: number, body: string): LeavingAnswer;
     /** Path at which the platform asks whether this host accepts new connections. */
     readonly readyPath: string;
     /** Encodes the headers of a response that the host itself generates; `retryAfterMs` tells the caller when to retry. */
-    writeRefusal(callId: string | undefined, retryAfterMs: number | undefined): string[];
+    encodeRefusalHead(callId: string | undefined, retryAfterMs: number | undefined): string[];
 }
--- a/packages/protocol/src/time-limit.ts
+++ b/packages/protocol/src/time-limit.ts
@@ -23,7 +23,7 @@
  * await withinTime(500, signal, limited => request(url, { signal: limited }));
  * ```
  */
-export async function withinTime<T>(
+export async function withTimeLimit<T>(
     timeoutMs: number,
     signal: AbortSignal,
     run: (limited: AbortSignal) => Promise<T>,
--- a/packages/protocol/test/clock.test.ts
+++ b/packages/protocol/test/clock.test.ts
@@ -18,7 +18,7 @@
     const at = { steady: 1_000, timeOfDay: 1_700_000_000_000, boot: 500_000 };
     let bootReadings = 0;
     const clock = createClock({
-        steady: () => at.steady,
+        monotonic: () => at.steady,
         timeOfDay: () => at.timeOfDay,
         boot: () => {
             bootReadings += 1;
@@ -58,7 +58,7 @@
         pass(1);
         t.is(clock.now(), before + seconds * 1_000 + 1);
         t.deepEqual(wakes, [{ suspendedMs: seconds * 1_000, jumpMs: seconds * 1_000 }]);
-        t.is(clock.awake(), 1_000 + BOOT_CHECK_MS + 1);
+        t.is(clock.awakeMs(), 1_000 + BOOT_CHECK_MS + 1);
     });
 }
 
--- a/packages/protocol/test/peer-mesh.test.ts
+++ b/packages/protocol/test/peer-mesh.test.ts
@@ -3,7 +3,7 @@
 import { connect, type Socket } from "node:net";
 import { createClock } from "../src/clock.js";
 import { encodeFrame, type FrameMessage, FrameReader, PEER_VERSION } from "../src/peer-codec.js";
-import { PeerMesh, type WaitingBounds } from "../src/peer-mesh.js";
+import { PeerMesh, type SendQueueBounds } from "../src/peer-mesh.js";
 
 const SECRET = "a-secret-of-these-tests";
 /** The address that the peer claims in its hello; it is never dialled. */
@@ -13,7 +13,10 @@
 const MESSAGES = 60;
 const MAX_BYTES = 2_000_000;
 
-async function startMesh(t: ExecutionContext, waiting?: WaitingBounds): Promise<{ mesh: PeerMesh; errors: string[] }> {
+async function startMesh(
+    t: ExecutionContext,
+    waiting?: SendQueueBounds,
+): Promise<{ mesh: PeerMesh; errors: string[] }> {
     const controller = new AbortController();
     t.teardown(() => controller.abort());
     const errors: string[] = [];
@@ -24,7 +27,7 @@
         onMessage: () => undefined,
         onError: (_peer, err) => void errors.push(err.kind),
         onBytes: () => undefined,
-        ...(waiting ? { waiting } : {}),
+        ...(waiting ? { sendQueues: waiting } : {}),
         clock: createClock(),
         signal: controller.signal,
     });
@@ -125,7 +128,7 @@
     sendMessages(mesh);
     const [[link, bytes]] = [...waiting] as [[number, number]];
     t.true(bytes > 0);
-    mesh.cutOff(link);
+    mesh.closeLink(link);
     await waitUntil(() => waiting.get(link) === 0);
     t.deepEqual(errors, ["slow"]);
 });
--- a/packages/protocol/test/time-limit.test.ts
+++ b/packages/protocol/test/time-limit.test.ts
@@ -5,7 +5,7 @@
 import { setFlagsFromString } from "node:v8";
 import { runInNewContext } from "node:vm";
 import { Client, request } from "undici";
-import { TimeLimitError, withinTime } from "../src/index.js";
+import { TimeLimitError, withTimeLimit } from "../src/index.js";
 
 /** A call with a limit of some milliseconds must have ended by then, however busy the machine is. */
 const TEST_TIMEOUT_MS = 10_000;
@@ -28,7 +28,7 @@
     const calls = Array.from(
         { length: 10 },
         () =>
-            t.throwsAsync(withinTime(100, signal, limited => request(url, { signal: limited })), {
+            t.throwsAsync(withTimeLimit(100, signal, limited => request(url, { signal: limited })), {
                 instanceOf: TimeLimitError,
             }),
     );
@@ -43,7 +43,11 @@
 test("a call that cannot connect ends in time", async t => {
     const dispatcher = new Client("http://127.0.0.1:1", { connect: () => undefined });
     const { signal } = new AbortController();
-    const called = withinTime(100, signal, limited => request("http://127.0.0.1:1/", { dispatcher, signal: limited }));
+    const called = withTimeLimit(
+        100,
+        signal,
+        limited => request("http://127.0.0.1:1/", { dispatcher, signal: limited }),
+    );
     const outcome = called.then(
         () => "answered",
         (err: unknown) => err instanceof TimeLimitError ? "in time" : String(err),
@@ -55,12 +59,15 @@
 test("a call ends when its caller's signal aborts or has aborted before", async t => {
     const { url, stop } = await startSilentServer();
     const own = new AbortController();
-    const ended = t.throwsAsync(withinTime(TEST_TIMEOUT_MS, own.signal, limited => request(url, { signal: limited })), {
-        message: "stopped",
-    });
+    const ended = t.throwsAsync(
+        withTimeLimit(TEST_TIMEOUT_MS, own.signal, limited => request(url, { signal: limited })),
+        {
+            message: "stopped",
+        },
+    );
     own.abort(new Error("stopped"));
     await ended;
-    await t.throwsAsync(withinTime(TEST_TIMEOUT_MS, own.signal, limited => request(url, { signal: limited })), {
+    await t.throwsAsync(withTimeLimit(TEST_TIMEOUT_MS, own.signal, limited => request(url, { signal: limited })), {
         message: "stopped",
     });
     stop();
@@ -78,7 +85,7 @@
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const url = `http://127.0.0.1:${(server.address() as AddressInfo).port}/`;
     const { signal } = new AbortController();
-    const called = withinTime(100, signal, async limited => (await request(url, { signal: limited })).statusCode);
+    const called = withTimeLimit(100, signal, async limited => (await request(url, { signal: limited })).statusCode);
     const heldUpUntil = Date.now() + 400;
     await new Promise(resolve => setImmediate(resolve));
     while (Date.now() < heldUpUntil);
--- a/packages/routes/src/cold-period.ts
+++ b/packages/routes/src/cold-period.ts
@@ -6,27 +6,29 @@
  * @module
  */
 import type { ServiceCfg } from "./deployment.js";
-import type { HallOrders } from "./evacuation.js";
-import type { Registered } from "./registry-state.js";
+import type { HallEvacuations } from "./evacuation.js";
+import type { RegisteredEndpoint } from "./registry-state.js";
 
 /**
  * Returns when an endpoint becomes warm, on the clock of the registry's times; -Infinity if it is not cold at all.
  *
  * @example
  * ```ts
- * const isCold = now < warmAt(registered, service, registry.halls);
+ * const isCold = now < warmTimeOf(registered, service, registry.halls);
  * ```
  */
-export function warmAt(
-    { entry, saidAt }: Registered,
+export function warmTimeOf(
+    { entry, announcedAt }: RegisteredEndpoint,
     service: Pick<ServiceCfg, "coldMs"> | undefined,
-    { reopened }: HallOrders,
+    { reopenedAt }: HallEvacuations,
 ): number {
     const declaredColdMs = service?.coldMs ?? 0;
-    const ownWarmAt = saidAt + (entry.coldMs ?? declaredColdMs);
-    const reopenedAt = reopened.get(entry.hall);
+    const ownWarmAt = announcedAt + (entry.coldMs ?? declaredColdMs);
+    const hallReopenedAt = reopenedAt.get(entry.hall);
     // A registration that arrived after the hall was reopened already reflects the evacuation.
-    const reopenedWarmAt = reopenedAt === undefined || saidAt > reopenedAt ? -Infinity : reopenedAt + declaredColdMs;
+    const reopenedWarmAt = hallReopenedAt === undefined || announcedAt > hallReopenedAt
+        ? -Infinity
+        : hallReopenedAt + declaredColdMs;
     const warmTime = Math.max(ownWarmAt, reopenedWarmAt);
-    return warmTime > saidAt ? warmTime : -Infinity;
+    return warmTime > announcedAt ? warmTime : -Infinity;
 }
--- a/packages/routes/src/deployment.ts
+++ b/packages/routes/src/deployment.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import type { Life } from "./incarnation.js";
+import type { IncarnationId } from "./incarnation.js";
 
 /** How often a call of a route may run, and how it is answered. */
 export const RouteKind = {
@@ -51,7 +51,7 @@
     /** Whether a stream may run again and resume after an event that the caller names. */
     readonly resumable: boolean;
     /** Regions whose endpoints may serve the route's calls; undefined if all may. */
-    readonly homes: readonly string[] | undefined;
+    readonly allowedRegions: readonly string[] | undefined;
     readonly services: readonly WeightedService[];
 }
 
@@ -105,7 +105,7 @@
     /** Priority of the workspace's calls, which overrides the route's; undefined to use the route's. */
     readonly rank: number | undefined;
     /** Regions whose endpoints may serve the workspace's calls, in addition to the route's restriction; undefined if all may. */
-    readonly homes: readonly string[] | undefined;
+    readonly allowedRegions: readonly string[] | undefined;
 }
 
 /** The complete configuration at one version. */
@@ -124,7 +124,7 @@
 export type EndpointState = typeof EndpointState[keyof typeof EndpointState];
 
 /** The registration of one incarnation of an endpoint. */
-export interface EndpointEntry extends Life {
+export interface EndpointEntry extends IncarnationId {
     /** Name of the incarnation, by which hosts refer to its running calls, its load and its measurements. */
     readonly incarnation: string;
     readonly service: string;
--- a/packages/routes/src/evacuation.ts
+++ b/packages/routes/src/evacuation.ts
@@ -9,10 +9,10 @@
  */
 
 /** The evacuated halls and those that were reopened. */
-export interface HallOrders {
+export interface HallEvacuations {
     readonly evacuated: ReadonlySet<string>;
     /** By hall, when this host learnt that its evacuation had ended. The hall's endpoints may have become cold meanwhile. */
-    readonly reopened: ReadonlyMap<string, number>;
+    readonly reopenedAt: ReadonlyMap<string, number>;
 }
 
 /** The start or the end of a hall's evacuation. */
@@ -21,7 +21,7 @@
     | { readonly kind: "reopened"; readonly hall: string };
 
 /** No hall is evacuated. */
-export const NO_EVACUATIONS: HallOrders = { evacuated: new Set(), reopened: new Map() };
+export const NO_EVACUATIONS: HallEvacuations = { evacuated: new Set(), reopenedAt: new Map() };
 
 /**
  * Applies one change; returns the same object if the hall is already in that state.
@@ -32,13 +32,13 @@
  * ```
  */
 export function applyEvacuationChange(
-    evacuations: HallOrders,
+    evacuations: HallEvacuations,
     { kind, hall }: HallEvacuationChange,
     now: number,
-): HallOrders {
+): HallEvacuations {
     if ((kind === "evacuated") === evacuations.evacuated.has(hall)) return evacuations;
     const evacuated = new Set(evacuations.evacuated);
-    const reopened = new Map(evacuations.reopened);
+    const reopened = new Map(evacuations.reopenedAt);
     if (kind === "evacuated") {
         evacuated.add(hall);
         reopened.delete(hall);
@@ -47,7 +47,7 @@
         evacuated.delete(hall);
         reopened.set(hall, now);
     }
-    return { evacuated, reopened };
+    return { evacuated, reopenedAt: reopened };
 }
 
 /**
@@ -58,7 +58,11 @@
  * replaceEvacuations(evacuations, ["hall-2"], now).evacuated.size; // 1
  * ```
  */
-export function replaceEvacuations(evacuations: HallOrders, halls: readonly string[], now: number): HallOrders {
+export function replaceEvacuations(
+    evacuations: HallEvacuations,
+    halls: readonly string[],
+    now: number,
+): HallEvacuations {
     const evacuatedHalls = new Set(halls);
     const ended = [...evacuations.evacuated].filter(hall => !evacuatedHalls.has(hall));
     const changes = [
--- a/packages/routes/src/incarnation.ts
+++ b/packages/routes/src/incarnation.ts
@@ -6,7 +6,7 @@
  */
 
 /** Identifies one incarnation of an endpoint, as the endpoint declares it. */
-export interface Life {
+export interface IncarnationId {
     /** Id of the endpoint, the same in every incarnation. */
     readonly id: string;
     /** When it started, in milliseconds on the endpoint's clock; undefined if not declared. Only compared with other values of the same endpoint. */
@@ -14,15 +14,15 @@
 }
 
 /** How one incarnation relates to another. */
-export const LifeOrder = {
+export const IncarnationOrder = {
     Earlier: "earlier",
     Same: "same",
     Later: "later",
     /** An incarnation of another endpoint. */
     Other: "other",
 } as const;
-/** One of {@link LifeOrder}. */
-export type LifeOrder = typeof LifeOrder[keyof typeof LifeOrder];
+/** One of {@link IncarnationOrder}. */
+export type IncarnationOrder = typeof IncarnationOrder[keyof typeof IncarnationOrder];
 
 /**
  * Returns the name of an incarnation, which is unique among the incarnations of all endpoints.
@@ -32,7 +32,7 @@
  * nameOfLife({ id: "i-7", born: 1700 }); // "i-7@1700"
  * ```
  */
-export function nameOfLife({ id, born }: Life): string {
+export function incarnationOf({ id, born }: IncarnationId): string {
     return born === undefined ? id : `${id}@${born}`;
 }
 
@@ -44,8 +44,8 @@
  * compareLives({ id: "i-7", born: 1700 }, { id: "i-7", born: 1600 }); // "later"
  * ```
  */
-export function compareLives(life: Life, known: Life): LifeOrder {
-    if (life.id !== known.id) return LifeOrder.Other;
-    if (life.born === undefined || known.born === undefined || life.born === known.born) return LifeOrder.Same;
-    return life.born > known.born ? LifeOrder.Later : LifeOrder.Earlier;
+export function compareIncarnations(life: IncarnationId, known: IncarnationId): IncarnationOrder {
+    if (life.id !== known.id) return IncarnationOrder.Other;
+    if (life.born === undefined || known.born === undefined || life.born === known.born) return IncarnationOrder.Same;
+    return life.born > known.born ? IncarnationOrder.Later : IncarnationOrder.Earlier;
 }
--- a/packages/routes/src/index.ts
+++ b/packages/routes/src/index.ts
@@ -1,4 +1,4 @@
-export { warmAt } from "./cold-period.js";
+export { warmTimeOf } from "./cold-period.js";
 export {
     type CallerLimits,
     type Deployment,
@@ -21,28 +21,28 @@
 export {
     applyEvacuationChange,
     type HallEvacuationChange,
-    type HallOrders,
+    type HallEvacuations,
     NO_EVACUATIONS,
     replaceEvacuations,
 } from "./evacuation.js";
-export { compareLives, type Life, LifeOrder, nameOfLife } from "./incarnation.js";
+export { compareIncarnations, type IncarnationId, incarnationOf, IncarnationOrder } from "./incarnation.js";
 export {
     type DepartedEndpoint,
     EMPTY_REGISTRY,
-    type Registered,
+    type RegisteredEndpoint,
     type Registry,
     type RegistryChange,
 } from "./registry-state.js";
 export {
-    adoptEndpoints,
+    adoptPeerEndpoints,
     applyChanges,
+    expireGracePeriods,
     LAPSE_GRACE_MS,
-    meetLife,
-    replaceAll,
-    settle,
+    learnIncarnation,
+    replaceRegistrations,
     storeAnswered,
     storeFailed,
     storeRestored,
 } from "./registry.js";
 export { pickService, RouteTable } from "./route-table.js";
-export { SETTLE_MS } from "./store-restore.js";
+export { RESTORE_GRACE_MS } from "./store-restore.js";
--- a/packages/routes/src/registry-state.ts
+++ b/packages/routes/src/registry-state.ts
@@ -4,27 +4,27 @@
  * @module
  */
 import type { EndpointEntry } from "./deployment.js";
-import { type HallEvacuationChange, type HallOrders, NO_EVACUATIONS } from "./evacuation.js";
+import { type HallEvacuationChange, type HallEvacuations, NO_EVACUATIONS } from "./evacuation.js";
 
 /** An endpoint whose registration exists or may have lapsed during an outage of the store. */
-export interface Registered {
+export interface RegisteredEndpoint {
     readonly entry: EndpointEntry;
     /** When the registration vanished, if an outage of the store may be the cause; undefined while it exists. */
     readonly lapsedAt: number | undefined;
     /** When the host learnt of the registration's current `state` and `coldMs`. */
-    readonly saidAt: number;
+    readonly announcedAt: number;
 }
 
 /** All endpoints, and the state of the store that lists them. */
 export interface Registry {
     /** By incarnation; contains only the latest incarnation of each endpoint. */
-    readonly endpoints: ReadonlyMap<string, Registered>;
+    readonly endpoints: ReadonlyMap<string, RegisteredEndpoint>;
     /** Endpoints whose registration is gone, by incarnation. They receive no new calls. */
     readonly departed: ReadonlyMap<string, DepartedEndpoint>;
     /** The latest known incarnation of each endpoint, by id. Includes departed endpoints, so that no earlier incarnation is accepted again. */
     readonly latest: ReadonlyMap<string, EndpointEntry>;
     /** Whether the last call to the store failed. */
-    readonly storeAway: boolean;
+    readonly isStoreAway: boolean;
     /** When the store last answered again after a failure; undefined if it never failed. */
     readonly storeBackAt: number | undefined;
     /** When the host last found the store restored from an older copy; undefined if it never was. */
@@ -32,7 +32,7 @@
     /** Changes that contradict later knowledge and come from such a copy; see {@link SETTLE_MS}. */
     readonly deferred: readonly RegistryChange[];
     /** The evacuated halls, which receive no new calls. */
-    readonly halls: HallOrders;
+    readonly halls: HallEvacuations;
 }
 
 /** An endpoint whose registration is gone. */
@@ -57,7 +57,7 @@
     endpoints: new Map(),
     departed: new Map(),
     latest: new Map(),
-    storeAway: false,
+    isStoreAway: false,
     storeBackAt: undefined,
     restoredAt: undefined,
     deferred: [],
--- a/packages/routes/src/registry.ts
+++ b/packages/routes/src/registry.ts
@@ -14,9 +14,9 @@
  */
 import { type EndpointEntry, EndpointState } from "./deployment.js";
 import { applyEvacuationChange, type HallEvacuationChange, replaceEvacuations } from "./evacuation.js";
-import { compareLives, type Life, LifeOrder, nameOfLife } from "./incarnation.js";
-import type { DepartedEndpoint, Registered, Registry, RegistryChange } from "./registry-state.js";
-import { reconcileContents, remainingDeferred, SETTLE_MS } from "./store-restore.js";
+import { compareIncarnations, type IncarnationId, incarnationOf, IncarnationOrder } from "./incarnation.js";
+import type { DepartedEndpoint, RegisteredEndpoint, Registry, RegistryChange } from "./registry-state.js";
+import { reconcileContents, remainingDeferred, RESTORE_GRACE_MS } from "./store-restore.js";
 
 /** After an outage of the store, live endpoints have registered again within about two seconds. */
 export const LAPSE_GRACE_MS = 2_000;
@@ -26,23 +26,23 @@
 
 /** Records that a call to the store failed. */
 export function storeFailed(registry: Registry): Registry {
-    return registry.storeAway ? registry : { ...registry, storeAway: true };
+    return registry.isStoreAway ? registry : { ...registry, isStoreAway: true };
 }
 
 /** Records that the store answered. */
 export function storeAnswered(registry: Registry, now: number): Registry {
-    return registry.storeAway ? { ...registry, storeAway: false, storeBackAt: now } : registry;
+    return registry.isStoreAway ? { ...registry, isStoreAway: false, storeBackAt: now } : registry;
 }
 
 /** Records that the store was restored from an older copy, which lacks what was written since. */
 export function storeRestored(registry: Registry, now: number): Registry {
-    return { ...registry, storeAway: false, storeBackAt: now, restoredAt: now, deferred: [] };
+    return { ...registry, isStoreAway: false, storeBackAt: now, restoredAt: now, deferred: [] };
 }
 
 /** Whether an outage of the store may be the reason why a registration vanishes now. */
 function mayHaveLapsed(registry: Registry, now: number): boolean {
-    const { storeAway, storeBackAt } = registry;
-    return storeAway || storeBackAt !== undefined && now - storeBackAt < LAPSE_GRACE_MS;
+    const { isStoreAway, storeBackAt } = registry;
+    return isStoreAway || storeBackAt !== undefined && now - storeBackAt < LAPSE_GRACE_MS;
 }
 
 /**
@@ -67,7 +67,7 @@
 /** Mutable copies of the maps that a series of changes modifies. */
 interface RegistryDraft {
     readonly registry: Registry;
-    readonly endpoints: Map<string, Registered>;
+    readonly endpoints: Map<string, RegisteredEndpoint>;
     readonly latest: Map<string, EndpointEntry>;
 }
 
@@ -83,17 +83,17 @@
 
 function addRegistration({ registry, endpoints, latest }: RegistryDraft, entry: EndpointEntry, now: number): void {
     const known = latest.get(entry.id);
-    const order = known ? compareLives(entry, known) : LifeOrder.Later;
-    if (order === LifeOrder.Earlier) return;
+    const order = known ? compareIncarnations(entry, known) : IncarnationOrder.Later;
+    if (order === IncarnationOrder.Earlier) return;
     // An entry without a start time keeps the name under which its incarnation is already known.
-    const accepted = known && order === LifeOrder.Same
+    const accepted = known && order === IncarnationOrder.Same
         ? { ...entry, incarnation: known.incarnation, born: known.born ?? entry.born }
         : entry;
-    if (known && order === LifeOrder.Later) endpoints.delete(known.incarnation);
+    if (known && order === IncarnationOrder.Later) endpoints.delete(known.incarnation);
     endpoints.set(accepted.incarnation, {
         entry: accepted,
         lapsedAt: undefined,
-        saidAt: announcedAtOf(registry, accepted, now),
+        announcedAt: announcedAtOf(registry, accepted, now),
     });
     latest.set(accepted.id, accepted);
 }
@@ -101,7 +101,7 @@
 /** When the entry's `state` and `coldMs` became known: now, unless the known registration already has both. */
 function announcedAtOf({ endpoints }: Registry, { incarnation, coldMs, state }: EndpointEntry, now: number): number {
     const known = endpoints.get(incarnation);
-    return known && known.entry.coldMs === coldMs && known.entry.state === state ? known.saidAt : now;
+    return known && known.entry.coldMs === coldMs && known.entry.state === state ? known.announcedAt : now;
 }
 
 function removeRegistration(
@@ -143,7 +143,7 @@
  * @param unreadable Ids of endpoints whose registrations exist but cannot be decoded.
  * @param evacuated Halls that are evacuated according to the store.
  */
-export function replaceAll(
+export function replaceRegistrations(
     registry: Registry,
     entries: readonly EndpointEntry[],
     unreadable: readonly string[],
@@ -166,7 +166,7 @@
  * Adopts the endpoints of a peer that can reach the store, without a grace period of their own, since the peer has already
  * decided which have lapsed. Later incarnations that this host knows are kept.
  */
-export function adoptEndpoints(
+export function adoptPeerEndpoints(
     registry: Registry,
     entries: readonly EndpointEntry[],
     evacuated: readonly string[],
@@ -193,14 +193,14 @@
  * meetLife(registry, { id: "i-7", born: 1700 }, now).endpoints.has("i-7@1700");
  * ```
  */
-export function meetLife(registry: Registry, life: Life, now: number): Registry {
+export function learnIncarnation(registry: Registry, life: IncarnationId, now: number): Registry {
     const known = registry.latest.get(life.id);
-    if (!known || compareLives(life, known) !== LifeOrder.Later) return registry;
+    if (!known || compareIncarnations(life, known) !== IncarnationOrder.Later) return registry;
     // The later incarnation has not declared yet how long it is cold.
     const entry = {
         ...known,
         ...life,
-        incarnation: nameOfLife(life),
+        incarnation: incarnationOf(life),
         state: EndpointState.Ready,
         coldMs: undefined,
     };
@@ -212,13 +212,13 @@
 }
 
 /** Drops lapsed registrations and applies deferred changes whose grace period has ended. Called even when no change arrives. */
-export function settle(registry: Registry, now: number): Registry {
-    return registry.storeAway ? registry : expireLapsed(applyDeferred(registry, now), now);
+export function expireGracePeriods(registry: Registry, now: number): Registry {
+    return registry.isStoreAway ? registry : expireLapsed(applyDeferred(registry, now), now);
 }
 
 function applyDeferred(registry: Registry, now: number): Registry {
     const { deferred, restoredAt } = registry;
-    if (deferred.length === 0 || restoredAt === undefined || now - restoredAt < SETTLE_MS) return registry;
+    if (deferred.length === 0 || restoredAt === undefined || now - restoredAt < RESTORE_GRACE_MS) return registry;
     return applyChanges(registry, deferred, now);
 }
 
--- a/packages/routes/src/route-table.ts
+++ b/packages/routes/src/route-table.ts
@@ -43,12 +43,12 @@
     }
 
     /** Whether calls need a key unless their route is public. */
-    get usesKeys(): boolean {
+    get requiresKeys(): boolean {
         return this.deployment.workspaces !== undefined;
     }
 
     /** Finds the route of the host name whose prefix is the longest match of the target's path. A port in `host` is ignored. */
-    find(host: string, target: string): Route | undefined {
+    findRoute(host: string, target: string): Route | undefined {
         const hostName = host.replace(/:\d+$/, "").toLowerCase();
         const path = target.split("?", 1)[0]!;
         return this.routesByHost.get(hostName)?.find(route => path.startsWith(route.prefix));
--- a/packages/routes/src/store-restore.ts
+++ b/packages/routes/src/store-restore.ts
@@ -1,18 +1,18 @@
 /**
  * Reconciles the registry with a store that was restored from an older copy. The copy may contain endpoints that have left since and
  * lack current evacuations. Entries that contradict what the host learnt later are deferred until their key is written again, or for
- * {@link SETTLE_MS}, by which time registrations that no endpoint renews have expired.
+ * {@link RESTORE_GRACE_MS}, by which time registrations that no endpoint renews have expired.
  *
  * The functions are pure. Times are milliseconds on any one clock.
  *
  * @module
  */
 import { type EndpointEntry, EndpointState } from "./deployment.js";
-import { compareLives, LifeOrder } from "./incarnation.js";
+import { compareIncarnations, IncarnationOrder } from "./incarnation.js";
 import type { Registry, RegistryChange } from "./registry-state.js";
 
 /** Longer than three heartbeats of an endpoint, within which every live writer has written its keys again. */
-export const SETTLE_MS = 5_000;
+export const RESTORE_GRACE_MS = 5_000;
 
 /** The endpoints and evacuations in the store. */
 export interface StoreContents {
@@ -40,7 +40,7 @@
     now: number,
 ): ReconciledContents {
     const { restoredAt } = registry;
-    if (restoredAt === undefined || now - restoredAt >= SETTLE_MS) return { entries, evacuated, deferred: [] };
+    if (restoredAt === undefined || now - restoredAt >= RESTORE_GRACE_MS) return { entries, evacuated, deferred: [] };
     const kept: EndpointEntry[] = [];
     const deferred: RegistryChange[] = [];
     for (const entry of entries) {
@@ -60,7 +60,7 @@
     restoredAt: number,
 ): EndpointEntry | undefined {
     const known = latest.get(entry.id);
-    if (!known || compareLives(entry, known) !== LifeOrder.Same) return entry;
+    if (!known || compareIncarnations(entry, known) !== IncarnationOrder.Same) return entry;
     const departure = endpoints.has(known.incarnation) ? undefined : departed.get(known.incarnation);
     if (departure && departure.at < restoredAt) return undefined;
     const isKnownLeaving = known.state === EndpointState.Leaving && entry.state !== EndpointState.Leaving;
--- a/packages/routes/test/evacuation.test.ts
+++ b/packages/routes/test/evacuation.test.ts
@@ -4,11 +4,11 @@
     EMPTY_REGISTRY,
     type EndpointEntry,
     EndpointState,
-    meetLife,
+    learnIncarnation,
     type Registry,
     type RegistryChange,
-    replaceAll,
-    warmAt,
+    replaceRegistrations,
+    warmTimeOf,
 } from "../src/index.js";
 
 const SERVICE = { coldMs: 1_000 };
@@ -37,7 +37,7 @@
 }
 
 function warmTime(registry: Registry, incarnation = "i-1@1"): number {
-    return warmAt(registry.endpoints.get(incarnation)!, SERVICE, registry.halls);
+    return warmTimeOf(registry.endpoints.get(incarnation)!, SERVICE, registry.halls);
 }
 
 const evacuated: RegistryChange = { kind: "evacuated", hall: "h1" };
@@ -56,7 +56,7 @@
 });
 
 test("a later incarnation that declares no cold time is cold for as long as its service declares", t => {
-    const later = meetLife(registryAfter([0, registered(entryOf("i-1"))]), { id: "i-1", born: 2 }, 700);
+    const later = learnIncarnation(registryAfter([0, registered(entryOf("i-1"))]), { id: "i-1", born: 2 }, 700);
     t.is(warmTime(later, "i-1@2"), 1_700);
 });
 
@@ -71,7 +71,7 @@
 
 test("a complete read replaces the evacuations and detects one that has ended", t => {
     const standing = registryAfter([0, evacuated]);
-    t.deepEqual([...replaceAll(standing, [], [], ["h2"], 9).halls.evacuated], ["h2"]);
-    t.is(replaceAll(standing, [], [], ["h2"], 9).halls.reopened.get("h1"), 9);
+    t.deepEqual([...replaceRegistrations(standing, [], [], ["h2"], 9).halls.evacuated], ["h2"]);
+    t.is(replaceRegistrations(standing, [], [], ["h2"], 9).halls.reopenedAt.get("h1"), 9);
     t.is(applyChanges(standing, [evacuated], 5).halls, standing.halls);
 });
--- a/packages/routes/test/registry.test.ts
+++ b/packages/routes/test/registry.test.ts
@@ -1,21 +1,21 @@
 import test from "ava";
 import {
-    adoptEndpoints,
+    adoptPeerEndpoints,
     applyChanges,
     type Deployment,
     EMPTY_REGISTRY,
     type EndpointEntry,
     EndpointState,
+    expireGracePeriods,
+    incarnationOf,
     LAPSE_GRACE_MS,
-    meetLife,
-    nameOfLife,
+    learnIncarnation,
     pickService,
     type Registry,
-    replaceAll,
+    replaceRegistrations,
     type Route,
     RouteKind,
     RouteTable,
-    settle,
     storeAnswered,
     storeFailed,
 } from "../src/index.js";
@@ -34,7 +34,7 @@
         attempts: 1,
         isPublic: false,
         resumable: false,
-        homes: undefined,
+        allowedRegions: undefined,
         services: [{ service: "app", weight: 1 }],
     };
 }
@@ -45,7 +45,7 @@
         routes,
         services: [{ name: "app", maxConnections: 10, coldMs: 0, coldPerS: undefined, engine: undefined }],
         limits: { headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1 },
-        workspaces: [{ name: "payroll", keys: ["k1", "k2"], rank: undefined, homes: undefined }],
+        workspaces: [{ name: "payroll", keys: ["k1", "k2"], rank: undefined, allowedRegions: undefined }],
     };
 }
 
@@ -68,13 +68,13 @@
 };
 
 for (const [what, [host, target, name]] of Object.entries(ROUTE_CASES)) {
-    test(`route: ${what}`, t => t.is(TABLE.find(host, target)?.name, name));
+    test(`route: ${what}`, t => t.is(TABLE.findRoute(host, target)?.name, name));
 }
 
 test("a key identifies its workspace", t => {
     t.is(TABLE.workspaceOf("k2")?.name, "payroll");
     t.is(TABLE.workspaceOf("k3"), undefined);
-    t.true(TABLE.usesKeys);
+    t.true(TABLE.requiresKeys);
 });
 
 test("services receive calls by weight, and none with a weight of 0", t => {
@@ -84,7 +84,7 @@
 });
 
 function entryOf(id: string, state: EndpointState = EndpointState.Ready, born?: number): EndpointEntry {
-    const incarnation = nameOfLife({ id, born });
+    const incarnation = incarnationOf({ id, born });
     return {
         incarnation,
         id,
@@ -100,7 +100,7 @@
 }
 
 function registryOf(...ids: readonly string[]): Registry {
-    return replaceAll(EMPTY_REGISTRY, ids.map(id => entryOf(id)), [], [], 0);
+    return replaceRegistrations(EMPTY_REGISTRY, ids.map(id => entryOf(id)), [], [], 0);
 }
 
 function incarnationsOf(registry: Registry): readonly string[] {
@@ -123,10 +123,10 @@
 
 test("an endpoint whose registration vanishes in an outage of the store is kept until the grace period ends", t => {
     const away = gone(storeFailed(registryOf("i-1")), "i-1", 100);
-    t.deepEqual(incarnationsOf(settle(away, 60_000)), ["i-1"]);
+    t.deepEqual(incarnationsOf(expireGracePeriods(away, 60_000)), ["i-1"]);
     const back = storeAnswered(away, 70_000);
-    t.deepEqual(incarnationsOf(settle(back, 70_000 + LAPSE_GRACE_MS - 1)), ["i-1"]);
-    t.deepEqual(incarnationsOf(settle(back, 70_000 + LAPSE_GRACE_MS)), []);
+    t.deepEqual(incarnationsOf(expireGracePeriods(back, 70_000 + LAPSE_GRACE_MS - 1)), ["i-1"]);
+    t.deepEqual(incarnationsOf(expireGracePeriods(back, 70_000 + LAPSE_GRACE_MS)), []);
 });
 
 test("an endpoint whose registration vanishes just after an outage may have lapsed in it", t => {
@@ -138,7 +138,7 @@
 test("an endpoint that lapsed and registers again stays", t => {
     const lapsed = gone(storeFailed(registryOf("i-1")), "i-1", 0);
     const again = registered(storeAnswered(lapsed, 100), entryOf("i-1"), 200);
-    t.deepEqual(incarnationsOf(settle(again, 10_000)), ["i-1"]);
+    t.deepEqual(incarnationsOf(expireGracePeriods(again, 10_000)), ["i-1"]);
 });
 
 test("an endpoint that announced that it is leaving departs at once, even in an outage", t => {
@@ -147,11 +147,14 @@
 });
 
 test("an endpoint that a complete read lacks has vanished, by the same rules", t => {
-    t.deepEqual(incarnationsOf(replaceAll(registryOf("i-1", "i-2"), [entryOf("i-2")], [], [], 5)), ["i-2"]);
-    t.deepEqual(incarnationsOf(replaceAll(storeFailed(registryOf("i-1", "i-2")), [entryOf("i-2")], [], [], 5)), [
-        "i-1",
-        "i-2",
-    ]);
+    t.deepEqual(incarnationsOf(replaceRegistrations(registryOf("i-1", "i-2"), [entryOf("i-2")], [], [], 5)), ["i-2"]);
+    t.deepEqual(
+        incarnationsOf(replaceRegistrations(storeFailed(registryOf("i-1", "i-2")), [entryOf("i-2")], [], [], 5)),
+        [
+            "i-1",
+            "i-2",
+        ],
+    );
 });
 
 /** A registry with one endpoint, in the incarnation that started at `born`. */
@@ -171,8 +174,8 @@
     const early = entryOf("i-1", EndpointState.Leaving, 1_000);
     const later = registryWithStart(2_000);
     t.deepEqual(incarnationsOf(registered(later, early)), ["i-1@2000"]);
-    t.deepEqual(incarnationsOf(replaceAll(later, [early], [], [], 5)), ["i-1@2000"]);
-    t.deepEqual(incarnationsOf(adoptEndpoints(later, [early], [], 5)), ["i-1@2000"]);
+    t.deepEqual(incarnationsOf(replaceRegistrations(later, [early], [], [], 5)), ["i-1@2000"]);
+    t.deepEqual(incarnationsOf(adoptPeerEndpoints(later, [early], [], 5)), ["i-1@2000"]);
     t.deepEqual(incarnationsOf(registered(gone(later, "i-1", 5), early, 6)), []);
 });
 
@@ -188,15 +191,15 @@
 
 test("a later incarnation is accepted before its registration; any other is ignored", t => {
     const known = registryWithStart(1_000);
-    const met = meetLife(known, { id: "i-1", born: 2_000 }, 10);
+    const met = learnIncarnation(known, { id: "i-1", born: 2_000 }, 10);
     t.deepEqual(incarnationsOf(met), ["i-1@2000"]);
     t.true(met.departed.get("i-1@1000")?.isOver);
-    for (const born of [undefined, 1_000, 2_000]) t.is(meetLife(met, { id: "i-1", born }, 11), met);
-    t.is(meetLife(met, { id: "i-2", born: 5_000 }, 11), met);
+    for (const born of [undefined, 1_000, 2_000]) t.is(learnIncarnation(met, { id: "i-1", born }, 11), met);
+    t.is(learnIncarnation(met, { id: "i-2", born: 5_000 }, 11), met);
 });
 
 test("a departed endpoint does not return without a registration, but its earlier incarnation is over", t => {
-    const met = meetLife(gone(registryWithStart(1_000), "i-1", 5), { id: "i-1", born: 2_000 }, 10);
+    const met = learnIncarnation(gone(registryWithStart(1_000), "i-1", 5), { id: "i-1", born: 2_000 }, 10);
     t.deepEqual(incarnationsOf(met), []);
     t.true(met.departed.get("i-1@1000")?.isOver);
     t.deepEqual(incarnationsOf(registered(met, entryOf("i-1", EndpointState.Ready, 1_000), 11)), []);
@@ -208,6 +211,6 @@
     const unreadable = applyChanges(away, [{ kind: "unreadable", id: "i-1" }], 5);
     t.deepEqual(incarnationsOf(unreadable), []);
     t.false(unreadable.departed.get("i-1@1000")?.isOver);
-    t.deepEqual(incarnationsOf(replaceAll(away, [], ["i-1"], [], 5)), []);
+    t.deepEqual(incarnationsOf(replaceRegistrations(away, [], ["i-1"], [], 5)), []);
     t.deepEqual(incarnationsOf(registered(unreadable, entryOf("i-1", EndpointState.Ready, 1_000), 6)), ["i-1@1000"]);
 });
--- a/packages/routes/test/store-restore.test.ts
+++ b/packages/routes/test/store-restore.test.ts
@@ -1,15 +1,15 @@
 import test from "ava";
 import {
-    adoptEndpoints,
+    adoptPeerEndpoints,
     applyChanges,
     EMPTY_REGISTRY,
     type EndpointEntry,
     EndpointState,
+    expireGracePeriods,
     type Registry,
     type RegistryChange,
-    replaceAll,
-    settle,
-    SETTLE_MS,
+    replaceRegistrations,
+    RESTORE_GRACE_MS,
     storeRestored,
 } from "../src/index.js";
 
@@ -46,7 +46,7 @@
     entries: readonly EndpointEntry[],
     evacuated: readonly string[] = [],
 ): Registry {
-    return replaceAll(storeRestored(before, RESTORED_AT), entries, [], evacuated, RESTORED_AT);
+    return replaceRegistrations(storeRestored(before, RESTORED_AT), entries, [], evacuated, RESTORED_AT);
 }
 
 function statesOf({ endpoints }: Registry): Readonly<Record<string, EndpointState>> {
@@ -69,20 +69,23 @@
 });
 
 test("an endpoint that had departed stays departed if a peer reports the restored store", t => {
-    const adopted = adoptEndpoints(storeRestored(departed, RESTORED_AT), olderCopy, [], RESTORED_AT);
+    const adopted = adoptPeerEndpoints(storeRestored(departed, RESTORED_AT), olderCopy, [], RESTORED_AT);
     t.deepEqual(statesOf(adopted), { "b@1": Ready });
 });
 
 test("an endpoint that had departed stays departed after a second read", t => {
-    t.deepEqual(statesOf(replaceAll(readRestored(departed, olderCopy), olderCopy, [], [], RESTORED_AT + 1_000)), {
-        "b@1": Ready,
-    });
+    t.deepEqual(
+        statesOf(replaceRegistrations(readRestored(departed, olderCopy), olderCopy, [], [], RESTORED_AT + 1_000)),
+        {
+            "b@1": Ready,
+        },
+    );
 });
 
 test("an endpoint that registers again is accepted as registered", t => {
     const again = applyChanges(readRestored(departed, olderCopy), [registered(entryOf("a"))], RESTORED_AT + 100);
     t.deepEqual(statesOf(again), { "a@1": Ready, "b@1": Ready });
-    t.deepEqual(statesOf(settle(again, RESTORED_AT + SETTLE_MS)), { "a@1": Ready, "b@1": Ready });
+    t.deepEqual(statesOf(expireGracePeriods(again, RESTORED_AT + RESTORE_GRACE_MS)), { "a@1": Ready, "b@1": Ready });
 });
 
 test("a later incarnation accepts new calls at once", t => {
@@ -94,20 +97,20 @@
 test("an endpoint that the copy lacks is kept for the grace period, in which it can register again", t => {
     const back = readRestored(registryAfter(registered(entryOf("a")), registered(entryOf("b"))), [entryOf("b")]);
     t.deepEqual(statesOf(back), { "a@1": Ready, "b@1": Ready });
-    t.deepEqual(statesOf(settle(back, RESTORED_AT + SETTLE_MS)), { "b@1": Ready });
+    t.deepEqual(statesOf(expireGracePeriods(back, RESTORED_AT + RESTORE_GRACE_MS)), { "b@1": Ready });
 });
 
 test("after the grace period the store's contents apply even if nothing was written again", t => {
     for (const before of [leaving, departed]) {
         const back = readRestored(before, olderCopy);
-        t.is(settle(back, RESTORED_AT + SETTLE_MS - 1), back);
-        t.deepEqual(statesOf(settle(back, RESTORED_AT + SETTLE_MS)), { "a@1": Ready, "b@1": Ready });
+        t.is(expireGracePeriods(back, RESTORED_AT + RESTORE_GRACE_MS - 1), back);
+        t.deepEqual(statesOf(expireGracePeriods(back, RESTORED_AT + RESTORE_GRACE_MS)), { "a@1": Ready, "b@1": Ready });
     }
 });
 
 test("a registration that vanishes in the grace period does not return", t => {
     const gone = applyChanges(readRestored(departed, olderCopy), [{ kind: "gone", id: "a" }], RESTORED_AT + 3_000);
-    t.deepEqual(statesOf(settle(gone, RESTORED_AT + SETTLE_MS)), { "b@1": Ready });
+    t.deepEqual(statesOf(expireGracePeriods(gone, RESTORED_AT + RESTORE_GRACE_MS)), { "b@1": Ready });
 });
 
 test("an evacuation that the copy lacks stays in force until the operator writes again or the grace period ends", t => {
@@ -116,8 +119,8 @@
     const reopened = applyChanges(back, [{ kind: "reopened", hall: "hall-2" }], RESTORED_AT + 100);
     t.deepEqual([...reopened.halls.evacuated], []);
     const again = applyChanges(back, [{ kind: "evacuated", hall: "hall-2" }], RESTORED_AT + 100);
-    t.deepEqual([...settle(again, RESTORED_AT + SETTLE_MS).halls.evacuated], ["hall-2"]);
-    t.deepEqual([...settle(back, RESTORED_AT + SETTLE_MS).halls.evacuated], []);
+    t.deepEqual([...expireGracePeriods(again, RESTORED_AT + RESTORE_GRACE_MS).halls.evacuated], ["hall-2"]);
+    t.deepEqual([...expireGracePeriods(back, RESTORED_AT + RESTORE_GRACE_MS).halls.evacuated], []);
 });
 
 test("an evacuation that the copy contains is in force", t => {
@@ -125,6 +128,9 @@
 });
 
 test("without a restore the store's contents apply at once", t => {
-    t.deepEqual(statesOf(replaceAll(departed, olderCopy, [], [], RESTORED_AT)), { "a@1": Ready, "b@1": Ready });
-    t.deepEqual([...replaceAll(evacuated, [], [], [], RESTORED_AT).halls.evacuated], []);
+    t.deepEqual(statesOf(replaceRegistrations(departed, olderCopy, [], [], RESTORED_AT)), {
+        "a@1": Ready,
+        "b@1": Ready,
+    });
+    t.deepEqual([...replaceRegistrations(evacuated, [], [], [], RESTORED_AT).halls.evacuated], []);
 });
--- a/packages/settings/src/adopt.ts
+++ b/packages/settings/src/adopt.ts
@@ -4,11 +4,11 @@
  *
  * @module
  */
-import { type Head, joinSnapshot, type PartName, type Snapshot } from "./parts.js";
+import { joinSnapshot, type PartName, type Snapshot, type SnapshotHead } from "./parts.js";
 import type { Tree } from "./tree.js";
 
 /** The version of the settings in force at a host. */
-export interface InForce {
+export interface SettingsInForce {
     readonly snapshot: Snapshot;
     readonly partTrees: Readonly<Record<PartName, Tree>>;
     readonly tree: Tree;
@@ -21,7 +21,7 @@
  * contents, which must never happen.
  */
 export type AdoptResult =
-    | { readonly kind: "adopted"; readonly inForce: InForce }
+    | { readonly kind: "adopted"; readonly inForce: SettingsInForce }
     | { readonly kind: "same" }
     | { readonly kind: "older"; readonly offered: number; readonly inForce: number }
     | { readonly kind: "fork"; readonly version: number }
@@ -36,8 +36,8 @@
  * adoptSnapshot(undefined, snapshotOf(1, tree), Date.now()).kind; // "adopted"
  * ```
  */
-export function adopt(current: InForce | undefined, offered: Snapshot, now: number): AdoptResult {
-    const rejection = judgeHead(current, offered.head);
+export function adoptSnapshot(current: SettingsInForce | undefined, offered: Snapshot, now: number): AdoptResult {
+    const rejection = checkHead(current, offered.head);
     if (rejection) return rejection;
     const known = current && { head: current.snapshot.head, partTrees: current.partTrees };
     const joinResult = joinSnapshot(offered, known);
@@ -46,9 +46,9 @@
 }
 
 /** Returns why a head is not to be followed, or undefined if it is newer than the one in force. */
-export function judgeHead(
-    current: InForce | undefined,
-    head: Head,
+export function checkHead(
+    current: SettingsInForce | undefined,
+    head: SnapshotHead,
 ): Exclude<AdoptResult, { kind: "adopted" }> | undefined {
     if (!current) return undefined;
     const active = current.snapshot.head;
@@ -65,14 +65,14 @@
  * partsToRead(inForce, head); // ["workspace-12"] after an edit of one workspace
  * ```
  */
-export function partsToRead(current: InForce | undefined, head: Head): readonly PartName[] {
+export function partsToRead(current: SettingsInForce | undefined, head: SnapshotHead): readonly PartName[] {
     return Object.keys(head.parts).filter(name => current?.snapshot.head.parts[name] !== head.parts[name]);
 }
 
 /** Builds the snapshot of a head from the parts that were just fetched and, for all others, the parts in force. */
 export function completeSnapshot(
-    current: InForce | undefined,
-    head: Head,
+    current: SettingsInForce | undefined,
+    head: SnapshotHead,
     fetched: Readonly<Record<PartName, string>>,
 ): Snapshot {
     const parts: Record<PartName, string> = {};
--- a/packages/settings/src/check.ts
+++ b/packages/settings/src/check.ts
@@ -4,9 +4,9 @@
  *
  * @module
  */
-import type { ReadTree, SettingsError } from "./ini.js";
+import type { ParsedTree, SettingsError } from "./ini.js";
 import { lineage, type NodePath, type ParsedPath, parsePath } from "./path.js";
-import { INHERITED, NodeKind, REQUIRED_KEYS } from "./schema.js";
+import { INHERITED_KEYS, NodeKind, REQUIRED_KEYS } from "./schema.js";
 import type { Tree } from "./tree.js";
 
 /**
@@ -23,7 +23,7 @@
  * checkTree(parseSettingsFiles(files)).map(describeError);
  * ```
  */
-export function checkTree(read: ReadTree): readonly SettingsError[] {
+export function checkTree(read: ParsedTree): readonly SettingsError[] {
     const { tree, positionOf } = read;
     const errors: SettingsError[] = [];
     const paths = Object.keys(tree);
@@ -48,7 +48,7 @@
     return [parsed.workspace, parsed.service, parsed.hall].filter(part => part !== undefined).length > 1;
 }
 
-function findMissingKeys({ tree, positionOf }: ReadTree, path: NodePath, parsed: ParsedPath): SettingsError[] {
+function findMissingKeys({ tree, positionOf }: ParsedTree, path: NodePath, parsed: ParsedPath): SettingsError[] {
     if (isCombination(parsed)) return [];
     const missingKeys = REQUIRED_KEYS[parsed.kind].filter(key => tree[path]?.[key] === undefined);
     return missingKeys.map(key => ({ kind: "missingKey", pos: positionOf(path, key) }));
@@ -74,7 +74,7 @@
     return [...found, ...models.map(name => ({ key: "models", target: `model/${name}` }))];
 }
 
-function findBrokenReferences({ tree, positionOf }: ReadTree, path: NodePath, parsed: ParsedPath): SettingsError[] {
+function findBrokenReferences({ tree, positionOf }: ParsedTree, path: NodePath, parsed: ParsedPath): SettingsError[] {
     const broken = referencesOf(tree, path, parsed).filter(({ target }) => tree[target] === undefined);
     return broken.map(({ key, target }) => ({
         kind: "badReference",
@@ -85,12 +85,12 @@
 }
 
 /** Finds the keys that repeat the value of the only other node that sets them, an ancestor. */
-function findDeadOverrides({ tree, positionOf }: ReadTree, path: NodePath, parsed: ParsedPath): SettingsError[] {
+function findDeadOverrides({ tree, positionOf }: ParsedTree, path: NodePath, parsed: ParsedPath): SettingsError[] {
     if (parsed.kind === NodeKind.Root) return [];
     const ancestors = lineage(parsed).filter(other => other !== path);
     const errors: SettingsError[] = [];
     for (const [key, value] of Object.entries(tree[path] ?? {})) {
-        if (!Object.hasOwn(INHERITED, key) || ancestors.length === 0) continue;
+        if (!Object.hasOwn(INHERITED_KEYS, key) || ancestors.length === 0) continue;
         // With a second ancestor or any other node that sets the key, the override may take effect in some scope.
         const settingAncestors = ancestors.filter(other => tree[other]?.[key] !== undefined);
         const ancestor = settingAncestors[0];
--- a/packages/settings/src/edit.ts
+++ b/packages/settings/src/edit.ts
@@ -58,7 +58,7 @@
  * diffTrees({ root: {} }, { root: { attempts: "2" } }); // [{ path: "root", key: "attempts", after: "2" }]
  * ```
  */
-export function diff(from: Tree, to: Tree): readonly Change[] {
+export function diffTrees(from: Tree, to: Tree): readonly Change[] {
     const changes: Change[] = [];
     const paths = [...new Set([...Object.keys(from), ...Object.keys(to)])].sort();
     for (const path of paths) {
@@ -128,7 +128,7 @@
  * reverseChanges(entry.changes); // the changes of a new edit that restores the values before
  * ```
  */
-export function reverse(changes: readonly Change[]): readonly Change[] {
+export function reverseChanges(changes: readonly Change[]): readonly Change[] {
     return changes.toReversed().map(({ path, key, before, after }) => ({ path, key, before: after, after: before }));
 }
 
@@ -140,7 +140,7 @@
  * replayAuditTrail(entries).ok; // false if the trail has a gap, or if an entry conflicts with those before it
  * ```
  */
-export function replay(trail: readonly AuditEntry[]): ApplyResult {
+export function replayAuditTrail(trail: readonly AuditEntry[]): ApplyResult {
     let tree: Tree = {};
     for (const [index, entry] of trail.entries()) {
         if (entry.version !== index + 1) {
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,4 +1,11 @@
-export { adopt, type AdoptResult, completeSnapshot, type InForce, judgeHead, partsToRead } from "./adopt.js";
+export {
+    type AdoptResult,
+    adoptSnapshot,
+    checkHead,
+    completeSnapshot,
+    partsToRead,
+    type SettingsInForce,
+} from "./adopt.js";
 export { checkTree, MAX_NODES } from "./check.js";
 export {
     applyChanges,
@@ -6,24 +13,23 @@
     type AuditEntry,
     type Authorship,
     type Change,
-    diff,
+    diffTrees,
     type EditConflict,
-    replay,
-    reverse,
+    replayAuditTrail,
+    reverseChanges,
 } from "./edit.js";
 export {
     describeError,
-    readFiles,
-    type ReadTree,
+    formatTree,
+    type ParsedTree,
+    parseSettingsFiles,
     type SettingsError,
     type SourceFile,
     type SourcePos,
-    writeTree,
 } from "./ini.js";
 export {
     encodePart,
     hashPart,
-    type Head,
     headOf,
     type JoinedSnapshot,
     joinSnapshot,
@@ -31,25 +37,26 @@
     partOf,
     type Snapshot,
     type SnapshotError,
+    type SnapshotHead,
     snapshotOf,
     splitTree,
     type VerifiedParts,
 } from "./parts.js";
 export { lineage, type NodePath, type ParsedPath, parsePath, type Scope } from "./path.js";
 export {
-    INHERITED,
+    INHERITED_KEYS,
     type InheritedKey,
     type InheritedValue,
     type KeyDef,
     keyDef,
-    NAME,
+    NODE_NAME,
     NodeKind,
     OWN_KEYS,
 } from "./schema.js";
 export {
-    EMPTY,
-    explain,
+    EMPTY_TREE,
     type ExplainedValue,
+    explainValue,
     type NamedNode,
     namedNodes,
     type Settings,
@@ -60,10 +67,10 @@
 export {
     choice,
     count,
+    decimal,
     duration,
     flag,
     list,
-    ratio,
     text,
     type ValueError,
     type ValueResult,
--- a/packages/settings/src/ini.ts
+++ b/packages/settings/src/ini.ts
@@ -36,7 +36,7 @@
     | { readonly kind: "tooLarge"; readonly pos: SourcePos; readonly found: number; readonly allowed: number };
 
 /** A parsed tree with its errors and the position of each value. */
-export interface ReadTree {
+export interface ParsedTree {
     readonly tree: Tree;
     readonly errors: readonly SettingsError[];
     readonly positionOf: (path: NodePath, key: string) => SourcePos;
@@ -53,7 +53,7 @@
  * parseSettingsFiles([{ name: "a.ini", text: "[root]\nattempts = 2\n" }]).tree; // { root: { attempts: "2" } }
  * ```
  */
-export function readFiles(files: readonly SourceFile[]): ReadTree {
+export function parseSettingsFiles(files: readonly SourceFile[]): ParsedTree {
     const tree: Record<NodePath, Record<string, string>> = {};
     const errors: SettingsError[] = [];
     const positions = new Map<string, SourcePos>();
@@ -147,7 +147,7 @@
  * formatTree({ root: { attempts: "2" } }); // "[root]\nattempts = 2\n"
  * ```
  */
-export function writeTree(tree: Tree): string {
+export function formatTree(tree: Tree): string {
     const sections = Object.keys(tree).sort().map(path => {
         const node = tree[path]!;
         const sorted = Object.fromEntries(Object.keys(node).sort().map(key => [key, node[key]!]));
--- a/packages/settings/src/parts.ts
+++ b/packages/settings/src/parts.ts
@@ -21,7 +21,7 @@
 export type PartName = string;
 
 /** Identifies one version of the tree and the contents of its parts. */
-export interface Head {
+export interface SnapshotHead {
     readonly version: number;
     /** Content hash of each part. */
     readonly parts: Readonly<Record<PartName, string>>;
@@ -93,14 +93,14 @@
  * headOf(7, { root: encodePart(part) }).hash;
  * ```
  */
-export function headOf(version: number, encoded: Readonly<Record<PartName, string>>): Head {
+export function headOf(version: number, encoded: Readonly<Record<PartName, string>>): SnapshotHead {
     const parts = Object.fromEntries(Object.keys(encoded).sort().map(name => [name, hashPart(encoded[name]!)]));
     return { version, parts, hash: shortHash(JSON.stringify(parts)) };
 }
 
 /** A complete version: its head and its encoded parts. */
 export interface Snapshot {
-    readonly head: Head;
+    readonly head: SnapshotHead;
     readonly parts: Readonly<Record<PartName, string>>;
 }
 
@@ -118,7 +118,7 @@
 
 /** Parts that were decoded and checked before, with the head that has their hashes. */
 export interface VerifiedParts {
-    readonly head: Head;
+    readonly head: SnapshotHead;
     readonly partTrees: Readonly<Record<PartName, Tree>>;
 }
 
--- a/packages/settings/src/path.ts
+++ b/packages/settings/src/path.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { NAME, NodeKind } from "./schema.js";
+import { NODE_NAME, NodeKind } from "./schema.js";
 
 /** The path of a node, as written in the header of its INI section. */
 export type NodePath = string;
@@ -44,7 +44,7 @@
     const kind = words[0] as NodeKind;
     if (!Object.values(NodeKind).includes(kind) || kind === NodeKind.Root) return undefined;
     if (!(COMBINABLE_KINDS as readonly string[]).includes(kind)) {
-        return words.length === 2 && NAME.test(words[1] ?? "") ? { kind, name: words[1]! } : undefined;
+        return words.length === 2 && NODE_NAME.test(words[1] ?? "") ? { kind, name: words[1]! } : undefined;
     }
     return parseCombination(words, kind);
 }
@@ -55,7 +55,7 @@
     for (let index = 0; index < words.length; index += 2) {
         const rank = (COMBINABLE_KINDS as readonly string[]).indexOf(words[index]!);
         const name = words[index + 1]!;
-        if (rank <= lastRank || !NAME.test(name)) return undefined;
+        if (rank <= lastRank || !NODE_NAME.test(name)) return undefined;
         names[words[index]!] = name;
         lastRank = rank;
     }
--- a/packages/settings/src/tree.ts
+++ b/packages/settings/src/tree.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { lineage, type NodePath, parsePath, type Scope } from "./path.js";
-import { INHERITED, type InheritedKey, type InheritedValue, keyDef, NodeKind } from "./schema.js";
+import { INHERITED_KEYS, type InheritedKey, type InheritedValue, keyDef, NodeKind } from "./schema.js";
 
 /** The values of one node by key, as written by an operator. */
 export type TreeNode = Readonly<Record<string, string>>;
@@ -25,7 +25,7 @@
 export type Settings = { readonly [K in InheritedKey]: InheritedValue<K> };
 
 /** A tree without nodes. */
-export const EMPTY: Tree = Object.freeze({});
+export const EMPTY_TREE: Tree = Object.freeze({});
 
 /**
  * Returns the value of a key for a scope, the node that sets it, and the values that it overrides.
@@ -35,13 +35,13 @@
  * explainValue({ root: { attempts: "2" } }, "attempts", {}).from; // "root"
  * ```
  */
-export function explain(tree: Tree, key: InheritedKey, scope: Scope): ExplainedValue {
+export function explainValue(tree: Tree, key: InheritedKey, scope: Scope): ExplainedValue {
     const setValues = lineage(scope).flatMap(path => {
         const value = tree[path]?.[key];
         return value === undefined ? [] : [{ path, value }];
     });
     const [nearest, ...overridden] = setValues;
-    if (!nearest) return { key, value: String(INHERITED[key].defaultValue), from: "default", overridden };
+    if (!nearest) return { key, value: String(INHERITED_KEYS[key].defaultValue), from: "default", overridden };
     return { key, value: nearest.value, from: nearest.path, overridden };
 }
 
@@ -56,10 +56,10 @@
  */
 export function settingsAt(tree: Tree, scope: Scope): Settings {
     const paths = lineage(scope);
-    const entries = (Object.keys(INHERITED) as InheritedKey[]).map(key => {
+    const entries = (Object.keys(INHERITED_KEYS) as InheritedKey[]).map(key => {
         const rawValue = paths.map(path => tree[path]?.[key]).find(value => value !== undefined);
-        const read = rawValue === undefined ? undefined : INHERITED[key].type.read(rawValue);
-        return [key, read?.ok ? read.value : INHERITED[key].defaultValue];
+        const read = rawValue === undefined ? undefined : INHERITED_KEYS[key].type.read(rawValue);
+        return [key, read?.ok ? read.value : INHERITED_KEYS[key].defaultValue];
     });
     return Object.fromEntries(entries) as Settings;
 }
--- a/packages/settings/src/value.ts
+++ b/packages/settings/src/value.ts
@@ -81,7 +81,7 @@
  * decimal(0, 1).read("0.95"); // { ok: true, value: 0.95 }
  * ```
  */
-export function ratio(min: number, max: number): ValueType<number> {
+export function decimal(min: number, max: number): ValueType<number> {
     const allowed = `a number from ${min} to ${max}`;
     return {
         allowed,
--- a/packages/settings/test/settings.test.ts
+++ b/packages/settings/test/settings.test.ts
@@ -1,27 +1,27 @@
 import test from "ava";
 import fc from "fast-check";
 import {
-    adopt,
+    adoptSnapshot,
     applyChanges,
     checkTree,
     describeError,
-    diff,
-    explain,
-    type InForce,
+    diffTrees,
+    explainValue,
+    formatTree,
     joinSnapshot,
     lineage,
     parsePath,
-    readFiles,
-    replay,
-    reverse,
+    parseSettingsFiles,
+    replayAuditTrail,
+    reverseChanges,
     settingsAt,
+    type SettingsInForce,
     snapshotOf,
     type Tree,
-    writeTree,
 } from "../src/index.js";
 
 function readAndCheck(text: string): { tree: Tree; errors: readonly string[] } {
-    const parsed = readFiles([{ name: "a.ini", text }]);
+    const parsed = parseSettingsFiles([{ name: "a.ini", text }]);
     return { tree: parsed.tree, errors: [...parsed.errors, ...checkTree(parsed)].map(describeError) };
 }
 
@@ -41,7 +41,7 @@
     ];
     for (const [place, value, from] of cases) {
         t.is(settingsAt(tree, place).attempts, value);
-        t.is(explain(tree, "attempts", place).from, from);
+        t.is(explainValue(tree, "attempts", place).from, from);
     }
     t.is(settingsAt({}, {}).attempts, 3, "the default");
 });
@@ -94,7 +94,7 @@
 }
 
 test("setting a key in two files is an error that names both positions", t => {
-    const found = readFiles([{ name: "a.ini", text: "[root]\nattempts = 2" }, {
+    const found = parseSettingsFiles([{ name: "a.ini", text: "[root]\nattempts = 2" }, {
         name: "b.ini",
         text: "[root]\nattempts = 3",
     }]);
@@ -111,11 +111,11 @@
 test("a tree written as INI or as a snapshot reads back as the same tree", t => {
     fc.assert(
         fc.property(anyTree, tree => {
-            const read = readFiles([{ name: "a", text: writeTree(tree) }]);
+            const read = parseSettingsFiles([{ name: "a", text: formatTree(tree) }]);
             t.deepEqual(read.errors, []);
-            t.deepEqual(diff(read.tree, tree), []);
+            t.deepEqual(diffTrees(read.tree, tree), []);
             const joined = joinSnapshot(snapshotOf(1, tree));
-            t.true(joined.ok && diff(joined.joined.tree, tree).length === 0);
+            t.true(joined.ok && diffTrees(joined.joined.tree, tree).length === 0);
         }),
         { seed: 11, numRuns: 300 },
     );
@@ -130,13 +130,13 @@
                 who: "o",
                 why: "",
                 at,
-                changes: diff(steps[at - 1] ?? {}, tree),
+                changes: diffTrees(steps[at - 1] ?? {}, tree),
             }));
-            const replayed = replay(trail);
-            t.true(replayed.ok && diff(replayed.tree, steps.at(-1)!).length === 0);
-            const back = applyChanges(steps[1]!, reverse(diff(steps[0]!, steps[1]!)));
-            t.true(back.ok && diff(back.tree, steps[0]!).length === 0);
-            t.false(replay(trail.slice(1)).ok, "a trail with a gap is refused");
+            const replayed = replayAuditTrail(trail);
+            t.true(replayed.ok && diffTrees(replayed.tree, steps.at(-1)!).length === 0);
+            const back = applyChanges(steps[1]!, reverseChanges(diffTrees(steps[0]!, steps[1]!)));
+            t.true(back.ok && diffTrees(back.tree, steps[0]!).length === 0);
+            t.false(replayAuditTrail(trail.slice(1)).ok, "a trail with a gap is refused");
         }),
         { seed: 12, numRuns: 300 },
     );
@@ -153,20 +153,21 @@
 });
 
 test("only a newer version with intact parts is adopted", t => {
-    const at = (version: number, attempts: string): InForce => {
-        const result = adopt(undefined, snapshotOf(version, { root: { attempts } }), 0);
+    const at = (version: number, attempts: string): SettingsInForce => {
+        const result = adoptSnapshot(undefined, snapshotOf(version, { root: { attempts } }), 0);
         if (result.kind !== "adopted") throw new Error(result.kind);
         return result.inForce;
     };
     const current = at(5, "2");
     const newer = snapshotOf(6, { root: { attempts: "3" } });
-    const cases: readonly (readonly [ReturnType<typeof adopt>["kind"], Parameters<typeof adopt>[1]])[] = [
-        ["adopted", newer],
-        ["same", current.snapshot],
-        ["older", snapshotOf(4, {})],
-        ["fork", snapshotOf(5, { root: { attempts: "7" } })],
-        ["corrupt", { ...newer, parts: { root: '{"root":{"attempts":"4"}}' } }],
-        ["corrupt", { ...newer, parts: {} }],
-    ];
-    for (const [kind, snapshot] of cases) t.is(adopt(current, snapshot, 0).kind, kind);
+    const cases: readonly (readonly [ReturnType<typeof adoptSnapshot>["kind"], Parameters<typeof adoptSnapshot>[1]])[] =
+        [
+            ["adopted", newer],
+            ["same", current.snapshot],
+            ["older", snapshotOf(4, {})],
+            ["fork", snapshotOf(5, { root: { attempts: "7" } })],
+            ["corrupt", { ...newer, parts: { root: '{"root":{"attempts":"4"}}' } }],
+            ["corrupt", { ...newer, parts: {} }],
+        ];
+    for (const [kind, snapshot] of cases) t.is(adoptSnapshot(current, snapshot, 0).kind, kind);
 });
--- a/packages/standins/src/bench-capacity.ts
+++ b/packages/standins/src/bench-capacity.ts
@@ -32,8 +32,8 @@
     type SchedulerEvent,
     type SchedulerState,
 } from "@drumpaddle/policy";
-import { encodeFrame, fetchLoad, type FrameMessage, FrameReader } from "@drumpaddle/protocol";
-import { adopt, type InForce, snapshotOf, type Tree } from "@drumpaddle/settings";
+import { encodeFrame, fetchEngineLoad, type FrameMessage, FrameReader } from "@drumpaddle/protocol";
+import { adoptSnapshot, type SettingsInForce, snapshotOf, type Tree } from "@drumpaddle/settings";
 import { readFileSync, writeFileSync } from "node:fs";
 import { Agent } from "undici";
 import { perHost, PLAN, PROBE_MESSAGES_PER_ROUND, renderCapacity, type Slopes } from "./capacity.js";
@@ -275,13 +275,13 @@
     const size = (snapshot: typeof first, names: readonly string[]): number =>
         JSON.stringify(snapshot.head).length + names.reduce((sum, name) => sum + snapshot.parts[name]!.length, 0);
     const adopted = heapOf(() => {
-        const result = adopt(undefined, snapshotOf(1, createPlanTree()), 0);
+        const result = adoptSnapshot(undefined, snapshotOf(1, createPlanTree()), 0);
         if (result.kind !== "adopted") throw new Error(result.kind);
         return { inForce: result.inForce, directory: new Directory(result.inForce, "hall-0") };
     });
-    const current: InForce = adopted.value.inForce;
+    const current: SettingsInForce = adopted.value.inForce;
     const adoptUs = timeUs(10, () => {
-        const result = adopt(current, next, 0);
+        const result = adoptSnapshot(current, next, 0);
         if (result.kind === "adopted") new Directory(result.inForce, "hall-0", adopted.value.directory);
     });
     return {
@@ -335,7 +335,7 @@
     const agent = new Agent();
     const { signal } = new AbortController();
     const times = 2_000;
-    const ask = (): Promise<unknown> => fetchLoad(agent, engine.url, 1_000, signal);
+    const ask = (): Promise<unknown> => fetchEngineLoad(agent, engine.url, 1_000, signal);
     for (let index = 0; index < times / 5; index++) await ask();
     const before = process.cpuUsage();
     for (let index = 0; index < times; index++) await ask();
--- a/packages/standins/src/bench-spread.ts
+++ b/packages/standins/src/bench-spread.ts
@@ -9,7 +9,7 @@
 import { randomUUID } from "node:crypto";
 import sade from "sade";
 import { request } from "undici";
-import { type Stage, startStage, waitUntil } from "./local-cluster.js";
+import { type LocalCluster, startLocalCluster, waitUntil } from "./local-cluster.js";
 
 const HALLS = ["k1", "k2", "k3"];
 
@@ -30,7 +30,7 @@
     readonly memoryMb: number;
 }
 
-async function submitEdit(cluster: Stage, index: number, value: number): Promise<number> {
+async function submitEdit(cluster: LocalCluster, index: number, value: number): Promise<number> {
     const { daemon } = cluster.hosts[index % cluster.hosts.length]!;
     const before = daemon.host.feed.directory?.tree["root"]?.["queue-limit"];
     const change = {
@@ -53,7 +53,7 @@
  * Records, for each host, the time from the operator's answer that an edit is accepted until the edit is in force
  * there.
  */
-async function measureEdit(cluster: Stage, index: number, delays: TimeHistogram): Promise<void> {
+async function measureEdit(cluster: LocalCluster, index: number, delays: TimeHistogram): Promise<void> {
     const inForceAt = new Map<string, number>();
     let listening = true;
     for (const host of cluster.hosts) {
@@ -70,7 +70,7 @@
     }
 }
 
-function totalPeerBytes(cluster: Stage): Promise<number> {
+function totalPeerBytes(cluster: LocalCluster): Promise<number> {
     return Promise.all(cluster.hosts.map(async host => {
         const text = await host.daemon.host.metrics.text();
         return Number(/drumpaddle_peer_bytes_total\{direction="out"\} (\d+)/.exec(text)?.[1] ?? 0);
@@ -79,7 +79,7 @@
 
 async function measure(hostsPerHall: number, options: Options): Promise<SpreadResult> {
     const startedAt = performance.now();
-    const cluster = await startStage({ halls: HALLS, hostsPerHall, enginesPerHall: 3, log: () => undefined });
+    const cluster = await startLocalCluster({ halls: HALLS, hostsPerHall, enginesPerHall: 3, log: () => undefined });
     const readyMs = (performance.now() - startedAt) / cluster.hosts.length;
     await waitUntil(() => cluster.hosts.every(host => host.daemon.host.peers?.live.length === hostsPerHall));
     const delays = new TimeHistogram();
--- a/packages/standins/src/demo.ts
+++ b/packages/standins/src/demo.ts
@@ -11,7 +11,7 @@
 import Table from "cli-table3";
 import { Agent } from "undici";
 import { type CallerResult, callOnce } from "./caller.js";
-import { type Stage, startStage } from "./local-cluster.js";
+import { type LocalCluster, startLocalCluster } from "./local-cluster.js";
 import { type Arrival, CLAYHOLLOW, type Deployment, generateTraffic, KIGALI } from "./traffic.js";
 
 const HALLS = ["hall-1", "hall-2", "hall-3"];
@@ -47,7 +47,7 @@
 }
 
 async function sendAtArrival(
-    cluster: Stage,
+    cluster: LocalCluster,
     arrival: Arrival,
     index: number,
     dispatcher: Agent,
@@ -66,7 +66,7 @@
 }
 
 async function runDeployment(
-    cluster: Stage,
+    cluster: LocalCluster,
     deployment: Deployment,
     dispatcher: Agent,
     onAnswer: () => void,
@@ -80,11 +80,11 @@
     return totals;
 }
 
-function countPreemptions(cluster: Stage): number {
+function countPreemptions(cluster: LocalCluster): number {
     return cluster.engines.reduce((sum, { server }) => sum + server.model.load().preemptions, 0);
 }
 
-async function runTraffic(cluster: Stage): Promise<boolean> {
+async function runTraffic(cluster: LocalCluster): Promise<boolean> {
     const dispatcher = new Agent({ connections: 500 });
     let answers = 0;
     const progress = setInterval(() => process.stderr.write(`\r${answers} answers so far `), 200);
@@ -122,7 +122,7 @@
     return failures.length === 0;
 }
 
-function printAddresses(cluster: Stage): void {
+function printAddresses(cluster: LocalCluster): void {
     for (const { name, daemon } of cluster.hosts) {
         process.stdout.write(`${name} callers ${daemon.callersUrl}\n${name} operators ${daemon.operatorsUrl}\n`);
     }
@@ -134,7 +134,7 @@
     const quiet = (): void => undefined;
     const log = serve ? (line: string): void => void process.stderr.write(`${line}\n`) : quiet;
     const ports = serve ? { ports: FIRST_PORTS } : {};
-    const cluster = await startStage({ halls: HALLS, enginesPerHall: ENGINES_PER_HALL, log, ...ports });
+    const cluster = await startLocalCluster({ halls: HALLS, enginesPerHall: ENGINES_PER_HALL, log, ...ports });
     printAddresses(cluster);
     if (!serve) {
         const whole = await runTraffic(cluster);
--- a/packages/standins/src/endpoint-mutations.ts
+++ b/packages/standins/src/endpoint-mutations.ts
@@ -44,8 +44,8 @@
     {
         promise: "what a peer tells of evacuations counts",
         file: "packages/host/src/store/deployment-feed.ts",
-        find: "adoptEndpoints(this.registry, entries, evacuated, this.deps.clock.now())",
-        replace: "adoptEndpoints(this.registry, entries, [], this.deps.clock.now())",
+        find: "adoptPeerEndpoints(this.registry, entries, evacuated, this.deps.clock.now())",
+        replace: "adoptPeerEndpoints(this.registry, entries, [], this.deps.clock.now())",
         tests: [EVACUATION],
     },
     {
@@ -86,7 +86,7 @@
     {
         promise: "lives: an earlier one that is told late changes nothing",
         file: "packages/routes/src/registry.ts",
-        find: "if (order === LifeOrder.Earlier) return;",
+        find: "if (order === IncarnationOrder.Earlier) return;",
         replace: "",
         tests: [ROUTES],
     },
--- a/packages/standins/src/engine-farm.ts
+++ b/packages/standins/src/engine-farm.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import { hashSecret, SettingsStore } from "@drumpaddle/host";
-import { createEtcd } from "@drumpaddle/protocol";
-import { diff, EMPTY } from "@drumpaddle/settings";
+import { createEtcdClient } from "@drumpaddle/protocol";
+import { diffTrees, EMPTY_TREE } from "@drumpaddle/settings";
 import { ENGINE } from "./engine-model.js";
 import { EngineServer } from "./engine-server.js";
 import { KvServer } from "./kv-server.js";
@@ -72,8 +72,14 @@
         "key/bench": { workspace: "bench", hash: hashSecret(key) },
         ...Object.fromEntries(endpoints),
     };
-    const store = new SettingsStore(createEtcd({ url: kv.url, timeoutMs: 2_000 }), "drumpaddle");
-    const edit = { editId: "bench-path", who: "bench", why: "start", at: Date.now(), changes: diff(EMPTY, tree) };
+    const store = new SettingsStore(createEtcdClient({ url: kv.url, timeoutMs: 2_000 }), "drumpaddle");
+    const edit = {
+        editId: "bench-path",
+        who: "bench",
+        why: "start",
+        at: Date.now(),
+        changes: diffTrees(EMPTY_TREE, tree),
+    };
     const written = await store.edit(edit, undefined, AbortSignal.timeout(5_000));
     if (written.kind !== "accepted") throw new Error(JSON.stringify(written));
     return {
--- a/packages/standins/src/engine-model.ts
+++ b/packages/standins/src/engine-model.ts
@@ -102,7 +102,7 @@
     }
 
     /** Whether any job is running or waiting. */
-    get busy(): boolean {
+    get hasWork(): boolean {
         return this.running.length > 0 || this.waiting.length > 0;
     }
 
--- a/packages/standins/src/engine-server.ts
+++ b/packages/standins/src/engine-server.ts
@@ -272,7 +272,7 @@
     }
 
     private scheduleIteration(): void {
-        if (this.timer !== undefined || !this.model.busy) return;
+        if (this.timer !== undefined || !this.model.hasWork) return;
         const { durationMs, emitted } = this.model.step();
         this.timer = setTimeout(() => {
             this.timer = undefined;
--- a/packages/standins/src/experiment.ts
+++ b/packages/standins/src/experiment.ts
@@ -362,7 +362,7 @@
     }
 
     private runIteration(engine: EngineSim, now: number): void {
-        engine.isRunning = engine.model.busy && !engine.isLost;
+        engine.isRunning = engine.model.hasWork && !engine.isLost;
         if (!engine.isRunning) return;
         const { durationMs, emitted, preempted } = engine.model.step();
         this.counts.preemptions += preempted.length;
--- a/packages/standins/src/local-cluster.ts
+++ b/packages/standins/src/local-cluster.ts
@@ -5,8 +5,8 @@
  * @module
  */
 import { createLog, type Daemon, hashSecret, readConfig, SettingsStore, startDaemon } from "@drumpaddle/host";
-import { createEtcd } from "@drumpaddle/protocol";
-import { diff, EMPTY, type Tree } from "@drumpaddle/settings";
+import { createEtcdClient } from "@drumpaddle/protocol";
+import { diffTrees, EMPTY_TREE, type Tree } from "@drumpaddle/settings";
 import { randomBytes } from "node:crypto";
 import { Writable } from "node:stream";
 import { EngineServer, type EngineServerCfg } from "./engine-server.js";
@@ -14,7 +14,7 @@
 import { KvServer } from "./kv-server.js";
 import { PlainServer } from "./plain-server.js";
 
-/** What {@link startStage} starts. */
+/** What {@link startLocalCluster} starts. */
 export interface LocalClusterCfg {
     readonly halls: readonly string[];
     readonly hostsPerHall?: number;
@@ -40,7 +40,7 @@
 }
 
 /** A running cluster. */
-export interface Stage {
+export interface LocalCluster {
     readonly kv: KvServer;
     readonly hostList: HostListServer;
     readonly engines: readonly { readonly hall: string; readonly server: EngineServer }[];
@@ -70,7 +70,7 @@
  * await cluster.stop();
  * ```
  */
-export async function startStage(cfg: LocalClusterCfg): Promise<Stage> {
+export async function startLocalCluster(cfg: LocalClusterCfg): Promise<LocalCluster> {
     const kv = await KvServer.start();
     const hostList = await HostListServer.start(0);
     const engines = await Promise.all(
@@ -138,8 +138,8 @@
 
 function initialSettings(
     cfg: LocalClusterCfg,
-    engines: Stage["engines"],
-    plainServices: Stage["plainServices"],
+    engines: LocalCluster["engines"],
+    plainServices: LocalCluster["plainServices"],
     keys: ReadonlyMap<string, string>,
     operatorToken: string,
 ): Tree {
@@ -175,8 +175,8 @@
 
 async function writeSettings(kvUrl: string, tree: Tree): Promise<void> {
     const signal = AbortSignal.timeout(5_000);
-    const store = new SettingsStore(createEtcd({ url: kvUrl, timeoutMs: 2_000 }), "drumpaddle");
-    const changes = diff(EMPTY, tree);
+    const store = new SettingsStore(createEtcdClient({ url: kvUrl, timeoutMs: 2_000 }), "drumpaddle");
+    const changes = diffTrees(EMPTY_TREE, tree);
     const result = await store.edit(
         { editId: "first-deployment", who: "stage", why: "start", at: Date.now(), changes },
         undefined,
--- a/packages/standins/test/bad-input.test.ts
+++ b/packages/standins/test/bad-input.test.ts
@@ -1,10 +1,10 @@
 import test, { type ExecutionContext } from "ava";
 import { connect } from "node:net";
 import { request } from "undici";
-import { type Stage, startStage } from "../src/index.js";
+import { type LocalCluster, startLocalCluster } from "../src/index.js";
 
-async function startCluster(t: ExecutionContext): Promise<Stage> {
-    const cluster = await startStage({
+async function startCluster(t: ExecutionContext): Promise<LocalCluster> {
+    const cluster = await startLocalCluster({
         halls: ["k1"],
         enginesPerHall: 1,
         engine: { speed: 20 },
@@ -21,7 +21,7 @@
     readonly ran: string | undefined;
 }
 
-async function post(cluster: Stage, body: string, headers: Record<string, string> = {}): Promise<Answer> {
+async function post(cluster: LocalCluster, body: string, headers: Record<string, string> = {}): Promise<Answer> {
     const res = await request(`${cluster.hosts[0]!.daemon.callersUrl}/v1/chat/completions`, {
         method: "POST",
         headers: { authorization: `Bearer ${cluster.keyOf("members")}`, ...headers },
@@ -93,7 +93,7 @@
 });
 
 /** Writes bytes to the callers' port and returns everything received until the connection closes. */
-function sendRaw(cluster: Stage, bytes: string): Promise<string> {
+function sendRaw(cluster: LocalCluster, bytes: string): Promise<string> {
     const { port } = new URL(cluster.hosts[0]!.daemon.callersUrl);
     return new Promise((resolve, reject) => {
         let answer = "";
--- a/packages/standins/test/engine-faults.test.ts
+++ b/packages/standins/test/engine-faults.test.ts
@@ -1,6 +1,13 @@
 import test, { type ExecutionContext } from "ava";
 import { request } from "undici";
-import { type CallerResult, callOnce, type EngineFault, type Stage, startStage, waitUntil } from "../src/index.js";
+import {
+    type CallerResult,
+    callOnce,
+    type EngineFault,
+    type LocalCluster,
+    startLocalCluster,
+    waitUntil,
+} from "../src/index.js";
 
 /**
  * Short timeouts, yet above the time to the first token on a machine that runs all tests and other work at once (1,256
@@ -8,8 +15,12 @@
  */
 const SHORT_TIMEOUTS = { "idle-timeout": "3s", "first-token-timeout": "3s", "connect-timeout": "3s" };
 
-async function startCluster(t: ExecutionContext, members: Record<string, string> = {}, engines = 2): Promise<Stage> {
-    const cluster = await startStage({
+async function startCluster(
+    t: ExecutionContext,
+    members: Record<string, string> = {},
+    engines = 2,
+): Promise<LocalCluster> {
+    const cluster = await startLocalCluster({
         halls: ["k1"],
         enginesPerHall: engines,
         engine: { speed: 20 },
@@ -19,7 +30,7 @@
     return cluster;
 }
 
-function send(cluster: Stage, headers: { tag?: string; output?: number } = {}): Promise<CallerResult> {
+function send(cluster: LocalCluster, headers: { tag?: string; output?: number } = {}): Promise<CallerResult> {
     return callOnce({
         url: cluster.hosts[0]!.daemon.callersUrl,
         key: cluster.keyOf("members"),
@@ -30,7 +41,7 @@
     });
 }
 
-function countRuns(cluster: Stage): number {
+function countRuns(cluster: LocalCluster): number {
     return cluster.engines.flatMap(({ server }) => [...server.runsByRequest.values()]).reduce(
         (sum, runs) => sum + runs,
         0,
--- a/packages/standins/test/fatal-requests.test.ts
+++ b/packages/standins/test/fatal-requests.test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { request } from "undici";
-import { type Stage, startStage, waitUntil } from "../src/index.js";
+import { type LocalCluster, startLocalCluster, waitUntil } from "../src/index.js";
 
 const FATAL_PROMPT = "a prompt that crashes its engine";
 const TRIES = 6;
@@ -9,7 +9,7 @@
 
 /** Requests a generation from a host; returns the status and the error's code. */
 async function sendPrompt(
-    cluster: Stage,
+    cluster: LocalCluster,
     hostIndex: number,
     content: string,
 ): Promise<{ readonly status: number; readonly code: string }> {
@@ -25,7 +25,12 @@
 }
 
 test("after a prompt crashed three engines, no host of the hall sends it to another", async t => {
-    const cluster = await startStage({ halls: ["k1"], hostsPerHall: 2, enginesPerHall: 3, engine: { speed: 20 } });
+    const cluster = await startLocalCluster({
+        halls: ["k1"],
+        hostsPerHall: 2,
+        enginesPerHall: 3,
+        engine: { speed: 20 },
+    });
     t.teardown(() => cluster.stop());
     await waitUntil(() => cluster.hosts.every(({ daemon }) => daemon.host.peers?.live.length === cluster.hosts.length));
     for (const { server } of cluster.engines) server.fatalPrompts.push(FATAL_PROMPT);
--- a/packages/standins/test/kv-contract.test.ts
+++ b/packages/standins/test/kv-contract.test.ts
@@ -1,4 +1,4 @@
-import { createEtcd } from "@drumpaddle/protocol";
+import { createEtcdClient } from "@drumpaddle/protocol";
 import { KvServer } from "../src/index.js";
 import { testContract } from "./kv-contract.js";
 
@@ -6,8 +6,8 @@
     const server = await KvServer.start();
     t.teardown(() => server.stop());
     return {
-        kv: createEtcd({ url: server.url, timeoutMs: 1_000 }),
-        nowhere: createEtcd({ url: "http://127.0.0.1:1", timeoutMs: 500 }),
+        kv: createEtcdClient({ url: server.url, timeoutMs: 1_000 }),
+        unreachable: createEtcdClient({ url: "http://127.0.0.1:1", timeoutMs: 500 }),
         setDown: down => server.setDown(down),
         loseReply: () => void (server.faults.loseReplies += 1),
     };
--- a/packages/standins/test/kv-contract.ts
+++ b/packages/standins/test/kv-contract.ts
@@ -11,7 +11,7 @@
 export interface KeyValueFixture {
     readonly kv: KeyValue;
     /** A client of the same kind for an address at which nothing listens. */
-    readonly nowhere: KeyValue;
+    readonly unreachable: KeyValue;
     readonly setDown: (down: boolean) => void;
     /** Makes the service apply the next write without a reply. */
     readonly loseReply: () => void;
@@ -69,7 +69,7 @@
     });
 
     test(`${name}: an unreachable service is distinguished from a lost reply`, async t => {
-        const { kv, nowhere, setDown, loseReply } = await start(t);
+        const { kv, unreachable, setDown, loseReply } = await start(t);
         loseReply();
         t.like(await kv.commit({ conditions: [], puts: [{ key: "k", value: "1" }] }, signal), {
             ok: false,
@@ -80,7 +80,7 @@
         t.like(await kv.get("k", signal), { ok: false, err: { kind: "away" } });
         setDown(false);
         t.like(await kv.get("k", signal), { value: { value: "1" } });
-        t.like(await nowhere.commit({ conditions: [], puts: [] }, signal), {
+        t.like(await unreachable.commit({ conditions: [], puts: [] }, signal), {
             ok: false,
             err: { kind: "away", tookEffect: "no" },
         });
@@ -107,10 +107,10 @@
         t.true(lease.ok);
         if (!lease.ok) return;
         await kv.commit({ conditions: [], puts: [{ key: "k", value: "1", lease: lease.value }] }, signal);
-        t.like(await kv.keepLease(lease.value, signal), { value: true });
+        t.like(await kv.keepLeaseAlive(lease.value, signal), { value: true });
         await kv.revokeLease(lease.value, signal);
         t.like(await kv.get("k", signal), { value: undefined });
-        t.like(await kv.keepLease(lease.value, signal), { value: false });
+        t.like(await kv.keepLeaseAlive(lease.value, signal), { value: false });
     });
 
     test(`${name}: a watch from the revision of a list reports every later write`, async t => {
--- a/packages/standins/test/memory.test.ts
+++ b/packages/standins/test/memory.test.ts
@@ -1,6 +1,6 @@
 import test, { type ExecutionContext } from "ava";
 import { request } from "node:http";
-import { type Stage, startStage, waitUntil } from "../src/index.js";
+import { type LocalCluster, startLocalCluster, waitUntil } from "../src/index.js";
 import { LONG_ANSWER_BYTES } from "../src/plain-server.js";
 
 /** The smallest memory that a host accepts. It leaves a budget of 6 MB, three quarters of it for bodies. */
@@ -14,8 +14,8 @@
     readonly broken: boolean;
 }
 
-async function startCluster(t: ExecutionContext, memoryMb = MEMORY_MB): Promise<Stage> {
-    const cluster = await startStage({
+async function startCluster(t: ExecutionContext, memoryMb = MEMORY_MB): Promise<LocalCluster> {
+    const cluster = await startLocalCluster({
         halls: ["k1"],
         enginesPerHall: 1,
         engine: { speed: 200 },
@@ -28,7 +28,7 @@
 
 /** Posts a body in parts, with a `content-length` if `length` is given. Reads the answer after `readAfter`. */
 function post(
-    cluster: Stage,
+    cluster: LocalCluster,
     parts: readonly string[],
     { length, readAfter = Promise.resolve(), path = "/v1/completions" }: {
         readonly length?: number;
--- a/packages/standins/test/openai.test.ts
+++ b/packages/standins/test/openai.test.ts
@@ -1,11 +1,11 @@
 import test, { type ExecutionContext } from "ava";
 import OpenAI, { APIError, AuthenticationError, BadRequestError, NotFoundError, RateLimitError } from "openai";
-import { type Stage, startStage, waitUntil } from "../src/index.js";
+import { type LocalCluster, startLocalCluster, waitUntil } from "../src/index.js";
 
 const MODEL = "summary-8b";
 
-async function startCluster(t: ExecutionContext, limits: Record<string, string> = {}): Promise<Stage> {
-    const cluster = await startStage({
+async function startCluster(t: ExecutionContext, limits: Record<string, string> = {}): Promise<LocalCluster> {
+    const cluster = await startLocalCluster({
         halls: ["k1"],
         enginesPerHall: 1,
         engine: { speed: 20 },
@@ -15,7 +15,7 @@
     return cluster;
 }
 
-function clientOf(cluster: Stage, apiKey = cluster.keyOf("members"), maxRetries = 0): OpenAI {
+function clientOf(cluster: LocalCluster, apiKey = cluster.keyOf("members"), maxRetries = 0): OpenAI {
     return new OpenAI({ baseURL: `${cluster.hosts[0]!.daemon.callersUrl}/v1`, apiKey, maxRetries });
 }
 
--- a/packages/standins/test/plain-answers.test.ts
+++ b/packages/standins/test/plain-answers.test.ts
@@ -1,10 +1,10 @@
 import test, { type ExecutionContext } from "ava";
 import { type IncomingHttpHeaders, request } from "node:http";
 import { gunzipSync } from "node:zlib";
-import { type Stage, startStage, waitUntil } from "../src/index.js";
+import { type LocalCluster, startLocalCluster, waitUntil } from "../src/index.js";
 
-async function startCluster(t: ExecutionContext): Promise<Stage> {
-    const cluster = await startStage({
+async function startCluster(t: ExecutionContext): Promise<LocalCluster> {
+    const cluster = await startLocalCluster({
         halls: ["k1"],
         enginesPerHall: 1,
         tree: { "service/desk": {} },
@@ -25,7 +25,7 @@
 /**
  * Calls the service with Node's client, since undici takes a reset for the regular end of an answer without a length.
  */
-function callDesk(cluster: Stage, method: "GET" | "POST", key?: string): Promise<Answer> {
+function callDesk(cluster: LocalCluster, method: "GET" | "POST", key?: string): Promise<Answer> {
     const headers = {
         authorization: `Bearer ${cluster.keyOf("members")}`,
         ...(key === undefined ? {} : { "idempotency-key": key }),
@@ -56,7 +56,7 @@
     });
 }
 
-async function recordedAnswer(cluster: Stage, key: string): Promise<Answer> {
+async function recordedAnswer(cluster: LocalCluster, key: string): Promise<Answer> {
     let answer = await callDesk(cluster, "POST", key);
     await waitUntil(async () => {
         answer = await callDesk(cluster, "POST", key);
@@ -65,7 +65,7 @@
     return answer;
 }
 
-function countRuns(cluster: Stage): number {
+function countRuns(cluster: LocalCluster): number {
     return [...cluster.plainServices[0]!.server.runsByCall.values()].reduce((sum, count) => sum + count, 0);
 }
 
--- a/packages/standins/test/plain.test.ts
+++ b/packages/standins/test/plain.test.ts
@@ -1,9 +1,9 @@
 import test, { type ExecutionContext } from "ava";
 import { request } from "undici";
-import { type PlainFault, type Stage, startStage } from "../src/index.js";
+import { type LocalCluster, type PlainFault, startLocalCluster } from "../src/index.js";
 
-async function startCluster(t: ExecutionContext, deskSettings: Record<string, string> = {}): Promise<Stage> {
-    const cluster = await startStage({
+async function startCluster(t: ExecutionContext, deskSettings: Record<string, string> = {}): Promise<LocalCluster> {
+    const cluster = await startLocalCluster({
         halls: ["k1"],
         hostsPerHall: 2,
         enginesPerHall: 1,
@@ -21,7 +21,7 @@
 }
 
 async function callDesk(
-    cluster: Stage,
+    cluster: LocalCluster,
     method: "GET" | "POST",
     path: string,
     headers: Record<string, string> = {},
@@ -41,7 +41,7 @@
     };
 }
 
-const countRuns = (cluster: Stage): number =>
+const countRuns = (cluster: LocalCluster): number =>
     [...cluster.plainServices[0]!.server.runsByCall.values()].reduce((sum, count) => sum + count, 0);
 
 test("a call is passed on with its method, path, query and body", async t => {
--- a/packages/standins/test/rolling.test.ts
+++ b/packages/standins/test/rolling.test.ts
@@ -1,10 +1,10 @@
 import test from "ava";
-import { type CallerResult, callOnce, type Stage, startStage, waitUntil } from "../src/index.js";
+import { type CallerResult, callOnce, type LocalCluster, startLocalCluster, waitUntil } from "../src/index.js";
 
 /**
  * Sends a request to a ready host, as the platform's load balancer does, and resends it if it was refused as not run.
  */
-async function sendBalanced(cluster: Stage, tag: string): Promise<CallerResult> {
+async function sendBalanced(cluster: LocalCluster, tag: string): Promise<CallerResult> {
     for (;;) {
         const ready = cluster.hosts.filter(host => !host.daemon.host.runs.stopping);
         const host = ready[Number(/\d+/.exec(tag)) % ready.length]!;
@@ -25,7 +25,7 @@
 const MIN_CALLS_PER_STOP = 6;
 
 test("replacing all hosts of a hall one by one under load loses no request", async t => {
-    const cluster = await startStage({
+    const cluster = await startLocalCluster({
         halls: ["k1"],
         hostsPerHall: 3,
         enginesPerHall: 2,
--- a/packages/standins/test/spread.test.ts
+++ b/packages/standins/test/spread.test.ts
@@ -1,10 +1,10 @@
 import { type Change } from "@drumpaddle/settings";
 import test, { type ExecutionContext } from "ava";
 import { request } from "undici";
-import { callOnce, type LocalClusterCfg, type Stage, startStage, waitUntil } from "../src/index.js";
+import { callOnce, type LocalCluster, type LocalClusterCfg, startLocalCluster, waitUntil } from "../src/index.js";
 
-async function startCluster(t: ExecutionContext, cfg: Partial<LocalClusterCfg> = {}): Promise<Stage> {
-    const cluster = await startStage({
+async function startCluster(t: ExecutionContext, cfg: Partial<LocalClusterCfg> = {}): Promise<LocalCluster> {
+    const cluster = await startLocalCluster({
         halls: ["k1"],
         hostsPerHall: 3,
         enginesPerHall: 1,
@@ -21,7 +21,12 @@
     readonly body: { readonly kind: string; readonly version?: number };
 }
 
-async function editAt(cluster: Stage, host: number, editId: string, changes: readonly Change[]): Promise<EditAnswer> {
+async function editAt(
+    cluster: LocalCluster,
+    host: number,
+    editId: string,
+    changes: readonly Change[],
+): Promise<EditAnswer> {
     const res = await request(`${cluster.hosts[host]!.daemon.operatorsUrl}/settings/edits`, {
         method: "POST",
         headers: { "authorization": `Bearer ${cluster.operatorToken}`, "content-type": "application/json" },
@@ -34,7 +39,7 @@
     after: string,
     before?: string,
 ): readonly Change[] => [{ path: "root", key: "attempts", after, ...(before === undefined ? {} : { before }) }];
-const settingsVersions = (cluster: Stage): readonly number[] =>
+const settingsVersions = (cluster: LocalCluster): readonly number[] =>
     cluster.hosts.map(host => host.daemon.host.feed.directory?.version ?? 0);
 
 test("an edit accepted by one host comes into force at all hosts of the hall", async t => {
