--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -6,19 +6,19 @@
 import type { Change } from "@drumpaddle/settings";
 import Table from "cli-table3";
 
-/** Exit codes of `drumpaddle`. */
+/** Exit codes of `drumpaddle`. `Unknown`: the host's answer was lost, so that the request may or may not have been applied. */
 export const Exit = { Done: 0, Failed: 1, Usage: 2, Unknown: 3 } as const;
 /** One of {@link Exit}. */
 export type Exit = typeof Exit[keyof typeof Exit];
 
-/** The result of a command: the text to print, or with `--json` the data, and the exit code. */
+/** The result of a command: its exit code, and what it prints: the text, or with `--json` the data. */
 export interface CommandResult {
     readonly exit: Exit;
     readonly text: string;
     readonly data: unknown;
 }
 
-/** Returns a result. Without `data`, `--json` prints the text as `message`. */
+/** Builds the result of a command. Without `data`, `--json` prints the text as `message`. */
 export function resultOf(exit: Exit, text: string, data: unknown = { message: text }): CommandResult {
     return { exit, text, data };
 }
@@ -56,13 +56,14 @@
     return lines.join("\n");
 }
 
+/** Formats one change. The empty key stands for the node itself. */
 function formatChange({ key, before, after }: Change): string {
     if (key === "") return after === undefined ? "- the node" : "+ the node";
     if (before === undefined) return `+ ${key} = ${after}`;
     return after === undefined ? `- ${key} = ${before}` : `~ ${key} = ${before} -> ${after}`;
 }
 
-/** Returns the message of a host's error answer. */
+/** Returns the message in the body of a host's error answer, or a general one if the body has none. */
 export function errorMessageOf(body: Record<string, unknown>): string {
     const { error } = body as { readonly error?: { readonly message?: string } };
     return error?.message ?? "the host answered with an error";
--- a/packages/host/src/endpoints/call-endpoint.ts
+++ b/packages/host/src/endpoints/call-endpoint.ts
@@ -19,7 +19,7 @@
  *
  * @example
  * ```ts
- * const { status, body } = await callEndpoint("10.0.0.9:8080", wire.stayCall(), 500, signal);
+ * const { status, body } = await callEndpoint("10.0.0.9:8080", wire.leavingCall(), 500, signal);
  * ```
  */
 export async function callEndpoint(
--- a/packages/host/src/endpoints/endpoint-notices.ts
+++ b/packages/host/src/endpoints/endpoint-notices.ts
@@ -43,7 +43,7 @@
      *
      * @example
      * ```ts
-     * notices.heard("i-7@1700", 200, wire.readAnswer(headers));
+     * notices.heard("i-7@1700", 200, wire.decodeAnswerHead(headers));
      * ```
      */
     heard(endpoint: string, status: number, head: NoticeHead): void {
--- a/packages/host/src/operators/operators.ts
+++ b/packages/host/src/operators/operators.ts
@@ -4,6 +4,7 @@
  * @module
  */
 import {
+    applicablePaths,
     type AuditEntry,
     diffTrees,
     EMPTY_TREE,
@@ -11,7 +12,6 @@
     formatTree,
     INHERITED_KEYS,
     type InheritedKey,
-    lineage,
     replayAuditTrail,
     type Tree,
 } from "@drumpaddle/settings";
@@ -133,7 +133,10 @@
                 });
             }
             const keys = key === undefined ? Object.keys(INHERITED_KEYS) as InheritedKey[] : [key as InheritedKey];
-            return { lineage: lineage(place), values: keys.map(name => explainValue(treeOf(host), name, place)) };
+            return {
+                lineage: applicablePaths(place),
+                values: keys.map(name => explainValue(treeOf(host), name, place)),
+            };
         },
     );
     app.get("/status", (req, reply) => {
--- a/packages/protocol/src/completions-api.ts
+++ b/packages/protocol/src/completions-api.ts
@@ -80,7 +80,7 @@
  *
  * @example
  * ```ts
- * factsOf(body, 4096).promptTokens; // 1024
+ * bodyFactsOf(body, 4096).promptTokens; // 1024
  * ```
  */
 export function bodyFactsOf(body: GenerationBody, bytes: number): BodyFacts {
--- a/packages/protocol/src/engine-client.ts
+++ b/packages/protocol/src/engine-client.ts
@@ -91,7 +91,7 @@
  *
  * @example
  * ```ts
- * const end = await openStream(call, sink, signal);
+ * const end = await readEngineStream(call, sink, signal);
  * if (end.kind === "refused") end.retryAfterMs;
  * ```
  */
@@ -305,7 +305,7 @@
  *
  * @example
  * ```ts
- * (await fetchLoad(agent, "http://10.0.0.5:8000", 1000, signal))?.running;
+ * (await fetchEngineLoad(agent, "http://10.0.0.5:8000", 1000, signal))?.running;
  * ```
  */
 export async function fetchEngineLoad(
--- a/packages/protocol/src/etcd.ts
+++ b/packages/protocol/src/etcd.ts
@@ -61,7 +61,7 @@
  *
  * @example
  * ```ts
- * const kv = createEtcd({ url: "http://10.0.0.1:2379", timeoutMs: 2000 });
+ * const kv = createEtcdClient({ url: "http://10.0.0.1:2379", timeoutMs: 2000 });
  * const head = await kv.get("drumpaddle/head", signal);
  * ```
  */
--- a/packages/protocol/src/host-list.ts
+++ b/packages/protocol/src/host-list.ts
@@ -34,7 +34,7 @@
  *
  * @example
  * ```ts
- * const answer = await fetchHosts("http://10.0.0.2:7000", "k1", 1000, signal);
+ * const answer = await fetchHostList("http://10.0.0.2:7000", "k1", 1000, signal);
  * ```
  */
 export async function fetchHostList(
--- a/packages/protocol/src/time-limit.ts
+++ b/packages/protocol/src/time-limit.ts
@@ -4,7 +4,10 @@
  * @module
  */
 
-/** A connection, a request and a response each take an iteration of the event loop; the fourth is spare. */
+/**
+ * Number of slices of a timer. A connection, a request and a response each take an iteration of the event loop; the fourth
+ * slice is spare.
+ */
 const TIMER_SLICES = 4;
 
 /**
@@ -20,7 +23,7 @@
  *
  * @example
  * ```ts
- * await withinTime(500, signal, limited => request(url, { signal: limited }));
+ * await withTimeLimit(500, signal, limited => request(url, { signal: limited }));
  * ```
  */
 export async function withTimeLimit<T>(
@@ -28,16 +31,16 @@
     signal: AbortSignal,
     run: (limited: AbortSignal) => Promise<T>,
 ): Promise<T> {
-    const limit = new AbortController();
-    const stopTimer = setSlicedTimer(timeoutMs, () => limit.abort(new TimeLimitError(timeoutMs)));
-    const onAbort = (): void => limit.abort(signal.reason);
-    const ended = new Promise<never>((_resolve, reject) =>
-        limit.signal.addEventListener("abort", () => reject(limit.signal.reason as Error), { once: true })
+    const controller = new AbortController();
+    const stopTimer = setSlicedTimer(timeoutMs, () => controller.abort(new TimeLimitError(timeoutMs)));
+    const onAbort = (): void => controller.abort(signal.reason);
+    const rejectedOnAbort = new Promise<never>((_resolve, reject) =>
+        controller.signal.addEventListener("abort", () => reject(controller.signal.reason as Error), { once: true })
     );
     if (signal.aborted) onAbort();
     else signal.addEventListener("abort", onAbort, { once: true });
     try {
-        return await Promise.race([run(limit.signal), ended]);
+        return await Promise.race([run(controller.signal), rejectedOnAbort]);
     }
     finally {
         stopTimer();
--- a/packages/routes/src/incarnation.ts
+++ b/packages/routes/src/incarnation.ts
@@ -29,7 +29,7 @@
  *
  * @example
  * ```ts
- * nameOfLife({ id: "i-7", born: 1700 }); // "i-7@1700"
+ * incarnationOf({ id: "i-7", born: 1700 }); // "i-7@1700"
  * ```
  */
 export function incarnationOf({ id, born }: IncarnationId): string {
@@ -37,15 +37,15 @@
 }
 
 /**
- * Compares an incarnation with a known one. If either does not declare its start time, only the ids are compared.
+ * Compares a given incarnation with a known one. If either does not declare its start time, only the ids are compared.
  *
  * @example
  * ```ts
- * compareLives({ id: "i-7", born: 1700 }, { id: "i-7", born: 1600 }); // "later"
+ * compareIncarnations({ id: "i-7", born: 1700 }, { id: "i-7", born: 1600 }); // "later"
  * ```
  */
-export function compareIncarnations(life: IncarnationId, known: IncarnationId): IncarnationOrder {
-    if (life.id !== known.id) return IncarnationOrder.Other;
-    if (life.born === undefined || known.born === undefined || life.born === known.born) return IncarnationOrder.Same;
-    return life.born > known.born ? IncarnationOrder.Later : IncarnationOrder.Earlier;
+export function compareIncarnations(given: IncarnationId, known: IncarnationId): IncarnationOrder {
+    if (given.id !== known.id) return IncarnationOrder.Other;
+    if (given.born === undefined || known.born === undefined || given.born === known.born) return IncarnationOrder.Same;
+    return given.born > known.born ? IncarnationOrder.Later : IncarnationOrder.Earlier;
 }
--- a/packages/routes/src/registry.ts
+++ b/packages/routes/src/registry.ts
@@ -193,21 +193,21 @@
  * meetLife(registry, { id: "i-7", born: 1700 }, now).endpoints.has("i-7@1700");
  * ```
  */
-export function learnIncarnation(registry: Registry, life: IncarnationId, now: number): Registry {
-    const known = registry.latest.get(life.id);
-    if (!known || compareIncarnations(life, known) !== IncarnationOrder.Later) return registry;
+export function learnIncarnation(registry: Registry, incarnationId: IncarnationId, now: number): Registry {
+    const known = registry.latest.get(incarnationId.id);
+    if (!known || compareIncarnations(incarnationId, known) !== IncarnationOrder.Later) return registry;
     // The later incarnation has not declared yet how long it is cold.
     const entry = {
         ...known,
-        ...life,
-        incarnation: incarnationOf(life),
+        ...incarnationId,
+        incarnation: incarnationOf(incarnationId),
         state: EndpointState.Ready,
         coldMs: undefined,
     };
     const draft = draftOf(registry);
     // A departed endpoint is not registered again; the host only learns that its earlier incarnation is over.
     if (draft.endpoints.has(known.incarnation)) addRegistration(draft, entry, now);
-    else draft.latest.set(life.id, entry);
+    else draft.latest.set(incarnationId.id, entry);
     return withEndpoints(registry, draft, now);
 }
 
--- a/packages/settings/src/adopt.ts
+++ b/packages/settings/src/adopt.ts
@@ -45,20 +45,23 @@
     return { kind: "adopted", inForce: { snapshot: offered, ...joinResult.joined, since: now } };
 }
 
-/** Returns why a head is not to be followed, or undefined if it is newer than the one in force. */
+/**
+ * Returns why a version with this head is not adopted; undefined if it is newer than the one in force, or if none is in
+ * force.
+ */
 export function checkHead(
     current: SettingsInForce | undefined,
     head: SnapshotHead,
 ): Exclude<AdoptResult, { kind: "adopted" }> | undefined {
     if (!current) return undefined;
-    const active = current.snapshot.head;
-    if (head.version < active.version) return { kind: "older", offered: head.version, inForce: active.version };
-    if (head.version > active.version) return undefined;
-    return head.hash === active.hash ? { kind: "same" } : { kind: "fork", version: head.version };
+    const inForce = current.snapshot.head;
+    if (head.version < inForce.version) return { kind: "older", offered: head.version, inForce: inForce.version };
+    if (head.version > inForce.version) return undefined;
+    return head.hash === inForce.hash ? { kind: "same" } : { kind: "fork", version: head.version };
 }
 
 /**
- * Returns the names of the parts whose contents differ from those in force, so that they have to be read.
+ * Returns the names of the parts whose contents differ from those in force, which must therefore be fetched.
  *
  * @example
  * ```ts
--- a/packages/settings/src/check.ts
+++ b/packages/settings/src/check.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { ParsedTree, SettingsError } from "./ini.js";
-import { lineage, type NodePath, type ParsedPath, parsePath } from "./path.js";
+import { applicablePaths, type NodePath, type ParsedPath, parsePath } from "./path.js";
 import { INHERITED_KEYS, NodeKind, REQUIRED_KEYS } from "./schema.js";
 import type { Tree } from "./tree.js";
 
@@ -87,7 +87,7 @@
 /** Finds the keys that repeat the value of the only other node that sets them, an ancestor. */
 function findDeadOverrides({ tree, positionOf }: ParsedTree, path: NodePath, parsed: ParsedPath): SettingsError[] {
     if (parsed.kind === NodeKind.Root) return [];
-    const ancestors = lineage(parsed).filter(other => other !== path);
+    const ancestors = applicablePaths(parsed).filter(other => other !== path);
     const errors: SettingsError[] = [];
     for (const [key, value] of Object.entries(tree[path] ?? {})) {
         if (!Object.hasOwn(INHERITED_KEYS, key) || ancestors.length === 0) continue;
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -42,7 +42,7 @@
     splitTree,
     type VerifiedParts,
 } from "./parts.js";
-export { lineage, type NodePath, type ParsedPath, parsePath, type Scope } from "./path.js";
+export { applicablePaths, type NodePath, type ParsedPath, parsePath, type Scope } from "./path.js";
 export {
     INHERITED_KEYS,
     type InheritedKey,
--- a/packages/settings/src/ini.ts
+++ b/packages/settings/src/ini.ts
@@ -31,7 +31,9 @@
     | { readonly kind: "twice"; readonly pos: SourcePos; readonly first: SourcePos }
     | { readonly kind: "missingKey"; readonly pos: SourcePos }
     | { readonly kind: "badReference"; readonly pos: SourcePos; readonly found: string; readonly allowed: string }
+    /** A node sets the value that the node `same` already gives it. */
     | { readonly kind: "deadOverride"; readonly pos: SourcePos; readonly same: NodePath }
+    /** No operator would be left who may edit the settings. */
     | { readonly kind: "lockout"; readonly pos: SourcePos }
     | { readonly kind: "tooLarge"; readonly pos: SourcePos; readonly found: number; readonly allowed: number };
 
@@ -46,7 +48,7 @@
     + "workspace/W/service/S/hall/H, or model/M, endpoint/E, key/K, operator/O";
 
 /**
- * Parses settings files into one tree. All errors are collected. A value with an error is left out of the tree.
+ * Parses settings files into one tree. All errors are collected. The tree omits values with an error.
  *
  * @example
  * ```ts
@@ -68,14 +70,14 @@
     return { tree, errors, positionOf };
 }
 
-/** What the sections parsed so far have added up to. `positions` has the keys `PATH\nKEY`. */
-interface ReadState {
+/** Accumulates the results of the sections parsed so far. `positions` has the keys `PATH\nKEY`. */
+interface ParseState {
     readonly tree: Record<NodePath, Record<string, string>>;
     readonly errors: SettingsError[];
     readonly positions: Map<string, SourcePos>;
 }
 
-function readSection(path: string, values: TreeNode, positionOf: (key: string) => SourcePos, state: ReadState): void {
+function readSection(path: string, values: TreeNode, positionOf: (key: string) => SourcePos, state: ParseState): void {
     const parsed = parsePath(path);
     if (!parsed) {
         state.errors.push({ kind: "badSection", pos: positionOf(""), allowed: SECTION_ALLOWED });
@@ -114,19 +116,19 @@
 function parseSections(source: string): readonly (readonly [string, TreeNode])[] {
     const escaped = source.replace(/^(\s*\[[^\]]*\])/gm, header => header.replaceAll(".", "\\."));
     const parsed = parse(escaped, { bracketedArray: false }) as Record<string, unknown>;
-    const found: (readonly [string, TreeNode])[] = [];
+    const sections: (readonly [string, TreeNode])[] = [];
     const keysOutsideSections: Record<string, string> = {};
     for (const [name, value] of Object.entries(parsed)) {
         if (typeof value !== "object" || value === null) keysOutsideSections[name] = String(value);
         else {
             const node = Object.entries(value).map(([key, rawValue]) => [key, String(rawValue)] as const);
-            found.push([name, Object.fromEntries(node)]);
+            sections.push([name, Object.fromEntries(node)]);
         }
     }
-    return Object.keys(keysOutsideSections).length === 0 ? found : [["", keysOutsideSections], ...found];
+    return Object.keys(keysOutsideSections).length === 0 ? sections : [["", keysOutsideSections], ...sections];
 }
 
-/** Returns a function that looks up the line of a section's key, because the INI library does not tell lines. */
+/** Returns a function that looks up the line of a section's key, because the INI library does not report line numbers. */
 function indexLines(file: SourceFile): (section: string, key: string) => SourcePos {
     const lines = new Map<string, number>();
     let section = "";
--- a/packages/settings/src/parts.ts
+++ b/packages/settings/src/parts.ts
@@ -11,10 +11,10 @@
 import type { Tree } from "./tree.js";
 
 /**
- * The number of parts that workspaces are spread over, and likewise keys. With 3,200 workspaces a part holds 50 on
- * average.
+ * The number of parts over which all workspaces are spread by a hash; all keys are spread over as many parts of their own. With
+ * 3,200 workspaces a part holds 50 on average.
  */
-export const WORKSPACE_PARTS = 64;
+export const PARTS_PER_HASHED_KIND = 64;
 const HASH_LENGTH = 16;
 
 /** Name of a part, such as `root` or `workspace-07`. */
@@ -35,7 +35,7 @@
 
 /**
  * Returns the part that a node is stored in. Each kind of node has one part, except workspaces (with their
- * combinations) and keys, which are spread by a hash of their name.
+ * combinations) and keys, which are spread by a hash of their name. An invalid path belongs to the part `root`.
  *
  * @example
  * ```ts
@@ -46,7 +46,7 @@
     const parsed = parsePath(path);
     if (parsed?.kind !== "workspace" && parsed?.kind !== "key") return parsed?.kind ?? "root";
     const name = parsed.workspace ?? parsed.name ?? "";
-    const slot = createHash("sha256").update(name).digest().readUInt16BE(0) % WORKSPACE_PARTS;
+    const slot = createHash("sha256").update(name).digest().readUInt16BE(0) % PARTS_PER_HASHED_KIND;
     return `${parsed.kind}-${String(slot).padStart(2, "0")}`;
 }
 
--- a/packages/settings/src/path.ts
+++ b/packages/settings/src/path.ts
@@ -69,10 +69,10 @@
  *
  * @example
  * ```ts
- * lineage({ workspace: "payroll", hall: "k1" }); // ["workspace/payroll/hall/k1", "workspace/payroll", "hall/k1", "root"]
+ * applicablePaths({ workspace: "payroll", hall: "k1" }); // ["workspace/payroll/hall/k1", "workspace/payroll", "hall/k1", "root"]
  * ```
  */
-export function lineage(scope: Scope): readonly NodePath[] {
+export function applicablePaths(scope: Scope): readonly NodePath[] {
     const { workspace, service, hall } = scope;
     const w = workspace === undefined ? undefined : `workspace/${workspace}`;
     const s = service === undefined ? undefined : `service/${service}`;
--- a/packages/settings/src/tree.ts
+++ b/packages/settings/src/tree.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { lineage, type NodePath, parsePath, type Scope } from "./path.js";
+import { applicablePaths, type NodePath, parsePath, type Scope } from "./path.js";
 import { INHERITED_KEYS, type InheritedKey, type InheritedValue, keyDef, NodeKind } from "./schema.js";
 
 /** The values of one node by key, as written by an operator. */
@@ -11,11 +11,11 @@
 /** All nodes by path. Values are kept as text, so that a difference between two trees shows what an operator typed. */
 export type Tree = Readonly<Record<NodePath, TreeNode>>;
 
-/** The value that applies to a scope, with the node that sets it. */
+/** The value of a key that applies to a scope, with the node that sets it. */
 export interface ExplainedValue {
     readonly key: string;
     readonly value: string;
-    /** Path of the node that sets the value, or `default`. */
+    /** Path of the node that sets the value, or `default` if no node sets it. */
     readonly from: NodePath;
     /** The nodes of lower precedence that set the key too, in order of precedence. */
     readonly overridden: readonly { readonly path: NodePath; readonly value: string }[];
@@ -36,18 +36,18 @@
  * ```
  */
 export function explainValue(tree: Tree, key: InheritedKey, scope: Scope): ExplainedValue {
-    const setValues = lineage(scope).flatMap(path => {
+    const candidates = applicablePaths(scope).flatMap(path => {
         const value = tree[path]?.[key];
         return value === undefined ? [] : [{ path, value }];
     });
-    const [nearest, ...overridden] = setValues;
+    const [nearest, ...overridden] = candidates;
     if (!nearest) return { key, value: String(INHERITED_KEYS[key].defaultValue), from: "default", overridden };
     return { key, value: nearest.value, from: nearest.path, overridden };
 }
 
 /**
- * Returns all inherited settings for a scope. The tree is expected to be checked: an invalid value is replaced by the
- * default of its key.
+ * Returns all inherited settings for a scope. An invalid value, which a checked tree does not have, is
+ * replaced by the default of its key.
  *
  * @example
  * ```ts
@@ -55,7 +55,7 @@
  * ```
  */
 export function settingsAt(tree: Tree, scope: Scope): Settings {
-    const paths = lineage(scope);
+    const paths = applicablePaths(scope);
     const entries = (Object.keys(INHERITED_KEYS) as InheritedKey[]).map(key => {
         const rawValue = paths.map(path => tree[path]?.[key]).find(value => value !== undefined);
         const read = rawValue === undefined ? undefined : INHERITED_KEYS[key].type.read(rawValue);
@@ -66,6 +66,7 @@
 
 /** A node with its name and its parsed values. */
 export interface NamedNode {
+    /** The name that the path contains, such as `e1` in `endpoint/e1`. */
     readonly name: string;
     readonly values: Readonly<Record<string, unknown>>;
 }
@@ -80,16 +81,16 @@
  * ```
  */
 export function namedNodes(tree: Tree, kind: NodeKind): readonly NamedNode[] {
-    const found: NamedNode[] = [];
+    const nodes: NamedNode[] = [];
     for (const [path, node] of Object.entries(tree)) {
         // Skips most nodes without the cost of parsing their paths.
         if (!path.startsWith(kind)) continue;
         const parsed = parsePath(path);
         if (parsed?.kind !== kind) continue;
         const name = parsed.name ?? parsed.workspace ?? parsed.service ?? parsed.hall ?? NodeKind.Root;
-        found.push({ name, values: readValues(kind, node) });
+        nodes.push({ name, values: readValues(kind, node) });
     }
-    return found;
+    return nodes;
 }
 
 function readValues(kind: NodeKind, node: TreeNode): Readonly<Record<string, unknown>> {
--- a/packages/settings/src/value.ts
+++ b/packages/settings/src/value.ts
@@ -17,11 +17,12 @@
     readonly err: ValueError;
 };
 
-/** A type of value, with the function that parses it. */
+/** A type of setting value. */
 export interface ValueType<T> {
     /** Describes the valid values, for error messages and the reference of keys. */
     readonly allowed: string;
-    readonly read: (text: string) => ValueResult<T>;
+    /** Parses and checks a value as an operator wrote it. */
+    readonly read: (rawValue: string) => ValueResult<T>;
 }
 
 const MS_PER_UNIT = { ms: 1, s: 1_000, m: 60_000, h: 3_600_000, d: 86_400_000 } as const;
@@ -43,11 +44,11 @@
     const allowed = `a duration from ${min}ms to ${max}ms, with a unit: ms, s, m, h or d`;
     return {
         allowed,
-        read: text => {
-            const match = /^(\d+(?:\.\d+)?)(ms|s|m|h|d)$/.exec(text);
-            if (!match) return invalid(text, allowed);
+        read: rawValue => {
+            const match = /^(\d+(?:\.\d+)?)(ms|s|m|h|d)$/.exec(rawValue);
+            if (!match) return invalid(rawValue, allowed);
             const value = Number(match[1]) * MS_PER_UNIT[match[2] as keyof typeof MS_PER_UNIT];
-            return value >= min && value <= max ? { ok: true, value } : invalid(text, allowed);
+            return value >= min && value <= max ? { ok: true, value } : invalid(rawValue, allowed);
         },
     };
 }
@@ -64,11 +65,11 @@
     const allowed = `a whole number from ${min} to ${max}, k and M allowed`;
     return {
         allowed,
-        read: text => {
-            const match = /^(\d+)(k|M)?$/.exec(text);
-            if (!match) return invalid(text, allowed);
+        read: rawValue => {
+            const match = /^(\d+)(k|M)?$/.exec(rawValue);
+            if (!match) return invalid(rawValue, allowed);
             const value = Number(match[1]) * COUNT_PER_SUFFIX[(match[2] ?? "") as keyof typeof COUNT_PER_SUFFIX];
-            return value >= min && value <= max ? { ok: true, value } : invalid(text, allowed);
+            return value >= min && value <= max ? { ok: true, value } : invalid(rawValue, allowed);
         },
     };
 }
@@ -85,10 +86,10 @@
     const allowed = `a number from ${min} to ${max}`;
     return {
         allowed,
-        read: text => {
-            const value = Number(text);
-            const isDecimal = /^\d+(\.\d+)?$/.test(text);
-            return isDecimal && value >= min && value <= max ? { ok: true, value } : invalid(text, allowed);
+        read: rawValue => {
+            const value = Number(rawValue);
+            const isDecimal = /^\d+(\.\d+)?$/.test(rawValue);
+            return isDecimal && value >= min && value <= max ? { ok: true, value } : invalid(rawValue, allowed);
         },
     };
 }
@@ -96,8 +97,10 @@
 /** `true` or `false`. */
 export const flag: ValueType<boolean> = {
     allowed: "true or false",
-    read: text =>
-        text === "true" || text === "false" ? { ok: true, value: text === "true" } : invalid(text, "true or false"),
+    read: rawValue =>
+        rawValue === "true" || rawValue === "false"
+            ? { ok: true, value: rawValue === "true" }
+            : invalid(rawValue, "true or false"),
 };
 
 /**
@@ -109,7 +112,10 @@
  * ```
  */
 export function text(pattern: RegExp, allowed: string): ValueType<string> {
-    return { allowed, read: found => pattern.test(found) ? { ok: true, value: found } : invalid(found, allowed) };
+    return {
+        allowed,
+        read: rawValue => pattern.test(rawValue) ? { ok: true, value: rawValue } : invalid(rawValue, allowed),
+    };
 }
 
 /**
@@ -122,7 +128,10 @@
  */
 export function choice<const W extends readonly string[]>(words: W): ValueType<W[number]> {
     const allowed = `one of ${words.join(", ")}`;
-    return { allowed, read: found => words.includes(found) ? { ok: true, value: found } : invalid(found, allowed) };
+    return {
+        allowed,
+        read: rawValue => words.includes(rawValue) ? { ok: true, value: rawValue } : invalid(rawValue, allowed),
+    };
 }
 
 /**
@@ -137,9 +146,9 @@
     const allowed = `a comma-separated list of ${itemsDescription}`;
     return {
         allowed,
-        read: found => {
-            const items = found.split(",").map(item => item.trim()).filter(item => item.length > 0);
-            return items.every(item => pattern.test(item)) ? { ok: true, value: items } : invalid(found, allowed);
+        read: rawValue => {
+            const items = rawValue.split(",").map(item => item.trim()).filter(item => item.length > 0);
+            return items.every(item => pattern.test(item)) ? { ok: true, value: items } : invalid(rawValue, allowed);
         },
     };
 }
--- a/packages/settings/test/settings.test.ts
+++ b/packages/settings/test/settings.test.ts
@@ -2,6 +2,7 @@
 import fc from "fast-check";
 import {
     adoptSnapshot,
+    applicablePaths,
     applyChanges,
     checkTree,
     describeError,
@@ -9,7 +10,6 @@
     explainValue,
     formatTree,
     joinSnapshot,
-    lineage,
     parsePath,
     parseSettingsFiles,
     replayAuditTrail,
@@ -66,7 +66,7 @@
     ) {
         t.is(parsePath(path), undefined, path);
     }
-    t.is(lineage({ workspace: "w", service: "s", hall: "h" }).length, 8);
+    t.is(applicablePaths({ workspace: "w", service: "s", hall: "h" }).length, 8);
 });
 
 const INVALID_FILES: readonly (readonly [string, RegExp])[] = [
--- a/packages/standins/src/bench-quarantine.ts
+++ b/packages/standins/src/bench-quarantine.ts
@@ -22,19 +22,27 @@
     { name: "three guilty, racks", fatalRequests: 3, crashes: 2, rackFailures: 3 },
     { name: "none guilty, racks", fatalRequests: 0, crashes: 6, rackFailures: 6 },
 ] as const;
+/** Simulated duration of a day. */
 const DAY_SECONDS = 60;
 
-function sum(results: readonly QuarantineResult[], of: (result: QuarantineResult) => number): number {
-    return results.reduce((all, result) => all + of(result), 0);
+function sum(results: readonly QuarantineResult[], countOf: (result: QuarantineResult) => number): number {
+    return results.reduce((total, result) => total + countOf(result), 0);
 }
 
+/** Formats a quantile, without values that are NaN; `-` if there is none. */
 function quantile(values: readonly number[], share: number): string {
     const sorted = values.filter(value => !Number.isNaN(value)).sort((a, b) => a - b);
     return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))]?.toFixed(0) ?? "-";
 }
 
-function row(hosts: number, kind: typeof DAY_KINDS[number], isGuarded: boolean, days: number): readonly string[] {
-    const { name, ...more } = kind;
+/** Simulates days of one kind, and returns their row of the table. */
+function simulateRow(
+    hosts: number,
+    kind: typeof DAY_KINDS[number],
+    isQuarantineOn: boolean,
+    days: number,
+): readonly string[] {
+    const { name, ...dayCfg } = kind;
     const endpoints = Math.max(MIN_ENDPOINTS, Math.round(hosts * ENDPOINTS_PER_HOST));
     const results = Array.from({ length: days }, (_, index): QuarantineResult => {
         const day: QuarantineDayCfg = {
@@ -42,29 +50,29 @@
             hosts,
             endpoints,
             seconds: DAY_SECONDS,
-            isQuarantineOn: isGuarded,
-            ...more,
+            isQuarantineOn,
+            ...dayCfg,
         };
         return simulateQuarantineDay(day);
     });
     const fatalCount = kind.fatalRequests * days;
-    const innocent = sum(results, result => result.harmlessRequests);
-    const share = (count: number): string => (10_000 * count / innocent).toFixed(2);
-    const news = results.flatMap(({ propagationMs: newsMs }) => newsMs);
+    const harmlessCount = sum(results, result => result.harmlessRequests);
+    const per10000 = (count: number): string => (10_000 * count / harmlessCount).toFixed(2);
+    const propagationTimes = results.flatMap(({ propagationMs }) => propagationMs);
     return [
         String(hosts),
         name,
-        isGuarded ? "with" : "without",
+        isQuarantineOn ? "with" : "without",
         fatalCount === 0 ? "-" : (sum(results, ({ crashesByFatal }) => crashesByFatal) / fatalCount).toFixed(1),
         fatalCount === 0
             ? "-"
             : (sum(results, ({ runsAfterThreshold }) => runsAfterThreshold) / fatalCount).toFixed(2),
-        share(sum(results, ({ lostStreams: lost }) => lost)),
-        share(sum(results, ({ harmlessQuarantined: quarantined }) => quarantined)),
-        share(sum(results, ({ harmlessDeferred: askedBack }) => askedBack)),
-        isGuarded ? quantile(news, 0.5) : "-",
-        isGuarded ? quantile(news, 1) : "-",
-        isGuarded ? String(news.filter(Number.isNaN).length) : "-",
+        per10000(sum(results, ({ lostStreams }) => lostStreams)),
+        per10000(sum(results, ({ harmlessQuarantined }) => harmlessQuarantined)),
+        per10000(sum(results, ({ harmlessDeferred }) => harmlessDeferred)),
+        isQuarantineOn ? quantile(propagationTimes, 0.5) : "-",
+        isQuarantineOn ? quantile(propagationTimes, 1) : "-",
+        isQuarantineOn ? String(propagationTimes.filter(Number.isNaN).length) : "-",
     ];
 }
 
@@ -87,7 +95,7 @@
     });
     for (const count of hosts.split(",").map(Number)) {
         for (const kind of DAY_KINDS) {
-            for (const isGuarded of [false, true]) table.push([...row(count, kind, isGuarded, days)]);
+            for (const isQuarantineOn of [false, true]) table.push([...simulateRow(count, kind, isQuarantineOn, days)]);
         }
     }
     process.stdout.write(`${table.toString()}\n`);
--- a/packages/standins/src/mutations.ts
+++ b/packages/standins/src/mutations.ts
@@ -125,14 +125,14 @@
     {
         promise: "a call ends at its limit while its connection is coming up",
         file: "packages/protocol/src/time-limit.ts",
-        find: "Promise.race([run(limit.signal), ended])",
-        replace: "run(limit.signal)",
+        find: "Promise.race([run(controller.signal), rejectedOnAbort])",
+        replace: "run(controller.signal)",
         tests: ["packages/protocol/test/time-limit.test.ts"],
     },
     {
         promise: "settings never go back",
         file: "packages/settings/src/adopt.ts",
-        find: "if (head.version < active.version) return",
+        find: "if (head.version < inForce.version) return",
         replace: "if (head.version < 0) return",
         tests: [SETTINGS],
     },
--- a/packages/standins/src/quarantine-model.ts
+++ b/packages/standins/src/quarantine-model.ts
@@ -92,7 +92,7 @@
 }
 
 interface Endpoint {
-    life: string;
+    incarnation: string;
     isUp: boolean;
     readonly runs: Set<Run>;
 }
@@ -118,7 +118,7 @@
     private readonly queue = new TinyQueue<TimedEvent>([], (a, b) => a.at - b.at);
     private readonly hosts: readonly Host[];
     private readonly endpoints: readonly Endpoint[];
-    private lifeCount = 0;
+    private incarnationCount = 0;
     private attemptCount = 0;
     private readonly crashCounts = new Map<string, number>();
     private readonly thresholdReachedAt = new Map<string, number>();
@@ -159,8 +159,8 @@
     }
 
     private newEndpoint(): Endpoint {
-        this.lifeCount += 1;
-        return { life: `e${this.lifeCount}`, isUp: true, runs: new Set() };
+        this.incarnationCount += 1;
+        return { incarnation: `e${this.incarnationCount}`, isUp: true, runs: new Set() };
     }
 
     private schedule(ms: number, run: () => void): void {
@@ -255,13 +255,14 @@
         endpoint.runs.add(run);
         if (suspect) this.recordTrial(run, false);
         if (isFatal && (this.crashCounts.get(fingerprint) ?? 0) >= THRESHOLD) this.counts.runsAfterThreshold += 1;
-        const { life } = endpoint;
-        if (isFatal) this.schedule(this.uniform(0, MAX_CRASH_DELAY_MS), () => this.crashByFatal(endpoint, life, run));
+        const { incarnation } = endpoint;
+        if (isFatal) this.schedule(this.uniform(0, MAX_CRASH_DELAY_MS), () => this.failRun(endpoint, incarnation, run));
         else this.schedule(ms, () => this.finishRun(endpoint, run));
     }
 
-    private crashByFatal(endpoint: Endpoint, life: string, { fingerprint }: Run): void {
-        if (endpoint.life !== life || !endpoint.isUp) return;
+    /** Crashes the endpoint of a fatal request, unless it has restarted since the request began. */
+    private failRun(endpoint: Endpoint, incarnation: string, { fingerprint }: Run): void {
+        if (endpoint.incarnation !== incarnation || !endpoint.isUp) return;
         const crashes = (this.crashCounts.get(fingerprint) ?? 0) + 1;
         this.crashCounts.set(fingerprint, crashes);
         if (crashes === THRESHOLD) this.thresholdReachedAt.set(fingerprint, this.now);
@@ -284,7 +285,7 @@
 
     /** Crashes an endpoint with all its runs. The hosts of the runs detect it after a delay. */
     private crashEndpoint(endpoint: Endpoint): void {
-        const { life } = endpoint;
+        const { incarnation } = endpoint;
         const runs = [...endpoint.runs];
         endpoint.isUp = false;
         endpoint.runs.clear();
@@ -293,20 +294,20 @@
         for (const host of new Set(runs.map(({ host }) => host))) {
             const runsOfHost = runs.filter(run => run.host === host);
             this.schedule(CRASH_DETECTION_MS, () => {
-                this.recordCrash(host, life, crashedAt, runsOfHost);
+                this.recordCrash(host, incarnation, crashedAt, runsOfHost);
                 for (const run of runsOfHost) this.continueElsewhere(run);
             });
         }
     }
 
-    private recordCrash(host: Host, life: string, crashedAt: number, runs: readonly Run[]): void {
+    private recordCrash(host: Host, incarnation: string, crashedAt: number, runs: readonly Run[]): void {
         const requests = runs.map(({ fingerprint, startedAt, wasSuspect }) => ({
             fingerprint,
             ranMs: crashedAt - startedAt,
             wasSuspect,
             cleared: false,
         }));
-        const endings = [{ life, agoMs: this.now - crashedAt, requests }];
+        const endings = [{ life: incarnation, agoMs: this.now - crashedAt, requests }];
         for (const run of runs) if (run.wasSuspect) this.recordTrial(run, true);
         this.applyStep(host, mergeNews(host.state, { endings, trials: [] }, this.now));
     }
