--- a/packages/hall/src/endings.ts
+++ b/packages/hall/src/endings.ts
@@ -4,7 +4,7 @@
  * A life of an endpoint is one run of its process. Each life has one record, however many hosts saw its end: hosts merge their records
  * by life. The merge is idempotent and does not depend on the order of the news. Of several reported times it keeps the earliest.
  *
- * All functions are pure. Times are in milliseconds on one clock of the caller's choice.
+ * All functions are pure. Times are in milliseconds on the clock by which `now` is given.
  *
  * @module
  */
@@ -47,7 +47,7 @@
 }
 
 /**
- * How many requests of an ending are kept at most, those that had run for the shortest time. An engine runs up to 24 requests at once,
+ * How many requests of an ending are kept at most, those that had run for the shortest time. An endpoint runs up to 24 requests at once,
  * so none is dropped as long as endpoints are used as declared.
  */
 export const MAX_REQUESTS_PER_ENDING = 64;
--- a/packages/hall/src/endpoint-notices.ts
+++ b/packages/hall/src/endpoint-notices.ts
@@ -42,7 +42,7 @@
 
 /** Returns the notice of one endpoint, or undefined if there is nothing to tell. */
 export function noticeOf(view: EndpointView, now: number): EndpointNotice | undefined {
-    const { cfg: { id: endpoint }, said } = view;
+    const { cfg: { id: endpoint }, announcedLimit: said } = view;
     const leaves = announcedLeaving(view);
     const isNews = said && (said.limitPerS !== undefined || now - said.at <= LIMIT_END_TOLD_MS);
     if (!isNews) return leaves ? { endpoint, leaves } : undefined;
--- a/packages/hall/src/index.ts
+++ b/packages/hall/src/index.ts
@@ -31,7 +31,7 @@
     encodeLoad,
     type EndpointLoad,
     type Grant,
-    HOLDER_REPORT_INTERVAL_MS,
+    HOST_REPORT_INTERVAL_MS,
     LOAD_REPEAT_MS,
     LOAD_TTL_MS,
     type LoadAccount,
--- a/packages/hall/src/load-account.ts
+++ b/packages/hall/src/load-account.ts
@@ -1,6 +1,6 @@
 /**
- * Load that the hosts of a hall put on shared endpoints. Each host reports to an endpoint's owner the load of its own streams, now and
- * as expected. The owner reports to each host the load of the others. Only changes are sent.
+ * Accounts of the load of a hall's hosts on the endpoints that they share. Each host reports the current and the forecast load of its
+ * own streams to an endpoint's owner. The owner reports to each host the load of the others. Only changes are sent.
  *
  * The owner's account is soft state: a lost report is replaced by the next one, which comes with the next change or after
  * {@link LOAD_REPEAT_MS}, and the load of a silent host expires after {@link LOAD_TTL_MS}. Hosts report at once when the owner of an
@@ -41,7 +41,7 @@
 
 /** This host's load on one endpoint, with the sums of all speed samples of its streams so far. */
 export interface LocalLoad extends EndpointLoad {
-    readonly allShown?: SpeedSums;
+    readonly allSamples?: SpeedSums;
 }
 
 /** An owner's account: the loads that hosts reported, and the grants since. */
@@ -59,7 +59,7 @@
 /** One host's load on one endpoint. */
 interface HostEntry {
     /** The host's last report, plus what was granted to it since. */
-    readonly others: OthersLoad;
+    readonly load: OthersLoad;
     readonly at: number;
 }
 
@@ -86,8 +86,8 @@
 const SMALL_HALL_HOSTS = 12;
 const SMALL_HALL_OWNER_REPORT_MS = 100;
 
-/** Interval at which hosts of larger halls report to owners, thus the largest age of the loads that an owner decides by. */
-export const HOLDER_REPORT_INTERVAL_MS = 250;
+/** In larger halls, hosts report to owners at this interval; an owner decides by loads that are at most this old. */
+export const HOST_REPORT_INTERVAL_MS = 250;
 
 /**
  * Returns the interval of an owner's reports to hosts, in milliseconds. It grows with the hall; in larger halls hosts ask owners where to
@@ -144,19 +144,19 @@
     now: number,
 ): { readonly state: ReportedLoads; readonly reports: ReadonlyMap<string, readonly EndpointLoad[]> } {
     const last = new Map(reported.last);
-    const toSay = new Map<string, EndpointLoad[]>();
+    const reportsByOwner = new Map<string, EndpointLoad[]>();
     for (const load of loads) {
         const owner = ownerOf(load.endpoint);
         const previous = last.get(load.endpoint);
-        const newSamples = speedSumsSince(load.allShown ?? NO_SPEED_SUMS, previous?.load.allShown ?? NO_SPEED_SUMS);
+        const newSamples = speedSumsSince(load.allSamples ?? NO_SPEED_SUMS, previous?.load.allSamples ?? NO_SPEED_SUMS);
         if (owner === undefined || !newSamples && !shouldReport(previous, load, owner, now)) continue;
         last.set(load.endpoint, { owner, load, at: now });
         const report = withNewSamples(load, newSamples);
-        const ownerReports = toSay.get(owner);
+        const ownerReports = reportsByOwner.get(owner);
         if (ownerReports) ownerReports.push(report);
-        else toSay.set(owner, [report]);
+        else reportsByOwner.set(owner, [report]);
     }
-    return { state: { last }, reports: toSay };
+    return { state: { last }, reports: reportsByOwner };
 }
 
 /** Returns a load for a report: with the new speed samples instead of all samples. */
@@ -181,8 +181,8 @@
     owner: string,
     now: number,
 ): boolean {
-    if (!last || last.owner !== owner) return isHolding(load);
-    if (!isHolding(load) && !isHolding(last.load)) return false;
+    if (!last || last.owner !== owner) return hasLoad(load);
+    if (!hasLoad(load) && !hasLoad(last.load)) return false;
     return now - last.at >= LOAD_REPEAT_MS || hasChanged(last.load, load);
 }
 
@@ -203,7 +203,7 @@
 }
 
 /** Returns whether a host has any load on an endpoint. Standby copies of streams hold memory but do not count as streams. */
-function isHolding({ streams, mean }: EndpointLoad): boolean {
+function hasLoad({ streams, mean }: EndpointLoad): boolean {
     return streams > 0 || mean[0]! > 0;
 }
 
@@ -220,11 +220,10 @@
 
 function withEntry({ hosts, sum }: Tally, host: string, entry: HostEntry): Tally {
     const known = hosts.get(host);
-    const rest = known ? addLoad(sum, known.others, -1) : sum;
-    return { hosts: new Map(hosts).set(host, entry), sum: addLoad(rest, entry.others, 1) };
+    const rest = known ? addLoad(sum, known.load, -1) : sum;
+    return { hosts: new Map(hosts).set(host, entry), sum: addLoad(rest, entry.load, 1) };
 }
 
-/** Decodes a load. */
 export function decodeLoad(encoded: EndpointLoad): OthersLoad {
     return { streams: encoded.streams, unread: encoded.unread, stalled: encoded.stalled, curve: decodeCurve(encoded) };
 }
@@ -240,7 +239,7 @@
     const next = new Map(account.tallies);
     for (const load of loads) {
         const tally = next.get(load.endpoint) ?? EMPTY_TALLY;
-        next.set(load.endpoint, withEntry(tally, host, { others: decodeLoad(load), at: now }));
+        next.set(load.endpoint, withEntry(tally, host, { load: decodeLoad(load), at: now }));
     }
     return { tallies: next };
 }
@@ -253,7 +252,7 @@
         if (fresh.length === 0) continue;
         const sum = fresh.length === tally.hosts.size
             ? tally.sum
-            : fresh.reduce((total, [, { others }]) => addLoad(total, others, 1), EMPTY_TALLY.sum);
+            : fresh.reduce((total, [, { load }]) => addLoad(total, load, 1), EMPTY_TALLY.sum);
         tallies.set(endpoint, { hosts: new Map(fresh), sum });
     }
     return { tallies };
@@ -270,7 +269,7 @@
 export function loadOfOthers(account: LoadAccount, endpoint: string, host: string): OthersLoad {
     const { hosts, sum } = account.tallies.get(endpoint) ?? EMPTY_TALLY;
     const ownEntry = hosts.get(host);
-    return ownEntry ? addLoad(sum, ownEntry.others, -1) : sum;
+    return ownEntry ? addLoad(sum, ownEntry.load, -1) : sum;
 }
 
 /** Room that an owner granted to a host: for a stream, or for a standby copy, which holds memory but needs no computation. */
@@ -288,11 +287,11 @@
     now: number,
 ): LoadAccount {
     const tally = account.tallies.get(endpoint) ?? EMPTY_TALLY;
-    const previous = tally.hosts.get(host)?.others ?? EMPTY_TALLY.sum;
+    const previous = tally.hosts.get(host)?.load ?? EMPTY_TALLY.sum;
     // A granted stream starts with its prompt, all of which is unread.
     const isStream = kind === "stream";
     const granted: OthersLoad = { streams: isStream ? 1 : 0, unread: isStream ? curve.mean[0]! : 0, stalled: 0, curve };
-    const entry: HostEntry = { others: addLoad(previous, granted, 1), at: now };
+    const entry: HostEntry = { load: addLoad(previous, granted, 1), at: now };
     return { tallies: new Map(account.tallies).set(endpoint, withEntry(tally, host, entry)) };
 }
 
--- a/packages/hall/src/load-exchange.ts
+++ b/packages/hall/src/load-exchange.ts
@@ -277,7 +277,7 @@
         stalled: stalledStreams(view, now),
         curve: view.curve,
     });
-    return { ...encoded, allShown: view.shown };
+    return { ...encoded, allSamples: view.ownSpeedSums };
 }
 
 /** As an owner, reports changes in the load of the others to every live host. */
--- a/packages/hall/src/quarantine.ts
+++ b/packages/hall/src/quarantine.ts
@@ -1,5 +1,6 @@
 /**
- * Quarantine of requests that crash the endpoints that run them.
+ * Quarantine of requests that crash the endpoints that run them. An ending is the unexpected end of one life of an endpoint, i.e. of one
+ * run of its process.
  *
  * A request that was involved in an ending is a suspect: all hosts together run it at one endpoint at a time. After three endings it is
  * quarantined: no host begins it until a period is over that doubles with each further ending, or until endpoints with other software
@@ -11,7 +12,7 @@
  *
  * A partitioned host decides by the endings that it knows. When the partition heals, both sides merge what they know.
  *
- * All functions are pure: they return the next state. Times are in milliseconds on one clock of the caller's choice.
+ * All functions are pure: they return the next state. Times are in milliseconds on the clock by which `now` is given.
  *
  * @module
  */
@@ -65,20 +66,20 @@
 };
 
 /**
- * How long a quarantine lasts before a trial decides again. It doubles with each further ending. Engines were back 3 s after such an
+ * How long a quarantine lasts before a trial decides again. It doubles with each further ending. Endpoints were back 3 s after such an
  * ending and callers retried for 15 s: half an hour is far longer than both, and gives an operator time to investigate.
  */
 const QUARANTINE_MS = 30 * 60_000;
 /** At this many endings, i.e. after two failed trials, only an operator can lift the quarantine. */
 const ENDINGS_TO_QUARANTINE_FOREVER = ENDINGS_TO_QUARANTINE + 2;
-/** Endings on which no quarantine rests are forgotten after this. Repeated endings came within seconds, at most within minutes. */
+/** Endings that no quarantine is based on are forgotten after this. Repeated endings came within seconds, at most within minutes. */
 const EVIDENCE_RETENTION_MS = 10 * 60_000;
-/** Endings on which a quarantine rests are forgotten after this, and the quarantine with them. */
+/** Endings that a quarantine is based on are forgotten after this, which ends the quarantine. */
 const QUARANTINE_RETENTION_MS = 24 * 60 * 60_000;
 /** How many endings are kept at most. Together with {@link MAX_REQUESTS_PER_ENDING} it bounds memory to some 16,000 entries. */
 const MAX_ENDINGS = 256;
 /**
- * A trial blocks other runs of the same request for at most this long. Culprits ended their engines within 0.5 s. The bound also holds
+ * A trial blocks other runs of the same request for at most this long. Culprits crashed their endpoints within 0.5 s. The bound also holds
  * if the host that runs the trial has crashed and will not report its end.
  */
 const TRIAL_TIMEOUT_MS = 3_000;
@@ -125,7 +126,7 @@
     const endings = assessment.endings.length;
     if (
         assessment.isCulprit && now < quarantinedUntil(assessment)
-        && !mayMeetOtherSoftware(assessment, context.software)
+        && !mayRunOnOtherSoftware(assessment, context.software)
     ) {
         return {
             kind: "quarantined",
@@ -141,7 +142,7 @@
  * Returns whether a quarantined request may run on software that it has not crashed yet. A trial there decides again, but only one:
  * simultaneous endings count once, and at most three trials are allowed after the third ending.
  */
-function mayMeetOtherSoftware({ endings }: Assessment, versions: readonly string[] = []): boolean {
+function mayRunOnOtherSoftware({ endings }: Assessment, versions: readonly string[] = []): boolean {
     const ended = new Set(endings.flatMap(({ software }) => software ?? []));
     return endings.length <= ENDINGS_TO_QUARANTINE && ended.size > 0 && versions.some(version => !ended.has(version));
 }
@@ -191,7 +192,7 @@
     return mergeNews(state, { endings: clearingNews(state.endings, fingerprint, now), trials: [] }, now);
 }
 
-/** Returns all known endings, for a host that starts or whose digest differs. Trials are left out: they are too short to send again. */
+/** Returns all known endings, for a host that starts or whose digest differs. Trials are left out: most are over before they could be sent again. */
 export function allEndingNews({ endings }: Quarantine, now: number): QuarantineNews {
     return { endings: [...endings.values()].map(ending => newsOfEnding(ending, now)), trials: [] };
 }
@@ -228,7 +229,7 @@
     return { ...state, endings, assessments: assessRequests(endings), digest: digestOfEndings(endings) };
 }
 
-/** Drops endings above {@link MAX_ENDINGS}: first those on which no quarantine rests, the oldest first. */
+/** Drops endings above {@link MAX_ENDINGS}: first those that no quarantine is based on, the oldest first. */
 function dropOldestEndings(state: Quarantine): Quarantine {
     const { endings } = state;
     if (endings.size <= MAX_ENDINGS) return state;
--- a/packages/hall/src/store-watchers.ts
+++ b/packages/hall/src/store-watchers.ts
@@ -13,7 +13,7 @@
  *                          v
  *                        others --revision, age--> others (with probes; a host that stays behind asks for the rest)
  *
- * All functions are pure: they return the next state. Times are in milliseconds on one clock of the caller's choice.
+ * All functions are pure: they return the next state. Times are in milliseconds on the clock by which `now` is given.
  *
  * @module
  */
--- a/packages/hall/test/bounded-fleet.ts
+++ b/packages/hall/test/bounded-fleet.ts
@@ -144,7 +144,7 @@
             });
         });
     };
-    const said = (host: Host): AnnouncedLimit | undefined => host.state.endpoints.get(endpoint.id)?.said;
+    const said = (host: Host): AnnouncedLimit | undefined => host.state.endpoints.get(endpoint.id)?.announcedLimit;
     const applyLimit = (host: Host, word: AnnouncedLimit): void => {
         const before = said(host);
         handleEvents(host, [{ kind: "said", endpoint: endpoint.id, said: word }]);
--- a/packages/hall/test/hall.test.ts
+++ b/packages/hall/test/hall.test.ts
@@ -1,3 +1,4 @@
+/** Ownership of keys, exchange of loads and grants with owners, and shares of limits and settings among hosts. */
 import {
     addCurve,
     createEndpoint,
@@ -42,15 +43,15 @@
     splitLimit,
 } from "../src/index.js";
 
-const NAMES = ["a", "b", "c", "d"];
+const HOST_NAMES = ["a", "b", "c", "d"];
 test("when a host is lost, only its own keys get new owners", t => {
     const keys = Array.from({ length: 200 }, (_, at) => `endpoint/e${at}`);
-    const moved = keys.filter(key => ownerOf(key, NAMES) !== ownerOf(key, ["a", "c", "d"]));
-    t.true(moved.every(key => ownerOf(key, NAMES) === "b"));
-    const counts = NAMES.map(name => keys.filter(key => ownerOf(key, NAMES) === name).length);
+    const moved = keys.filter(key => ownerOf(key, HOST_NAMES) !== ownerOf(key, ["a", "c", "d"]));
+    t.true(moved.every(key => ownerOf(key, HOST_NAMES) === "b"));
+    const counts = HOST_NAMES.map(name => keys.filter(key => ownerOf(key, HOST_NAMES) === name).length);
     t.true(counts.every(count => count > 25), counts.join(" "));
-    t.is(NAMES.filter(name => isWatcher(name, NAMES)).length, 2);
-    t.is(rank("k", NAMES).length, 4);
+    t.is(HOST_NAMES.filter(name => isWatcher(name, HOST_NAMES)).length, 2);
+    t.is(rank("k", HOST_NAMES).length, 4);
 });
 
 const lengths = survivalOf(createLengthEstimates(), { workspace: "w", service: "s", model: "m" }, 4_000);
@@ -74,21 +75,21 @@
 class Owner {
     private readonly endpoints;
     private scheduler;
-    share: LoadExchange = createLoadExchange("owner");
+    exchange: LoadExchange = createLoadExchange("owner");
 
     constructor(endpoints: readonly string[], memoryTokens: number) {
         this.endpoints = endpoints;
         const cfgs = endpoints.map(id => ({ id, hall: "h", models: ["m"], memoryTokens }));
         const variant = { ...DEFAULT_VARIANT, backups: true };
         this.scheduler = decide(createScheduler(variant), { kind: "endpoints", endpoints: cfgs }, -60_000).state;
-        this.hear("owner", undefined);
+        this.receive("owner", undefined);
     }
 
-    private hear(from: string, message: LoadMessage | undefined): readonly LoadMessage[] {
+    private receive(from: string, message: LoadMessage | undefined): readonly LoadMessage[] {
         const step = message
-            ? receiveLoadMessage(this.share, from, message, this.scheduler, 0)
-            : runLoadRound(this.share, this.scheduler.endpoints, ["owner"], 0);
-        this.share = step.state;
+            ? receiveLoadMessage(this.exchange, from, message, this.scheduler, 0)
+            : runLoadRound(this.exchange, this.scheduler.endpoints, ["owner"], 0);
+        this.exchange = step.state;
         for (const event of step.events) this.scheduler = decide(this.scheduler, event, 0).state;
         return step.send.map(({ message: sent }) => sent);
     }
@@ -121,16 +122,16 @@
             exclude,
             backUp,
         };
-        const [answer] = this.hear(from, question);
+        const [answer] = this.receive(from, question);
         return answer as Extract<LoadMessage, { kind: "answer" }>;
     }
 
-    tell(from: string, held: readonly EndpointLoad[]): void {
-        this.hear(from, { kind: "held", held });
+    report(from: string, held: readonly EndpointLoad[]): void {
+        this.receive(from, { kind: "held", held });
     }
 
     peak(endpoint: string): number {
-        return peakMemory([loadOfOthers(this.share.account, endpoint, "owner").curve], 1.3);
+        return peakMemory([loadOfOthers(this.exchange.account, endpoint, "owner").curve], 1.3);
     }
 }
 
@@ -141,7 +142,7 @@
     t.true(granted >= 2 && granted < 16, `${granted} streams`);
     t.true(owner.peak("e1") <= 8_000);
     t.is(owner.ask("c").endpoint, undefined);
-    for (let at = 0; at < 21; at++) owner.tell(`asker-${at}`, [loadOf(0)]);
+    for (let at = 0; at < 21; at++) owner.report(`asker-${at}`, [loadOf(0)]);
     t.is(owner.ask("c").endpoint, "e1");
 });
 
@@ -184,11 +185,11 @@
     for (const limit of [0, 1, 7, 100, 6_001]) {
         const halls = ["k1", "k2", "k3"];
         const parts = halls.flatMap(hall =>
-            NAMES.map(host =>
+            HOST_NAMES.map(host =>
                 hostShareOfLimits(
                     { requestsPerMinute: limit, tokensPerMinute: limit, openStreams: limit },
                     shareIndexIn(hall, halls),
-                    shareIndexIn(host, NAMES),
+                    shareIndexIn(host, HOST_NAMES),
                 ).tokensPerMinute
             )
         );
@@ -227,6 +228,6 @@
     const second = runLoadRound(first.state, endpoints, hosts, 100);
     t.is(second.send.length, 0);
     t.is(runLoadRound(second.state, endpoints, hosts, LOAD_REPEAT_MS).send.length, 1);
-    const heard = { ...second.state, account: recordLoads(second.state.account, "c", [loadOf(2)], 150) };
-    t.is(runLoadRound(heard, endpoints, hosts, 200).send.length, 1);
+    const updated = { ...second.state, account: recordLoads(second.state.account, "c", [loadOf(2)], 150) };
+    t.is(runLoadRound(updated, endpoints, hosts, 200).send.length, 1);
 });
--- a/packages/hall/test/load-fleet.ts
+++ b/packages/hall/test/load-fleet.ts
@@ -22,7 +22,7 @@
     type AddressedLoadMessage,
     askOwner,
     createLoadExchange,
-    HOLDER_REPORT_INTERVAL_MS,
+    HOST_REPORT_INTERVAL_MS,
     type LoadExchange,
     type LoadExchangeStep,
     type LoadMessage,
@@ -202,7 +202,7 @@
     run(): ReplayResult {
         this.declareEndpoints();
         for (const [at, host] of this.hosts.entries()) {
-            const firstMs = HOLDER_REPORT_INTERVAL_MS * at / this.hosts.length;
+            const firstMs = HOST_REPORT_INTERVAL_MS * at / this.hosts.length;
             this.schedule(firstMs, () => this.round(host));
         }
         for (const kind of this.load.kinds) this.schedule(this.warmupMs + this.drawWait(kind), () => this.arrive(kind));
@@ -281,10 +281,10 @@
     }
 
     private round(host: HostSim): void {
-        this.schedule(HOLDER_REPORT_INTERVAL_MS, () => this.round(host));
+        this.schedule(HOST_REPORT_INTERVAL_MS, () => this.round(host));
         const names = this.hosts.map(({ name }) => name);
         const every = ownerReportIntervalMs(names.length);
-        const othersEveryMs = every <= HOLDER_REPORT_INTERVAL_MS ? 0 : every;
+        const othersEveryMs = every <= HOST_REPORT_INTERVAL_MS ? 0 : every;
         this.applyStep(host, runLoadRound(host.share, host.state.endpoints, names, this.now, othersEveryMs));
     }
 
@@ -508,8 +508,8 @@
     return a.at < b.at || a.at === b.at && a.order < b.order;
 }
 
-function hasWaiting({ waiting, asked, askedStandby }: SchedulerState): boolean {
-    return waiting.length + asked.size + askedStandby.size > 0;
+function hasWaiting({ waiting, asked, askedForStandby }: SchedulerState): boolean {
+    return waiting.length + asked.size + askedForStandby.size > 0;
 }
 
 /** Returns whether a request met its objectives: first token and all pauses in time. */
--- a/packages/hall/test/speed-encoding.test.ts
+++ b/packages/hall/test/speed-encoding.test.ts
@@ -136,7 +136,7 @@
         return Math.exp(endpointSlowness(scheduler, scheduler.endpoints.get(endpoint)!, 20_000).logRatio);
     };
     for (const member of all) t.true(speedOf(member, "e1") > 1.4 * speedOf(member, "e2"), member.name);
-    t.is(other.scheduler.endpoints.get("e1")!.shown.stretches, 0);
+    t.is(other.scheduler.endpoints.get("e1")!.ownSpeedSums.stretches, 0);
 });
 
 test("encoded speeds are precise to a tenth of a millisecond", t => {
--- a/packages/host/src/endpoints/endpoint-notices.ts
+++ b/packages/host/src/endpoints/endpoint-notices.ts
@@ -72,7 +72,7 @@
     hasAnnouncedLeaving(endpoint: string): boolean {
         const view = this.viewOf(endpoint);
         if (view) return announcedLeaving(view);
-        return this.deps.placements.some(({ view: { remembered } }) => remembered.get(endpoint)?.leaves === true);
+        return this.deps.placements.some(({ view: { remembered } }) => remembered.get(endpoint)?.isLeaving === true);
     }
 
     /** Sets the gauge of endpoints with a limit; also called when endpoints come or go. */
@@ -116,7 +116,7 @@
 
     /** Applies the limit that an endpoint states, or that it states none; returns whether the limit changed. */
     private applyLimit(endpoint: string, said: AnnouncedLimit, source: NoticeSource): boolean {
-        const known = this.viewOf(endpoint)?.said;
+        const known = this.viewOf(endpoint)?.announcedLimit;
         // Return early: nearly every answer states no limit, for an endpoint that had stated none before.
         if (!known && said.limitPerS === undefined) return false;
         const isUnchanged = known?.limitPerS === said.limitPerS;
--- a/packages/host/src/endpoints/placement.ts
+++ b/packages/host/src/endpoints/placement.ts
@@ -64,8 +64,8 @@
     ) {
         this.state = createScheduler(variant, seed, options);
         this.timer = setInterval(() => {
-            const { waiting, asked, askedStandby } = this.state;
-            if (waiting.length + asked.size + askedStandby.size > 0) this.handle({ kind: "tick" });
+            const { waiting, asked, askedForStandby } = this.state;
+            if (waiting.length + asked.size + askedForStandby.size > 0) this.handle({ kind: "tick" });
         }, TICK_MS);
         signal.addEventListener("abort", () => clearInterval(this.timer), { once: true });
     }
--- a/packages/host/src/operators/endpoints-api.ts
+++ b/packages/host/src/operators/endpoints-api.ts
@@ -58,7 +58,7 @@
         takesNew: takesNew(view),
         hallEvacuated: isEvacuated,
         coldForMs: isCold(view, now) ? Math.round(coldUntil(view) - now) : 0,
-        limitPerS: view.said?.limitPerS,
+        limitPerS: view.announcedLimit?.limitPerS,
         restsForMs: isResting(view, now) ? Math.round(view.restUntil! - now) : 0,
         inDoubt: view.isInDoubt,
         running: view.streams.size,
--- a/packages/host/src/peers/peers.ts
+++ b/packages/host/src/peers/peers.ts
@@ -18,7 +18,7 @@
     type DetectorStep,
     type EndpointNotice,
     endpointOwner,
-    HOLDER_REPORT_INTERVAL_MS,
+    HOST_REPORT_INTERVAL_MS,
     hostsEvent,
     isAlive,
     isWatcher,
@@ -209,7 +209,7 @@
         repeat(() => this.heartbeat(), () => cfg["control.heartbeat"], signal);
         repeat(
             () => this.sendDueLoadRound(),
-            () => Math.min(ownerReportIntervalMs(this.live.length), HOLDER_REPORT_INTERVAL_MS),
+            () => Math.min(ownerReportIntervalMs(this.live.length), HOST_REPORT_INTERVAL_MS),
             signal,
         );
     }
@@ -421,7 +421,7 @@
     /** Runs a due round: this host reports its load to owners every time, and as an owner informs the other hosts less often. */
     private sendDueLoadRound(): void {
         const every = ownerReportIntervalMs(this.live.length);
-        this.sendLoadRound(every <= HOLDER_REPORT_INTERVAL_MS ? 0 : every);
+        this.sendLoadRound(every <= HOST_REPORT_INTERVAL_MS ? 0 : every);
     }
 
     /** @param othersEveryMs How often this host, as an owner, informs the other hosts; 0 to do so now. */
--- a/packages/policy/src/admission-queue.ts
+++ b/packages/policy/src/admission-queue.ts
@@ -4,10 +4,10 @@
  *
  * @module
  */
-import { place, placeIncludingDoubted } from "./place.js";
+import { place, placeIncludingInDoubt } from "./place.js";
 import { observeStart, urgency, type WaitingRequest } from "./queue-order.js";
 import { canStartInTime, isServable, refuse, refuseForCapacity, refuseUnservable } from "./refusal.js";
-import { countRequest, earnRetry, spendRepeat, spendRetry } from "./retry-budget.js";
+import { countRequest, earnRetry, spendFleetRetry, spendRetry } from "./retry-budget.js";
 import type { Decision, SchedulerAction, SchedulerState } from "./scheduler-state.js";
 
 /** Waiting requests that are tried in one pass when capacity may have come free. */
@@ -25,7 +25,7 @@
         // A request that was never sent comes back with endpoints to avoid: it is neither a retry nor a new request.
         if (!retry && avoid.length > 0) return state;
         const fleetRetryBudget = retry
-            ? spendRepeat(state.fleetRetryBudget, state.hosts, now)
+            ? spendFleetRetry(state.fleetRetryBudget, state.hosts, now)
             : countRequest(state.fleetRetryBudget, now);
         return fleetRetryBudget && { ...state, fleetRetryBudget };
     }
@@ -39,22 +39,23 @@
 /** Handles an arriving or returning request: it is placed, queued, or refused at once. */
 export function onArrival(state: SchedulerState, waiting: WaitingRequest, now: number): Decision {
     const { job } = waiting;
-    const paid = chargeBudget(state, waiting, now);
-    if (!paid) {
+    const charged = chargeBudget(state, waiting, now);
+    if (!charged) {
         return { state, actions: [refuse(job.id, "retryBudget", "the retry budget is used up", job.policy.maxWaitMs)] };
     }
-    if (!isServable(paid, job)) return { state: paid, actions: [refuseUnservable(job)] };
+    if (!isServable(charged, job)) return { state: charged, actions: [refuseUnservable(job)] };
     if (state.waiting.length === 0) {
-        const placed = place(paid, waiting, now);
+        const placed = place(charged, waiting, now);
         if (placed) return placed;
     }
     const position = state.waiting.length + 1;
     const isFull = position > job.policy.queueLimit;
-    if (isFull || !canStartInTime(paid, waiting, position, now)) {
+    if (isFull || !canStartInTime(charged, waiting, position, now)) {
         const reason = isFull ? "queueFull" : "waitTooLong";
-        return placeIncludingDoubted(paid, waiting, now) ?? refuseForCapacity(paid, waiting, reason, position, now);
+        return placeIncludingInDoubt(charged, waiting, now)
+            ?? refuseForCapacity(charged, waiting, reason, position, now);
     }
-    return serveQueue({ ...paid, waiting: [...state.waiting, waiting] }, now);
+    return serveQueue({ ...charged, waiting: [...state.waiting, waiting] }, now);
 }
 
 /** Refuses waiting requests that can no longer be served in time, then starts those that fit, the most urgent first. */
@@ -67,7 +68,7 @@
         const { job } = waiting;
         const position = kept.length + 1;
         if (!canStartInTime(state, waiting, position, now)) {
-            const result = placeIncludingDoubted(next, waiting, now)
+            const result = placeIncludingInDoubt(next, waiting, now)
                 ?? refuseForCapacity(next, waiting, "waitTooLong", position, now);
             next = result.state;
             actions.push(...result.actions);
--- a/packages/policy/src/breaker.ts
+++ b/packages/policy/src/breaker.ts
@@ -9,13 +9,13 @@
 export interface Breaker {
     /** Consecutive failures since the last success. */
     readonly failures: number;
-    /** The endpoint is ejected until then, in milliseconds on the caller's clock; 0 while the breaker is closed. */
+    /** The endpoint is ejected until then, in milliseconds on the scheduler's clock; 0 while the breaker is closed. */
     readonly openUntil: number;
     /** Whether a probe request is in flight. */
     readonly probing: boolean;
     /**
-     * Whether the breaker opened because no connection could be made, which is certain, rather than because of failed
-     * answers.
+     * Whether the breaker opened because a connection to the endpoint failed, for which one failure suffices. Absent if
+     * it opened because requests failed.
      */
     readonly unreachable?: boolean;
 }
@@ -46,12 +46,12 @@
  * onResult(CLOSED, false, 1000).failures; // 1
  * ```
  */
-export function onResult(breaker: Breaker, good: boolean, now: number): Breaker {
-    if (good) return CLOSED;
+export function onResult(breaker: Breaker, succeeded: boolean, now: number): Breaker {
+    if (succeeded) return CLOSED;
     const failures = breaker.failures + 1;
     if (failures < FAILURES_TO_OPEN) return { failures, openUntil: 0, probing: false };
-    const open = Math.min(MAX_OPEN_MS, FIRST_OPEN_MS * 2 ** (failures - FAILURES_TO_OPEN));
-    return { failures, openUntil: now + open, probing: false };
+    const openMs = Math.min(MAX_OPEN_MS, FIRST_OPEN_MS * 2 ** (failures - FAILURES_TO_OPEN));
+    return { failures, openUntil: now + openMs, probing: false };
 }
 
 /** Returns the breaker after a connection failed: it opens at the first such failure. */
@@ -60,7 +60,7 @@
     return { ...onResult({ ...breaker, failures: failures - 1 }, false, now), unreachable: true };
 }
 
-/** Returns the breaker after a probe ended without a verdict, for example because the caller left. */
+/** Returns the breaker after a probe that showed neither success nor failure, for example because its caller disconnected. */
 export function onInconclusive(breaker: Breaker): Breaker {
     return breaker.probing ? { ...breaker, probing: false } : breaker;
 }
--- a/packages/policy/src/choose.ts
+++ b/packages/policy/src/choose.ts
@@ -26,25 +26,26 @@
 
 /** A prefill wait of this share of a request's objective costs as much as full memory. */
 const WAIT_SCALE = 0.5;
-/** Score cost of an engine in another hall: a stream there is lost if the halls lose contact. */
+/** Score cost of an endpoint in another hall: a stream there is lost if the halls lose contact. */
 const REMOTE_HALL_COST = 0.5;
 /** Cost of a limited endpoint as a standby: continuing there uses a request of its limit. */
 const LIMITED_STANDBY_COST = 2;
 /** Cost of another hall for plain services, in open calls: less than one, so that it only decides between equals. */
 const REMOTE_HALL_CALLS = 0.5;
 /**
- * Score cost of an engine with stalled streams, those that wait too long for their first token. It outweighs all else,
+ * Score cost of an endpoint with stalled streams, those that wait too long for their first token. It outweighs all else,
  * but not a lack of capacity.
  */
 const STALLED_COST = 3;
 /** Score cost of a request that is certain to be late: as much as an endpoint's whole memory. */
 const LATE_COST = 1;
-/** Share of an engine's memory that is never planned: the engine's own watermark and its rounding to blocks. */
+/** Share of an endpoint's memory that is never planned: its own watermark and its rounding to blocks. */
 const MEMORY_RESERVE = 0.03;
-/** A new or returning endpoint takes this many streams at first, and more over the ramp. */
-const RAMP_START = 8;
+/** Streams that all hosts together may run at a new or returning endpoint at first. */
+const RAMP_START_STREAMS = 8;
+/** Time in which that bound grows linearly to {@link RAMP_END_STREAMS}; afterwards it grows on at the same rate. */
 const RAMP_MS = 10_000;
-const RAMP_END = 256;
+const RAMP_END_STREAMS = 256;
 /** Largest share of a model's endpoints that may be ejected at the same time; beyond it ejection is ignored. */
 const MAX_EJECTED_SHARE = 0.5;
 
@@ -75,9 +76,9 @@
 /**
  * Endpoints that may be given a request at all: they serve the model, are in an allowed hall, take new work and are not
  * ejected. If more than half of a model's endpoints are ejected, ejection is ignored, as the fault is then hardly
- * theirs. Endpoints that can probably not be reached are left out while others remain.
+ * theirs. Endpoints in doubt, i.e. those that this host can probably not reach, are left out while others remain.
  *
- * @param includeDoubted Whether endpoints that can probably not be reached are included nonetheless.
+ * @param includeInDoubt Whether endpoints in doubt are included nonetheless.
  *
  * @example
  * ```ts
@@ -89,15 +90,15 @@
     needs: Pick<Demand, "model" | "halls">,
     avoid: readonly string[],
     now: number,
-    includeDoubted = false,
+    includeInDoubt = false,
 ): readonly EndpointView[] {
     const serving = [...views].filter(view => serves(view, needs));
     // Unreachable endpoints stay out, however many they are: a hall may be cut off from the others.
     const unreachable = unreachableHalls(serving, now);
     const reachable = serving.filter(view => !isUnreachable(view, now));
     const inReachableHalls = reachable.filter(view => !unreachable.has(view.cfg.hall));
-    const undoubted = inReachableHalls.filter(view => !view.isInDoubt);
-    const choices = includeDoubted ? [reachable, serving] : [undoubted, inReachableHalls, reachable, serving];
+    const notInDoubt = inReachableHalls.filter(view => !view.isInDoubt);
+    const choices = includeInDoubt ? [reachable, serving] : [notInDoubt, inReachableHalls, reachable, serving];
     const known = choices.find(views => views.length > 0) ?? [];
     const notEjected = known.filter(view => allowsRequest(view.breaker, now));
     const kept = notEjected.length >= known.length * (1 - MAX_EJECTED_SHARE) ? notEjected : known;
@@ -121,21 +122,21 @@
 
 /** Halls that count as unreachable by the failures at some of their endpoints, so that the others need not be tried. */
 function unreachableHalls(views: readonly EndpointView[], now: number): ReadonlySet<string> {
-    const halls = new Map<string, { endpoints: number; lost: number }>();
+    const halls = new Map<string, { endpoints: number; unreachable: number }>();
     for (const view of views) {
-        const hall = halls.get(view.cfg.hall) ?? { endpoints: 0, lost: 0 };
+        const hall = halls.get(view.cfg.hall) ?? { endpoints: 0, unreachable: 0 };
         hall.endpoints += 1;
-        if (isUnreachable(view, now)) hall.lost += 1;
+        if (isUnreachable(view, now)) hall.unreachable += 1;
         halls.set(view.cfg.hall, hall);
     }
-    const cutOff = [...halls].filter(([, { endpoints, lost }]) =>
-        lost >= UNREACHABLE_HALL_MIN && lost >= UNREACHABLE_HALL_SHARE * endpoints
+    const cutOff = [...halls].filter(([, { endpoints, unreachable }]) =>
+        unreachable >= UNREACHABLE_HALL_MIN && unreachable >= UNREACHABLE_HALL_SHARE * endpoints
     );
     return new Set(cutOff.map(([hall]) => hall));
 }
 
 /**
- * Backups are placed while an endpoint's planned memory stays below this share; the rest is for running streams. A
+ * An endpoint is given standby copies while its planned memory stays below this share; the rest is for running streams. A
  * stream and its copy hold the same memory, so above half a copy takes the place of a stream to come. Compared with
  * 0.75, on a fleet whose streams alone take 70 to 95 % of the memory, the worth served rises by 0.05 (95 % interval:
  * 0.01 to 0.09; five days, paired by seed). Where memory is ample it makes no difference.
@@ -186,13 +187,13 @@
 function streamLimit(view: EndpointView, gapTargetMs: number, variant: Variant, now: number): number {
     // An endpoint that declares how long it is cold is used in full as soon as it is warm.
     const ramp = view.cfg.cold
-        ? RAMP_END
-        : RAMP_START + (RAMP_END - RAMP_START) * Math.max(0, now - view.since) / RAMP_MS;
+        ? RAMP_END_STREAMS
+        : RAMP_START_STREAMS + (RAMP_END_STREAMS - RAMP_START_STREAMS) * Math.max(0, now - view.since) / RAMP_MS;
     const pace = variant.pace ? batchWithin(view.pace, gapTargetMs) : Number.MAX_SAFE_INTEGER;
     return Math.min(ramp, pace);
 }
 
-/** How far an endpoint's bounds would be used with a request added. */
+/** An endpoint's streams and memory with a request added, and the bounds of both. */
 interface Fit {
     readonly streams: number;
     readonly streamLimit: number;
@@ -258,7 +259,7 @@
     const wait = waitMs / (WAIT_SCALE * demand.objectiveMs);
     const stalled = stalledStreams(view, now) + view.others.stalled > 0 ? STALLED_COST : 0;
     const score = stalled + wait + remoteCost
-        + weightTail * streams / Math.min(limit, RAMP_END)
+        + weightTail * streams / Math.min(limit, RAMP_END_STREAMS)
         + weightStall * peak / memoryLimit
         - weightPrefix * cachedShare
         + LATE_COST * lateness;
--- a/packages/policy/src/departed-endpoints.ts
+++ b/packages/policy/src/departed-endpoints.ts
@@ -1,41 +1,45 @@
 /**
  * Keeps what endpoints announced (limit, rest, leaving) after they are no longer declared. During an outage of the
- * store a registration may lapse although its endpoint lives on; when it is declared again, what it announced still
- * applies to that life.
+ * store a registration may expire although the endpoint's process keeps running. When that process is declared again,
+ * what it announced still applies.
  *
  * @module
  */
 import { announcedLeaving, type EndpointView, type KnownLimit, setLeaving } from "./endpoint.js";
 
-/** What one endpoint had announced. */
+/** What one endpoint had announced when it was last declared. */
 interface RetainedState {
-    readonly said: KnownLimit | undefined;
-    readonly leaves: boolean;
+    readonly announcedLimit: KnownLimit | undefined;
+    readonly isLeaving: boolean;
     readonly restUntil: number | undefined;
     /** When its declaration disappeared. */
-    readonly goneAt: number;
+    readonly removedAt: number;
 }
 
 /** Announcements of departed endpoints, by endpoint id. */
 export type RetainedStates = ReadonlyMap<string, RetainedState>;
 
-/** Longer than any outage of the store: after that no endpoint returns in the same life. */
+/** Announcements are kept for longer than any outage of the store: an endpoint that returns later has restarted. */
 const RETAIN_MS = 600_000;
 
 /**
  * Adds the announcements of endpoints that are no longer declared, and drops those that are too old.
  *
- * @param gone Endpoints that were declared until now.
+ * @param removed Endpoints that were declared until now.
  */
-export function retainDeparted(before: RetainedStates, gone: readonly EndpointView[], now: number): RetainedStates {
-    const worthKeeping = gone.filter(view =>
-        view.said !== undefined || view.restUntil !== undefined || announcedLeaving(view)
+export function retainDeparted(
+    retained: RetainedStates,
+    removed: readonly EndpointView[],
+    now: number,
+): RetainedStates {
+    const worthKeeping = removed.filter(view =>
+        view.announcedLimit !== undefined || view.restUntil !== undefined || announcedLeaving(view)
     );
-    if (before.size + worthKeeping.length === 0) return before;
-    const kept = [...before].filter(([, { goneAt }]) => now - goneAt < RETAIN_MS);
+    if (retained.size + worthKeeping.length === 0) return retained;
+    const kept = [...retained].filter(([, { removedAt }]) => now - removedAt < RETAIN_MS);
     const added = worthKeeping.map(view => {
-        const { cfg, said, restUntil } = view;
-        return [cfg.id, { said, restUntil, leaves: announcedLeaving(view), goneAt: now }] as const;
+        const { cfg, announcedLimit, restUntil } = view;
+        return [cfg.id, { announcedLimit, restUntil, isLeaving: announcedLeaving(view), removedAt: now }] as const;
     });
     return new Map([...kept, ...added]);
 }
@@ -44,6 +48,6 @@
 export function restoreRetained(view: EndpointView, states: RetainedStates, now: number): EndpointView {
     const known = states.get(view.cfg.id);
     if (!known) return view;
-    const { said, restUntil, leaves } = known;
-    return { ...setLeaving(view, "answer", leaves, now), said, restUntil };
+    const { announcedLimit, restUntil, isLeaving } = known;
+    return { ...setLeaving(view, "answer", isLeaving, now), announcedLimit, restUntil };
 }
--- a/packages/policy/src/dispatch.ts
+++ b/packages/policy/src/dispatch.ts
@@ -1,6 +1,6 @@
 /**
- * Dispatches placed requests and names the standbys for their copies. A host of a large fleet asks an owner for the
- * standby.
+ * Dispatches placed requests and chooses the standby endpoint that keeps a request's copy. In a large hall the host
+ * asks the owner of an endpoint for the standby.
  *
  * @module
  */
@@ -10,10 +10,13 @@
 import type { EndpointView } from "./endpoint.js";
 import { type Job, PRIORITY_RANK } from "./job.js";
 import { type Survival, survivalOf, survivalOfKnownLength } from "./length-estimate.js";
-import type { Decision, PendingStandbyAsk, SchedulerState } from "./scheduler-state.js";
+import type { Decision, PendingStandbyQuestion, SchedulerState } from "./scheduler-state.js";
 
-/** Up to this many hosts exchange their load often enough that owners are asked only about crowded endpoints. */
-const SMALL_FLEET_HOSTS = 12;
+/**
+ * In a hall of up to this many hosts, load reports are frequent enough that a host asks an owner only about crowded
+ * endpoints.
+ */
+const SMALL_HALL_HOSTS = 12;
 
 /** Distribution of a job's output length by the evidence so far. */
 export function survivalFor(state: SchedulerState, job: Job): Survival {
@@ -28,7 +31,7 @@
 
 /** Whether this host asks an owner for every request, whatever it knows itself. */
 export function alwaysAsksOwners(state: SchedulerState): boolean {
-    return asksOwners(state) && state.variant.askAlways && state.hosts > SMALL_FLEET_HOSTS;
+    return asksOwners(state) && state.variant.askAlways && state.hosts > SMALL_HALL_HOSTS;
 }
 
 /** Ids of all known endpoints that are not among `views`. */
@@ -37,7 +40,7 @@
     return state.endpoints.values().map(view => view.cfg.id).filter(id => !ids.has(id));
 }
 
-/** Whether a copy of the request should be kept. */
+/** Whether a standby endpoint should keep a copy of the request. */
 export function wantsBackup(state: SchedulerState, job: Job): boolean {
     return job.backUp === true && state.variant.backups;
 }
@@ -61,11 +64,15 @@
     return { state, actions: [{ kind: "dispatch", job: job.id, endpoint, priority, backUp: standby }] };
 }
 
-/** Asks an owner for the next standby of a running request; undefined if this host decides itself. */
-export function askStandby(
+/**
+ * Asks an owner for the next standby of a running request; undefined if this host decides itself.
+ *
+ * @param roomShare Share of an endpoint's memory that may be planned, the copy included.
+ */
+export function askOwnerForStandby(
     state: SchedulerState,
     job: string,
-    purpose: PendingStandbyAsk["purpose"],
+    purpose: PendingStandbyQuestion["purpose"],
     roomShare: number,
     now: number,
 ): Decision | undefined {
@@ -81,16 +88,16 @@
         backUp: true,
         standbyOf: { endpoint: from, roomShare },
     };
-    const askedStandby = new Map(state.askedStandby).set(job, { purpose, at: now });
+    const askedForStandby = new Map(state.askedForStandby).set(job, { purpose, at: now });
     // Any endpoint's owner can answer; the endpoint that the request leaves may no longer be declared.
     const endpoint = views[0]?.cfg.id ?? from;
-    return { state: { ...state, askedStandby }, actions: [{ kind: "ask", job, endpoint, question }] };
+    return { state: { ...state, askedForStandby }, actions: [{ kind: "ask", job, endpoint, question }] };
 }
 
 /** Handles an owner's answer about a standby. */
 export function onStandbyAnswer(state: SchedulerState, job: string, standby: string | undefined): Decision {
-    const { purpose } = state.askedStandby.get(job)!;
-    const next = { ...state, askedStandby: withoutKey(state.askedStandby, job) };
+    const { purpose } = state.askedForStandby.get(job)!;
+    const next = { ...state, askedForStandby: withoutKey(state.askedForStandby, job) };
     if (purpose === "evacuate") return evacuateAt(next, job, standby);
     const found = findRunning(next, job);
     if (!found) return { state: next, actions: [] };
@@ -99,9 +106,9 @@
 }
 
 /** Chooses a standby without the owner, which has not answered in time. */
-export function decideStandbyAlone(state: SchedulerState, job: string, now: number): Decision {
-    const { purpose } = state.askedStandby.get(job)!;
-    const next = { ...state, askedStandby: withoutKey(state.askedStandby, job) };
+export function decideStandbyWithoutOwner(state: SchedulerState, job: string, now: number): Decision {
+    const { purpose } = state.askedForStandby.get(job)!;
+    const next = { ...state, askedForStandby: withoutKey(state.askedForStandby, job) };
     if (purpose === "evacuate") return evacuate(next, job, now);
     const found = findRunning(next, job);
     return found ? dispatch(next, found.running.job, found.from, now) : { state: next, actions: [] };
--- a/packages/policy/src/endpoint-limit.ts
+++ b/packages/policy/src/endpoint-limit.ts
@@ -56,14 +56,14 @@
 }
 
 /** Requests per millisecond that all hosts together may send to a limited endpoint. */
-export function limitPerMs({ said }: EndpointView): number {
-    const { maxRequests, spanMs } = quotaOf(said?.limitPerS ?? 0);
+export function limitPerMs({ announcedLimit }: EndpointView): number {
+    const { maxRequests, spanMs } = quotaOf(announcedLimit?.limitPerS ?? 0);
     return maxRequests / spanMs;
 }
 
 /** Whether an endpoint announces a limit. */
-export function isLimited({ said }: EndpointView): boolean {
-    return said?.limitPerS !== undefined;
+export function isLimited({ announcedLimit }: EndpointView): boolean {
+    return announcedLimit?.limitPerS !== undefined;
 }
 
 /** Whether a host hears more than half of the hosts that it has known; at most one part of a divided fleet does. */
@@ -125,7 +125,7 @@
 
 /** Times from now at which a host may send the requests of its share to a limited endpoint, soonest first. */
 export function sendTimesWithinLimit(
-    { cfg: { id }, said }: EndpointView,
+    { cfg: { id }, announcedLimit: said }: EndpointView,
     times: readonly number[],
     fleet: Fleet,
     now: number,
@@ -150,7 +150,7 @@
  * ```
  */
 export function limitAdmits(view: EndpointView, times: readonly number[], fleet: Fleet, now: number): boolean {
-    const { cfg: { id }, said } = view;
+    const { cfg: { id }, announcedLimit: said } = view;
     if (!said || !isLimited(view)) return true;
     const [next] = sendTimesWithinLimit(view, times, fleet, now);
     if (next === 0) return true;
--- a/packages/policy/src/endpoint.ts
+++ b/packages/policy/src/endpoint.ts
@@ -113,7 +113,7 @@
     /** Evidence of its speed from the streams of all hosts, as far as this host knows it. */
     readonly speed: SpeedEvidence;
     /** Sums of the speed samples of this host's own streams. */
-    readonly shown: SpeedSums;
+    readonly ownSpeedSums: SpeedSums;
     readonly breaker: Breaker;
     /** Whether it can probably not be reached from this host; it is then tried only if nothing else is left. */
     readonly isInDoubt: boolean;
@@ -121,7 +121,7 @@
     /** Prompt prefixes that the endpoint has probably cached, with their tokens, least recently used first. */
     readonly prefixes: ReadonlyMap<string, number>;
     /** The limit that it announced; undefined before it announced anything. */
-    readonly said: KnownLimit | undefined;
+    readonly announcedLimit: KnownLimit | undefined;
     /** Until when it asked this host for rest, in milliseconds on the scheduler's clock; undefined if it never did. */
     readonly restUntil: number | undefined;
     /**
@@ -132,7 +132,7 @@
 }
 
 const NO_OTHERS: OthersLoad = { streams: 0, unread: 0, stalled: 0, curve: zeroCurve() };
-/** Maximum age of a load report: the users' engines lag by 0.5 to 5 s. */
+/** Maximum age of a load report: the reports of the users' endpoints lag by 0.5 to 5 s. */
 const MAX_REPORT_LAG_MS = 6_000;
 const MAX_PREFIXES = 64;
 /** Growth assumed for other hosts' streams while there are too few own streams to extrapolate from. */
@@ -154,12 +154,12 @@
         othersReceivedAt: undefined,
         pace: createPace(),
         speed: UNKNOWN_SPEED,
-        shown: NO_SPEED_SUMS,
+        ownSpeedSums: NO_SPEED_SUMS,
         breaker: CLOSED,
         isInDoubt: false,
         recentlyEnded: [],
         prefixes: new Map(),
-        said: undefined,
+        announcedLimit: undefined,
         restUntil: undefined,
         restartDoubtUntil: undefined,
     };
@@ -376,14 +376,14 @@
  *
  * @example
  * ```ts
- * applyAnnouncedLimit(view, { limitPerS: 2.3, at: now }, now).said?.limitPerS; // 2.3
+ * applyAnnouncedLimit(view, { limitPerS: 2.3, at: now }, now).announcedLimit?.limitPerS; // 2.3
  * ```
  */
 export function applyAnnouncedLimit(view: EndpointView, said: AnnouncedLimit, now: number): EndpointView {
-    const known = view.said;
+    const known = view.announcedLimit;
     if (known && known.at >= said.at) return view;
     const since = known?.limitPerS === said.limitPerS ? known?.since ?? now : now;
-    return { ...view, said: { ...said, since } };
+    return { ...view, announcedLimit: { ...said, since } };
 }
 
 /** Applies the endpoint's request for rest. The latest end time counts. */
--- a/packages/policy/src/forecast.ts
+++ b/packages/policy/src/forecast.ts
@@ -47,7 +47,8 @@
     const valid = rate !== undefined && now - rate.lastStart < DRAIN_VALID_MS ? rate : undefined;
     const since = Math.max(valid?.lastStart ?? -Infinity, waitingSince ?? now);
     const meanMs = valid?.meanMs ?? 0;
-    // A pause delays all positions once, by its own length.
+    // If no start has come for longer than the mean interval, that time delays the first position; the others follow at
+    // the mean interval.
     return Math.max(meanMs, now - since) + (position - 1) * meanMs;
 }
 
@@ -55,7 +56,7 @@
 export interface RetryTimes {
     /** The latest retry time given out. */
     readonly last: number;
-    /** When the current spell of overload, a run of refusals, began. */
+    /** When the current overload began: a series of refusals without a gap of {@link OVERLOAD_GAP_MS}. */
     readonly overloadSince: number;
     /** When a caller was last refused. */
     readonly refusedAt: number;
@@ -64,20 +65,20 @@
 /** No retry time has been given out. */
 export const NO_RETRY_TIMES: RetryTimes = { last: -Infinity, overloadSince: -Infinity, refusedAt: -Infinity };
 
-/** A refusal this long after the previous one begins a new spell of overload, in milliseconds. */
+/** A refusal this long after the previous one begins a new overload, in milliseconds. */
 const OVERLOAD_GAP_MS = 2_000;
 /**
  * The duration of an overload is unknown, but the longer it has lasted, the longer it lasts on average: after twice the
- * time that it has lasted, two of three such spells are over (Lindy's law, Pareto tail of index 1). Callers who retried
+ * time that it has lasted, two of three overloads are over (Lindy's law, Pareto tail of index 1). Callers who retried
  * at the next free slot were mostly refused again, as new requests kept arriving: in a replay of ten seconds at twice
- * the engines' throughput, 29 of 48 retries are served without this factor and 34 of 47 with it. Longer times gain
+ * the endpoints' throughput, 29 of 48 retries are served without this factor and 34 of 47 with it. Longer times gain
  * nothing beyond noise.
  */
 const OVERLOAD_FACTOR = 2;
 
 /**
  * Retry time for one more refused caller, in milliseconds from now: after the forecast capacity, after callers refused
- * earlier, and once the spell of overload has probably ended.
+ * earlier, and once the overload has probably ended.
  *
  * @param capacityMs Time until capacity is forecast.
  * @param intervalMs Time between two slots that come free.
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -73,14 +73,14 @@
     earnRetry,
     type FleetRetryBudget,
     type RetryBudget,
-    spendRepeat,
+    spendFleetRetry,
     spendRetry,
 } from "./retry-budget.js";
 export {
     createScheduler,
     type Decision,
     type JobOutcome,
-    type PendingAsk,
+    type PendingQuestion,
     type RefuseReason,
     type SchedulerAction,
     type SchedulerEvent,
--- a/packages/policy/src/job.ts
+++ b/packages/policy/src/job.ts
@@ -17,7 +17,7 @@
     readonly rank: number;
     /** Relative share of a model's capacity that its workspace may hold while requests of several workspaces wait. */
     readonly weight: number;
-    /** Probability with which the admitted streams must fit the engine's memory over the horizon. */
+    /** Probability with which the admitted streams must fit the endpoint's memory over the horizon. */
     readonly quantile: number;
     /** Target for the largest gap between two pieces of the answer. */
     readonly gapTargetMs: number;
--- a/packages/policy/src/memory-account.ts
+++ b/packages/policy/src/memory-account.ts
@@ -6,7 +6,7 @@
  * It guards against many readers at once that read slowly or not at all. Each is served as if it were alone while there
  * is room; as the budget fills, the largest holders are paused first.
  *
- * Pure. Sizes are bytes, times milliseconds on the caller's clock.
+ * Pure. Sizes are bytes, times milliseconds on the clock by which `now` is given.
  *
  * @module
  */
--- a/packages/policy/src/memory-curve.ts
+++ b/packages/policy/src/memory-curve.ts
@@ -1,5 +1,5 @@
 /**
- * Projected memory of an engine's running streams, as a curve over the tokens to come.
+ * Projected memory of an endpoint's running streams, as a curve over the tokens to come.
  *
  * At each point of the horizon a stream that is still running holds its prompt and the tokens that it has produced by
  * then. A sum over streams has a mean and a variance; the peak is taken at a quantile by the normal approximation.
@@ -8,7 +8,7 @@
  */
 import { chanceToReach, type Survival } from "./length-estimate.js";
 
-/** Points of the horizon, in tokens from now. The streams of one engine advance together, one token per step. */
+/** Points of the horizon, in tokens from now. The streams of one endpoint advance together, one token per step. */
 export const HORIZON_TOKENS: readonly number[] = [0, 32, 96, 224, 480, 992, 2_016, 4_064, 8_160];
 
 /** Mean and variance of the tokens held at each point of {@link HORIZON_TOKENS}. */
--- a/packages/policy/src/owner-answers.ts
+++ b/packages/policy/src/owner-answers.ts
@@ -20,7 +20,7 @@
     { job, endpoint, standby, unread }: Extract<SchedulerEvent, { kind: "answer" }>,
     now: number,
 ): Decision {
-    if (state.askedStandby.has(job)) return onStandbyAnswer(state, job, standby);
+    if (state.askedForStandby.has(job)) return onStandbyAnswer(state, job, standby);
     const asked = state.asked.get(job);
     if (!asked) return { state, actions: [] };
     const cancelled = cancelAsk(state, job, now);
@@ -48,7 +48,7 @@
  * Decides without the owner, which has not answered. The request is sent only if the endpoint still takes new work;
  * otherwise it goes back to the queue.
  */
-export function decideAlone(state: SchedulerState, job: string, now: number): Decision {
+export function decideWithoutOwner(state: SchedulerState, job: string, now: number): Decision {
     const { waiting, endpoint } = state.asked.get(job)!;
     const view = state.endpoints.get(endpoint);
     if (view && takesNew(view) && maySend(state, view, now)) {
--- a/packages/policy/src/pace.ts
+++ b/packages/policy/src/pace.ts
@@ -1,5 +1,5 @@
 /**
- * Model of an engine's decode pace: the time between tokens as a linear function of the batch size, with a margin for
+ * Model of an endpoint's decode pace: the time between tokens as a linear function of the batch size, with a margin for
  * the tail, fitted per endpoint from its own streams.
  *
  * @module
--- a/packages/policy/src/place.ts
+++ b/packages/policy/src/place.ts
@@ -33,19 +33,19 @@
 /**
  * Places a request at the best endpoint with capacity; undefined if none has any.
  *
- * @param includeDoubted Whether endpoints that can probably not be reached are tried as well.
+ * @param includeInDoubt Whether endpoints in doubt, i.e. those that this host can probably not reach, are tried as well.
  */
 export function place(
     state: SchedulerState,
     waiting: WaitingRequest,
     now: number,
-    includeDoubted = false,
+    includeInDoubt = false,
 ): Decision | undefined {
     const { job, noCapacityAt } = waiting;
     if (noCapacityAt !== undefined && now - noCapacityAt < ASK_AGAIN_MS) return undefined;
     const survival = survivalFor(state, job);
     const profile = profileOf(job, survival, now - waiting.since);
-    const views = usableEndpoints(state.endpoints.values(), profile.demand, waiting.avoid, now, includeDoubted);
+    const views = usableEndpoints(state.endpoints.values(), profile.demand, waiting.avoid, now, includeInDoubt);
     const candidates = views.filter(view => maySend(state, view, now))
         .map(view => assess(view, profile, state, now))
         .filter(candidate => candidate !== undefined);
@@ -82,7 +82,7 @@
  * Places a request that would otherwise be refused for lack of capacity, also at endpoints in doubt: they may be
  * reachable after all.
  */
-export function placeIncludingDoubted(
+export function placeIncludingInDoubt(
     state: SchedulerState,
     waiting: WaitingRequest,
     now: number,
--- a/packages/policy/src/prefill-rate.ts
+++ b/packages/policy/src/prefill-rate.ts
@@ -1,5 +1,5 @@
 /**
- * How long engines take to prefill prompts, measured from each request's time to first token.
+ * How long endpoints take to prefill prompts, measured from each request's time to first token.
  *
  * @module
  */
--- a/packages/policy/src/retry-budget.ts
+++ b/packages/policy/src/retry-budget.ts
@@ -47,25 +47,25 @@
 }
 
 /**
- * The budget of one host for repeated sends: its share of a budget that all hosts have together, over a sliding window.
+ * The budget of one host for retries: its share of a budget that all hosts have together, over a sliding window.
  */
 export interface FleetRetryBudget {
     /** Length of the window, in milliseconds. */
     readonly windowMs: number;
-    /** Repeated sends allowed for each request of this host. */
+    /** Retries allowed for each request of this host. */
     readonly ratio: number;
-    /** Repeated sends of all hosts together that are allowed beyond that in each window. */
+    /** Retries of all hosts together that are allowed beyond that in each window. */
     readonly slack: number;
     /** The largest number of hosts alive at one time. A host that is cut off must not take the others' shares. */
     readonly maxHosts: number;
-    /** Requests and repeated sends of this host, counted by slice of the window, oldest first. */
+    /** Requests and retries of this host, counted by slice of the window, oldest first. */
     readonly slices: readonly Slice[];
 }
 
 interface Slice {
     readonly number: number;
     readonly requests: number;
-    readonly repeats: number;
+    readonly retries: number;
 }
 
 /** Fleet size that a host assumes before it has heard from others: the users' smallest fleet has six. */
@@ -92,12 +92,12 @@
     return { ...bounds, maxHosts: ASSUMED_HOSTS, slices: [] };
 }
 
-function count(budget: FleetRetryBudget, now: number, requests: number, repeats: number): FleetRetryBudget {
+function count(budget: FleetRetryBudget, now: number, requests: number, retries: number): FleetRetryBudget {
     const number = Math.floor(now / budget.windowMs * SLICES);
     // Part of the oldest slice may still lie in the window, so one slice more than a window is kept.
     const kept = budget.slices.filter(slice => slice.number >= number - SLICES && slice.number !== number);
-    const current = budget.slices.find(slice => slice.number === number) ?? { number, requests: 0, repeats: 0 };
-    const next = { number, requests: current.requests + requests, repeats: current.repeats + repeats };
+    const current = budget.slices.find(slice => slice.number === number) ?? { number, requests: 0, retries: 0 };
+    const next = { number, requests: current.requests + requests, retries: current.retries + retries };
     return { ...budget, slices: [...kept, next] };
 }
 
@@ -107,21 +107,21 @@
 }
 
 /**
- * Returns the budget after paying for a repeated send; undefined if this host's share is used up.
+ * Returns the budget after paying for a retry; undefined if this host's share is used up.
  *
  * @param hosts Number of hosts believed to be alive, including this one.
  *
  * @example
  * ```ts
- * const paid = spendRepeat(budget, 9, now);
+ * const paid = spendFleetRetry(budget, 9, now);
  * if (!paid) refuse();
  * ```
  */
-export function spendRepeat(budget: FleetRetryBudget, hosts: number, now: number): FleetRetryBudget | undefined {
+export function spendFleetRetry(budget: FleetRetryBudget, hosts: number, now: number): FleetRetryBudget | undefined {
     const current = count(budget, now, 0, 0);
     const requests = current.slices.reduce((sum, slice) => sum + slice.requests, 0);
-    const repeats = current.slices.reduce((sum, slice) => sum + slice.repeats, 0);
+    const retries = current.slices.reduce((sum, slice) => sum + slice.retries, 0);
     const maxHosts = Math.max(budget.maxHosts, hosts);
     const allowed = USED_SHARE * (budget.ratio * requests + budget.slack / maxHosts);
-    return repeats + 1 <= allowed ? { ...count(current, now, 0, 1), maxHosts } : undefined;
+    return retries + 1 <= allowed ? { ...count(current, now, 0, 1), maxHosts } : undefined;
 }
--- a/packages/policy/src/scheduler-state.ts
+++ b/packages/policy/src/scheduler-state.ts
@@ -45,22 +45,22 @@
     /** Endpoints that this host owns. */
     readonly owned: ReadonlySet<string>;
     /** Requests for which an owner was asked and has not answered yet. */
-    readonly asked: ReadonlyMap<string, PendingAsk>;
+    readonly asked: ReadonlyMap<string, PendingQuestion>;
     /** Running requests for which an owner was asked for a standby. */
-    readonly askedStandby: ReadonlyMap<string, PendingStandbyAsk>;
+    readonly askedForStandby: ReadonlyMap<string, PendingStandbyQuestion>;
     /** Counter of choices: the turn of round robin and the seed of two random choices. */
     readonly turn: number;
 }
 
 /** A request that waits for an owner's answer. Its stream is already counted at the endpoint that was asked for. */
-export interface PendingAsk {
+export interface PendingQuestion {
     readonly waiting: WaitingRequest;
     readonly endpoint: string;
     readonly at: number;
 }
 
 /** A running request for which an owner was asked for the next standby. */
-export interface PendingStandbyAsk {
+export interface PendingStandbyQuestion {
     /**
      * `evacuate`: its endpoint is leaving. `continue`: it continues at another endpoint once the next standby is known.
      */
@@ -235,7 +235,7 @@
         fleet: ALONE,
         letIn: new Map(),
         asked: new Map(),
-        askedStandby: new Map(),
+        askedForStandby: new Map(),
         turn: seed,
     };
 }
--- a/packages/policy/src/scheduler.ts
+++ b/packages/policy/src/scheduler.ts
@@ -2,7 +2,7 @@
  * One host's decisions about where and when requests run: `decide(state, event, now)`.
  *
  * Pure: the same state, event and time give the same result, so the decisions of many hosts can be driven from one
- * process. Times are milliseconds on one clock of the caller's choice.
+ * process. Times are milliseconds on the clock by which `now` is given.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import { BACKUP_MEMORY_SHARE, EVACUATION_MEMORY_SHARE } from "./choose.js";
 import { mayContinueWhileCold } from "./cold.js";
 import { restoreRetained, retainDeparted } from "./departed-endpoints.js";
-import { askStandby, decideStandbyAlone, dispatch, wantsBackup } from "./dispatch.js";
+import { askOwnerForStandby, decideStandbyWithoutOwner, dispatch, wantsBackup } from "./dispatch.js";
 import { recordAdmission } from "./endpoint-admission.js";
 import { isLimited, limitAdmits } from "./endpoint-limit.js";
 import { EndpointTable } from "./endpoint-table.js";
@@ -30,7 +30,7 @@
     type RunningStream,
     setLeaving,
 } from "./endpoint.js";
-import { decideAlone, onOwnerAnswer } from "./owner-answers.js";
+import { decideWithoutOwner, onOwnerAnswer } from "./owner-answers.js";
 import { cancelAsk } from "./place.js";
 import { isServable, NO_ENDPOINT_RETRY_MS, refuse } from "./refusal.js";
 import {
@@ -149,7 +149,7 @@
     ended: (state, { job, outcome, produced }, now) => serveQueue(onEnded(state, job, outcome, produced, now), now),
     continue: (state, { job, failed }, now) => continueAtStandby(state, job, failed, now),
     evacuate: (state, { job }, now) =>
-        askStandby(state, job, "evacuate", EVACUATION_MEMORY_SHARE, now) ?? evacuate(state, job, now),
+        askOwnerForStandby(state, job, "evacuate", EVACUATION_MEMORY_SHARE, now) ?? evacuate(state, job, now),
     said: (state, { endpoint, said }, now) => ({
         state: updateEndpoint(state, endpoint, view => applyAnnouncedLimit(view, said, now)),
         actions: [],
@@ -188,13 +188,13 @@
         let next = state;
         for (const [id, { at }] of state.asked) {
             if (now - at < ASK_TIMEOUT_MS) continue;
-            const settled = decideAlone(next, id, now);
+            const settled = decideWithoutOwner(next, id, now);
             next = settled.state;
             actions.push(...settled.actions);
         }
-        for (const [id, { at }] of state.askedStandby) {
+        for (const [id, { at }] of state.askedForStandby) {
             if (now - at < ASK_TIMEOUT_MS) continue;
-            const settled = decideStandbyAlone(next, id, now);
+            const settled = decideStandbyWithoutOwner(next, id, now);
             next = settled.state;
             actions.push(...settled.actions);
         }
@@ -255,7 +255,7 @@
         letIn: isLimited(keeper) ? recordAdmission(promoted.letIn, keeper, now) : promoted.letIn,
     };
     const asks = wantsBackup(next, running.job)
-        ? askStandby(next, job, "continue", BACKUP_MEMORY_SHARE, now)
+        ? askOwnerForStandby(next, job, "continue", BACKUP_MEMORY_SHARE, now)
         : undefined;
     return asks ?? dispatch(next, running.job, standby, now);
 }
--- a/packages/policy/src/speed-tracking.ts
+++ b/packages/policy/src/speed-tracking.ts
@@ -45,8 +45,12 @@
     now: number,
 ): SchedulerState {
     const estimatesHere = state.hosts <= 1 || state.owned.has(endpoint);
-    const shown = updateEndpoint(state, endpoint, view => ({ ...view, shown: addSpeedSample(view.shown, sample) }));
-    return recordSamples(shown, endpoint, [sample], estimatesHere ? OWN_HOST : undefined, now);
+    const counted = updateEndpoint(
+        state,
+        endpoint,
+        view => ({ ...view, ownSpeedSums: addSpeedSample(view.ownSpeedSums, sample) }),
+    );
+    return recordSamples(counted, endpoint, [sample], estimatesHere ? OWN_HOST : undefined, now);
 }
 
 /** Records, as the endpoint's owner, the sums that another host sent. */
--- a/packages/policy/src/stream-events.ts
+++ b/packages/policy/src/stream-events.ts
@@ -70,8 +70,8 @@
     produced: number,
     now: number,
 ): SchedulerState {
-    const state = before.askedStandby.has(job)
-        ? { ...before, askedStandby: withoutKey(before.askedStandby, job) }
+    const state = before.askedForStandby.has(job)
+        ? { ...before, askedForStandby: withoutKey(before.askedForStandby, job) }
         : before;
     const id = getIn(state.placed, job);
     const running = id === undefined ? undefined : state.endpoints.get(id)?.streams.get(job);
--- a/packages/policy/test/backups.test.ts
+++ b/packages/policy/test/backups.test.ts
@@ -13,7 +13,7 @@
     keepsCopy,
     type SchedulerEvent,
     type SchedulerState,
-    spendRepeat,
+    spendFleetRetry,
     type Variant,
 } from "../src/index.js";
 import { makeJob } from "./job.js";
@@ -306,7 +306,7 @@
     let budget: FleetRetryBudget | undefined = start;
     let taken = 0;
     for (;;) {
-        budget = spendRepeat(budget, hosts, now);
+        budget = spendFleetRetry(budget, hosts, now);
         if (!budget) return taken;
         taken += 1;
     }
@@ -322,7 +322,7 @@
 
 test("a host that hears few others does not take their shares of the retry budget", t => {
     let budget = budgetAfter(0);
-    budget = spendRepeat(budget, 20, 0)!;
+    budget = spendFleetRetry(budget, 20, 0)!;
     t.true(repeatsOf(budget, 1) <= repeatsOf(budgetAfter(0), 20));
 });
 
@@ -330,9 +330,9 @@
     const used = budgetAfter(200);
     const most = repeatsOf(used, 6);
     let spent: FleetRetryBudget = used;
-    for (let at = 0; at < most; at++) spent = spendRepeat(spent, 6, 0)!;
-    t.is(spendRepeat(spent, 6, 9_000), undefined);
-    t.not(spendRepeat(spent, 6, 12_000), undefined);
+    for (let at = 0; at < most; at++) spent = spendFleetRetry(spent, 6, 0)!;
+    t.is(spendFleetRetry(spent, 6, 9_000), undefined);
+    t.not(spendFleetRetry(spent, 6, 12_000), undefined);
 });
 
 const FULL: SchedulerEvent = {
--- a/packages/policy/test/uneven-choice.test.ts
+++ b/packages/policy/test/uneven-choice.test.ts
@@ -19,11 +19,11 @@
 const TARGET_MS = 180;
 const PIECE_TOKENS = 4;
 /** Prefilling a prompt takes as long as this many gaps. */
-const READ_GAPS = 10;
+const PREFILL_GAPS = 10;
 
 /**
- * A single host. A slow endpoint takes `slowGapMs` for a gap and a fast one 35 ms; every third stretch has a pause of
- * 3.5 gaps.
+ * A single host. Streams of a slow endpoint have a mean gap of `slowGapMs` between pieces, those of a fast one 35 ms. A
+ * stretch is the part of a stream between two progress reports; in every third one the longest gap is 3.5 mean gaps.
  */
 class Host {
     state: SchedulerState;
@@ -32,10 +32,10 @@
     constructor(readonly slowGapMs: number, variant: Partial<Variant> = {}) {
         this.state = createScheduler({ ...DEFAULT_VARIANT, prefix: false, forecast: true, ...variant }, 1);
         const endpoints = NAMES.map(id => ({ id, hall: "h", models: ["m"], memoryTokens: 30_000 }));
-        this.tell({ kind: "endpoints", endpoints });
+        this.handle({ kind: "endpoints", endpoints });
     }
 
-    tell(event: SchedulerEvent): readonly SchedulerAction[] {
+    handle(event: SchedulerEvent): readonly SchedulerAction[] {
         const { state, actions } = decide(this.state, event, this.now);
         this.state = state;
         return actions;
@@ -45,16 +45,16 @@
         return endpoint.startsWith("slow") ? this.slowGapMs : 35;
     }
 
-    /** Sends a request; returns its endpoint, or what became of it otherwise. */
+    /** Sends a request; returns its endpoint, or the kind of the action if it was not dispatched. */
     send(job: Job): string {
-        const [action] = this.tell({ kind: "arrive", job, avoid: [], retry: false });
+        const [action] = this.handle({ kind: "arrive", job, avoid: [], retry: false });
         return action?.kind === "dispatch" ? action.endpoint : action?.kind ?? "waits";
     }
 
     /** Prefills a sent request's prompt: its first piece arrives. */
     begin(job: Job, endpoint: string): void {
-        this.now += READ_GAPS * this.gapOf(endpoint);
-        this.tell({ kind: "progress", job: job.id, produced: PIECE_TOKENS, meanGapMs: 0, maxGapMs: 0 });
+        this.now += PREFILL_GAPS * this.gapOf(endpoint);
+        this.handle({ kind: "progress", job: job.id, produced: PIECE_TOKENS, meanGapMs: 0, maxGapMs: 0 });
     }
 
     /** Advances a stream by one stretch of pieces; every third stretch has a pause. */
@@ -62,7 +62,7 @@
         const meanGapMs = this.gapOf(endpoint);
         const maxGapMs = meanGapMs * (stretch % 3 === 0 ? 3.5 : 1.5);
         const produced = PIECE_TOKENS * (1 + 16 * stretch);
-        this.tell({ kind: "progress", job: job.id, produced, meanGapMs, maxGapMs });
+        this.handle({ kind: "progress", job: job.id, produced, meanGapMs, maxGapMs });
     }
 
     /** Runs streams one after the other, from which the host learns each endpoint's speed. */
@@ -76,21 +76,21 @@
                     this.now += 200;
                     this.advance(job, endpoint, stretch);
                 }
-                this.tell({ kind: "ended", job: job.id, outcome: "whole", produced: 800 });
+                this.handle({ kind: "ended", job: job.id, outcome: "whole", produced: 800 });
             }
         }
     }
 
     lateness(job: Job): ReadonlyMap<string, number | undefined> {
-        const wanted = profileOf(job, survivalOf(this.state.estimates, job.group, job.maxTokens));
+        const profile = profileOf(job, survivalOf(this.state.estimates, job.group, job.maxTokens));
         const views = this.state.endpoints.values();
-        return new Map(views.map(view => [view.cfg.id, assess(view, wanted, this.state, this.now)?.lateness]));
+        return new Map(views.map(view => [view.cfg.id, assess(view, profile, this.state, this.now)?.lateness]));
     }
 
     /** Sets the memory of an endpoint that other hosts hold. */
     holdMemory(endpoint: string, tokens: number): void {
         const curve = { mean: new Float64Array(9).fill(tokens), variance: new Float64Array(9) };
-        this.tell({ kind: "others", endpoint, others: { streams: 4, unread: 0, stalled: 0, curve } });
+        this.handle({ kind: "others", endpoint, others: { streams: 4, unread: 0, stalled: 0, curve } });
     }
 }
 
@@ -149,12 +149,12 @@
 test("the pause while a stream moves to its standby does not count against the standby's speed", t => {
     const host = new Host(70, { backups: true });
     const job = { ...longStream("r"), backUp: true };
-    const [sent] = host.tell({ kind: "arrive", job, avoid: [], retry: false });
+    const [sent] = host.handle({ kind: "arrive", job, avoid: [], retry: false });
     const { endpoint, backUp } = sent as Extract<SchedulerAction, { kind: "dispatch" }>;
     host.begin(job, endpoint);
     host.advance(job, endpoint, 1);
-    host.tell({ kind: "continue", job: job.id, failed: true });
-    const shown = (): number => host.state.endpoints.get(backUp!)!.shown.stretches;
+    host.handle({ kind: "continue", job: job.id, failed: true });
+    const shown = (): number => host.state.endpoints.get(backUp!)!.ownSpeedSums.stretches;
     host.advance(job, backUp!, 2);
     t.is(shown(), 0);
     host.advance(job, backUp!, 3);
--- a/packages/standins/src/experiment.ts
+++ b/packages/standins/src/experiment.ts
@@ -8,7 +8,7 @@
 import {
     askOwner,
     createLoadExchange,
-    HOLDER_REPORT_INTERVAL_MS,
+    HOST_REPORT_INTERVAL_MS,
     type LoadExchange,
     type LoadExchangeStep,
     type LoadMessage,
@@ -205,11 +205,11 @@
 
     private runExchangeRound(host: number, now: number): void {
         this.schedule(
-            now + Math.min(this.reportIntervalMs, HOLDER_REPORT_INTERVAL_MS),
+            now + Math.min(this.reportIntervalMs, HOST_REPORT_INTERVAL_MS),
             later => this.runExchangeRound(host, later),
         );
         const sim = this.hosts[host]!;
-        const othersEveryMs = this.reportIntervalMs <= HOLDER_REPORT_INTERVAL_MS ? 0 : this.reportIntervalMs;
+        const othersEveryMs = this.reportIntervalMs <= HOST_REPORT_INTERVAL_MS ? 0 : this.reportIntervalMs;
         this.applyExchangeStep(
             host,
             runLoadRound(sim.exchange, sim.state.endpoints, this.hostNames, now, othersEveryMs),
--- a/packages/standins/src/mutations.ts
+++ b/packages/standins/src/mutations.ts
@@ -160,8 +160,8 @@
     {
         promise: "two askers cannot both have the last room",
         file: "packages/hall/src/load-account.ts",
-        find: "others: addLoad(previous, granted, 1), at: now };",
-        replace: "others: previous, at: now };",
+        find: "load: addLoad(previous, granted, 1), at: now };",
+        replace: "load: previous, at: now };",
         tests: [HALL],
     },
     {
--- a/packages/standins/src/speed-mutations.ts
+++ b/packages/standins/src/speed-mutations.ts
@@ -97,8 +97,8 @@
     {
         promise: "only what is new is told",
         file: LOAD_SHARE,
-        find: "previous?.load.allShown ?? NO_SPEED_SUMS",
-        replace: "NOTHING_SHOWN",
+        find: "previous?.load.allSamples ?? NO_SPEED_SUMS",
+        replace: "NO_SPEED_SUMS",
         tests: [WORDS],
     },
     {
