--- a/packages/standins/src/memory-mutations.ts
+++ b/packages/standins/src/memory-mutations.ts
@@ -178,7 +178,7 @@
         promise: "memory: a completion's body is refused before it is read",
         file: "packages/host/src/calls/callers-server.ts",
         find: "if (bytes === 0 || memory.reserveBody(bytes)) return done();",
-        replace: "if (memory.takeIn(0)) return done();",
+        replace: "if (memory.reserveBody(0)) return done();",
         tests: [COMPLETIONS],
     },
     {
