--- a/packages/host/src/calls/callers-server.ts
+++ b/packages/host/src/calls/callers-server.ts
@@ -145,7 +145,7 @@
         writeError(reply.raw, err, { "x-request-id": req.id, ...close });
         return undefined;
     };
-    if (host.runs.stopping) return refuse(STOPPING);
+    if (host.openRequests.stopping) return refuse(STOPPING);
     const directory = host.feed.directory;
     if (!directory) return refuse(NOT_READY);
     const secret = /^Bearer (\S+)$/.exec(req.headers.authorization ?? "")?.[1];
--- a/packages/host/src/calls/forward-attempt.ts
+++ b/packages/host/src/calls/forward-attempt.ts
@@ -46,16 +46,16 @@
     readonly path: string;
     readonly send: AttemptHead;
     readonly body: Buffer | undefined;
-    /** What earlier attempts have sent to the caller; undefined if nothing. */
-    readonly before: SentBefore | undefined;
+    /** What the caller has received from earlier attempts; undefined if nothing. */
+    readonly alreadySent: SentBefore | undefined;
     /** When a silent stream counts as lost; undefined if it could not continue elsewhere. */
     readonly silence: SilenceCfg | undefined;
     readonly sink: AttemptSink<AnswerPiece>;
     /** Returns whether more of the answer may be read now; if not, calls back when it may. */
     readonly whenRoom: (resume: () => void) => boolean;
-    /** Returns how many bytes of an incomplete answer may be held. */
+    /** Returns how many bytes of an incomplete answer or event the attempt may hold. */
     readonly holdLimit: () => number;
-    /** Called with the number of bytes of the answer that are held now. */
+    /** Called with the number of bytes of the answer that the attempt holds now. */
     readonly onHeld: (bytes: number) => void;
     /**
      * Receives a function that returns for how long the endpoint has not read all of the body, in milliseconds; 0 if it
@@ -75,16 +75,16 @@
     /** Called when the endpoint refuses the call because it is not the incarnation that the call names. */
     readonly onMisdirected: () => void;
     /** Aborts when the endpoint's incarnation is known to be over: its connection may stay silent forever. */
-    readonly life: AbortSignal;
+    readonly incarnationSignal: AbortSignal;
     readonly signal: AbortSignal;
 }
 
 /**
- * Answers up to this size are held until they are complete, so that the call can still be retried or refused if they
- * break.
+ * The host holds an answer up to this size until it is complete, so that it can still retry or refuse the call if the
+ * connection breaks.
  */
 const MAX_HELD_BYTES = 262_144;
-/** Events are forwarded as a whole; larger ones are accepted only if there is memory for them. */
+/** The host forwards events as a whole, and accepts larger ones than this only if it has memory for them. */
 const MAX_EVENT_BYTES = 1_000_000;
 /** Answers with this status or above are errors of the endpoint. */
 const MIN_FAILED_STATUS = 500;
@@ -113,7 +113,7 @@
     private held: Buffer[] = [];
     private heldBytes = 0;
     private pieces: number;
-    /** Whether the first event with an id was compared with what was sent before. */
+    /** Whether the first event with an id was compared with what the caller has already received. */
     private hasCheckedFirstId = false;
     /** Whether an event with data but without an id was reported after the last event with an id. */
     private lastDataHasNoId = false;
@@ -127,16 +127,16 @@
         private readonly wire: PlatformWire,
         private readonly attempt: ForwardAttempt,
     ) {
-        this.pieces = attempt.before?.pieces ?? 0;
+        this.pieces = attempt.alreadySent?.pieces ?? 0;
         this.pauses = new ReadPauses(attempt.now);
         const { silence } = attempt;
         this.silence = silence && new SilenceWatch(silence, detail => this.reportLoss("idle", detail));
     }
 
     start(): void {
-        const { endpoint, method, path, send, body, life, signal } = this.attempt;
+        const { endpoint, method, path, send, body, incarnationSignal, signal } = this.attempt;
         signal.addEventListener("abort", () => this.onAbort(), { once: true });
-        life.addEventListener("abort", this.onLifeOver, { once: true });
+        incarnationSignal.addEventListener("abort", this.onIncarnationOver, { once: true });
         const call = { method, path, headers: this.wire.encodeAttemptHead(send), body };
         this.attempt.trackBodyStall(() => this.bodyUnreadMs);
         this.exchange = this.connections.send(endpoint.address, call, this);
@@ -151,13 +151,13 @@
     onHead(status: number, headers: RawHeaders): void {
         // Ignores informational responses.
         if (this.hasEnded || status < 200) return;
-        const { id, send, sink, before, onAnswered, onSelfReport } = this.attempt;
+        const { id, send, sink, alreadySent, onAnswered, onSelfReport } = this.attempt;
         this.status = status;
         this.head = this.wire.decodeAnswerHead(headers);
         onAnswered(status, this.head);
         // An answer to another call is a late one, and the answer to a misdirected call comes from another incarnation.
         if (this.head.id === send.call.id && status !== MISDIRECTED) onSelfReport(status, this.head);
-        this.verdict = judgeAnswer(send.call.id, status, this.head, before);
+        this.verdict = judgeAnswer(send.call.id, status, this.head, alreadySent);
         if (this.verdict.kind === "invalid") return this.reportLoss("invalid", this.verdict.detail);
         if (this.verdict.kind === "refused") return;
         sink.report({ kind: "opened", attempt: id, generation: id });
@@ -190,7 +190,7 @@
         if (!this.hasEnded) this.onConnectionLost(errText(err));
     }
 
-    private readonly onLifeOver = (): void => {
+    private readonly onIncarnationOver = (): void => {
         if (!this.hasEnded) this.onConnectionLost("the endpoint has begun another life");
     };
 
@@ -223,7 +223,7 @@
 
     /** Whether this attempt has reported a piece. */
     private get hasReported(): boolean {
-        return this.pieces > (this.attempt.before?.pieces ?? 0);
+        return this.pieces > (this.attempt.alreadySent?.pieces ?? 0);
     }
 
     private reportRefusal(): void {
@@ -250,10 +250,10 @@
 
     /** Whether a continuation may start with this event: it must neither repeat nor skip events. */
     private mayStartWith(id: string | undefined): boolean {
-        const { before } = this.attempt;
-        if (before === undefined || id === undefined || this.hasCheckedFirstId) return true;
+        const { alreadySent } = this.attempt;
+        if (alreadySent === undefined || id === undefined || this.hasCheckedFirstId) return true;
         this.hasCheckedFirstId = true;
-        return canFollow(before, id);
+        return canFollow(alreadySent, id);
     }
 
     /**
@@ -262,8 +262,9 @@
      */
     private get endsWithinEvent(): boolean {
         const isPartial = this.splitter !== undefined && this.splitter.unfinished.length > 0;
-        const { before, send } = this.attempt;
-        return isPartial && (before !== undefined || this.head?.framed === false && send.standbyAddress !== undefined);
+        const { alreadySent, send } = this.attempt;
+        return isPartial
+            && (alreadySent !== undefined || this.head?.framed === false && send.standbyAddress !== undefined);
     }
 
     private reportHeld(): void {
@@ -307,7 +308,7 @@
 
     private stopWatching(): void {
         this.silence?.stop();
-        this.attempt.life.removeEventListener("abort", this.onLifeOver);
+        this.attempt.incarnationSignal.removeEventListener("abort", this.onIncarnationOver);
     }
 
     private releaseConnection(): void {
--- a/packages/host/src/calls/forward-call.ts
+++ b/packages/host/src/calls/forward-call.ts
@@ -29,12 +29,12 @@
     readonly engines: Placement;
     /** Schedules calls of plain services. */
     readonly plain: Placement;
-    readonly runs: OpenRequests;
+    readonly openRequests: OpenRequests;
     readonly copies: GenerationCopies;
     /** Accounts for the memory that calls hold. */
     readonly memory: HostMemory;
-    /** Receives what endpoints state about themselves in their answers, such as a limit. */
-    readonly words: EndpointNotices;
+    /** Receives the notices that endpoints add to their answers, such as a limit. */
+    readonly notices: EndpointNotices;
     readonly signal: AbortSignal;
     /** Time limit for a caller to send a body, in milliseconds. */
     readonly bodyTimeoutMs: number;
@@ -57,13 +57,13 @@
     /** When the host exits, in milliseconds on the monotonic clock; undefined unless it is shutting down. */
     exitsAt(): number | undefined;
     /** Signals that abort when an incarnation of an endpoint is over. */
-    readonly lives: IncarnationSignals;
+    readonly incarnationSignals: IncarnationSignals;
     /** Withholds requests that crash the endpoints that run them. */
     readonly guard: RequestGuard;
     /** Called when an endpoint refused a call because another incarnation runs at its address. */
     onMisdirected(incarnation: string): void;
     /** Called when a later incarnation of an endpoint has answered than the one that was called. */
-    meetLife(life: IncarnationId): void;
+    learnIncarnation(incarnation: IncarnationId): void;
 }
 
 /** A call, with what is fixed when it arrives. */
--- a/packages/host/src/calls/forward-runner.ts
+++ b/packages/host/src/calls/forward-runner.ts
@@ -70,7 +70,7 @@
                         : continuationOf(progress, head.id, endpoint, copy),
                 },
                 body: progress.body,
-                before: sentBefore(progress, continueAt),
+                alreadySent: sentBefore(progress, continueAt),
                 silence: silenceCfgOf(deps, call, endpoint, backUp),
                 sink: guardAttempt(recordProgress(sink, progress), deps.guard, {
                     req: head.id,
@@ -91,9 +91,9 @@
                     progress.lastAnswer = { status, framed: answer.framed };
                     if (continueAt !== undefined) logContinuation(deps, head.id, incarnation, status, answer);
                 },
-                onSelfReport: (status, said) => deps.words.heard(incarnation, status, said),
+                onSelfReport: (status, answer) => deps.notices.receiveAnswerHead(incarnation, status, answer),
                 onMisdirected: () => deps.onMisdirected(incarnation),
-                life: deps.lives.signalOf(incarnation),
+                incarnationSignal: deps.incarnationSignals.signalOf(incarnation),
                 signal,
             });
         },
@@ -104,7 +104,7 @@
                 cause: "resumeRefused",
                 detail: "calls are not resumed in place",
             }),
-        // The attempt's signal closes its connection, which cancels the attempt at the endpoint.
+        // Nothing to send: the driver aborts the attempt's signal, and the closed connection cancels the call at the endpoint.
         cancel: () => undefined,
     };
 }
--- a/packages/host/src/calls/forward-silence.ts
+++ b/packages/host/src/calls/forward-silence.ts
@@ -56,7 +56,7 @@
         const stay = deps.wire.decodeLeavingAnswer(status, body);
         const life = { id, born: stay.kind === "told" ? stay.born : undefined };
         if (compareIncarnations(life, endpoint) !== IncarnationOrder.Later) return true;
-        deps.meetLife(life);
+        deps.learnIncarnation(life);
         return false;
     }
     catch (err) {
--- a/packages/host/src/calls/forward.ts
+++ b/packages/host/src/calls/forward.ts
@@ -149,7 +149,7 @@
     deps.guard.recordRefusal(head.id, fingerprint, withheld);
     deps.metrics.countOutcome("refused", "no");
     const err = toApiError(notRunError(code, detail, retryAfterMs));
-    writeOwnAnswer(out, deps.wire, { callId: head.id, err, close: deps.runs.stopping });
+    writeOwnAnswer(out, deps.wire, { callId: head.id, err, close: deps.openRequests.stopping });
 }
 
 /** Further fields of a refusal's log line, and whether the caller's connection is closed after it. */
@@ -162,7 +162,7 @@
     out: ServerResponse,
     callId: string | undefined,
     err: ApiError,
-    { close = deps.runs.stopping, ...facts }: RefusalLog = {},
+    { close = deps.openRequests.stopping, ...facts }: RefusalLog = {},
 ): void {
     deps.metrics.countOutcome("refused", err.ran);
     if (deps.logCalls) {
@@ -207,7 +207,7 @@
             queue,
             wire: deps.wire,
             callId: head.id,
-            isClosing: () => deps.runs.stopping,
+            isClosing: () => deps.openRequests.stopping,
             failedAnswer: () => progress.failedAnswer,
         }),
         onGap: ms => deps.metrics.betweenTokens.record(ms),
@@ -215,8 +215,8 @@
         onEnd: end => {
             out.off("close", onClose);
             queueMicrotask(() => {
-                deps.runs.delete(driver);
-                trackDelivery(deps.runs, out, memory, queue);
+                deps.openRequests.delete(driver);
+                trackDelivery(deps.openRequests, out, memory, queue);
             });
             deps.metrics.open.dec();
             deps.copies.end(head.id, false);
@@ -231,7 +231,7 @@
     if (driver.ended) return;
     memory.onGiveUp = givenUp => driver.handle({ kind: "givenUp", ...giveUpError(givenUp) });
     memory.onResume = () => driver.onReadResumed();
-    deps.runs.add(driver);
+    deps.openRequests.add(driver);
     if (engine?.canMove) {
         deps.copies.add(head.id, {
             onCopied: copy => {
--- a/packages/host/src/calls/generate.ts
+++ b/packages/host/src/calls/generate.ts
@@ -255,14 +255,14 @@
             memory.hold(HeldKind.Body, 0);
             memory.hold(HeldKind.Answer, 0);
             queueMicrotask(() => {
-                host.runs.delete(driver);
-                trackDelivery(host.runs, out, memory, queue);
+                host.openRequests.delete(driver);
+                trackDelivery(host.openRequests, out, memory, queue);
             });
             settleAndLog(host, job, end);
         },
     });
     if (driver.ended) return;
-    host.runs.add(driver);
+    host.openRequests.add(driver);
     memory.onGiveUp = givenUp => driver.handle({ kind: "givenUp", ...giveUpError(givenUp) });
     memory.onResume = () => driver.onReadResumed();
     out.on("close", () => driver.handle({ kind: "callerGone" }));
--- a/packages/host/src/calls/host.ts
+++ b/packages/host/src/calls/host.ts
@@ -31,7 +31,7 @@
     readonly plain: Placement;
     readonly dispatcher: Dispatcher;
     readonly signal: AbortSignal;
-    readonly runs: OpenRequests;
+    readonly openRequests: OpenRequests;
     readonly limits: WorkspaceUsage;
     readonly claims: IdempotencyClaims;
     /** Accounts for the memory that calls hold. */
@@ -71,7 +71,7 @@
     }
 
     /** Notifies every request that the host was suspended. */
-    woke(): void {
+    onWake(): void {
         for (const request of [...this.requests]) request.onWake();
     }
 
--- a/packages/host/src/calls/plain-service.ts
+++ b/packages/host/src/calls/plain-service.ts
@@ -191,7 +191,7 @@
         : await host.claims.claim(workspace, key, id, hash);
     if (claimed.kind === "mine") {
         // If the caller left or the host began to stop meanwhile, nothing is sent and the key is released.
-        if (!out.destroyed && !host.runs.stopping) return start(host, plan);
+        if (!out.destroyed && !host.openRequests.stopping) return start(host, plan);
         await host.claims.release(workspace, key, id);
     }
     host.limits.state = settle(host.limits.state, id, { kind: "notRun" });
@@ -292,8 +292,8 @@
             const ran = end.err?.ran ?? "yes";
             call.memory.hold(HeldKind.Body, 0);
             queueMicrotask(() => {
-                host.runs.delete(driver);
-                trackDelivery(host.runs, out, call.memory, queue);
+                host.openRequests.delete(driver);
+                trackDelivery(host.openRequests, out, call.memory, queue);
             });
             void settleClaim(host, plan, ran, end.err ? undefined : reply.recorded());
             host.limits.state = settle(
@@ -319,7 +319,7 @@
         },
     });
     if (driver.ended) return;
-    host.runs.add(driver);
+    host.openRequests.add(driver);
     call.memory.onGiveUp = givenUp => driver.handle({ kind: "givenUp", ...giveUpError(givenUp) });
     out.on("close", () => driver.handle({ kind: "callerGone" }));
 }
--- a/packages/host/src/calls/request-driver.ts
+++ b/packages/host/src/calls/request-driver.ts
@@ -22,7 +22,7 @@
 import type { Withheld } from "../endpoints/request-guard.js";
 import type { DispatchKind } from "../runtime/metrics.js";
 
-/** Writes an answer to a caller. The driver makes no call after `finish` or `fail`. */
+/** Writes an answer to a caller. The driver calls no method after `finish` or `fail`. */
 export interface Reply<T> {
     /** Sends one piece, or holds it if the answer is sent as a whole. */
     forward(piece: T): void;
@@ -58,6 +58,7 @@
      * sent.
      */
     start(plan: AttemptPlan, sink: AttemptSink<T>, signal: AbortSignal): void;
+    /** Reconnects to a generation that still runs at the endpoint, from the piece with index `from`. */
     resume(
         attempt: string,
         endpoint: string,
@@ -66,6 +67,7 @@
         sink: AttemptSink<T>,
         signal: AbortSignal,
     ): void;
+    /** Tells the endpoint to cancel an attempt; called only if its first byte may have been sent. */
     cancel(attempt: string, endpoint: string, generation: string | undefined): void;
 }
 
@@ -74,7 +76,7 @@
     readonly state: RequestState;
     readonly tokens: number;
     readonly err?: RequestError | undefined;
-    /** Whether the answer is an error answer of the endpoint. */
+    /** Whether the endpoint answered with an error of its own, which was forwarded. */
     readonly failed: boolean;
     readonly endpoint?: string | undefined;
     /** Stall time: by how much the gaps between pieces exceeded the target, summed, in milliseconds. */
@@ -103,7 +105,7 @@
 const RETRY_BASE_MS = 50;
 
 /**
- * How often the driver asks the guard again while its answer is not certain: whether an endpoint crashed is known
+ * How often the driver asks the guard again while evidence of a crash is pending: whether an endpoint crashed is known
  * within 250 ms.
  */
 const MAX_GUARD_CHECKS = 6;
@@ -240,7 +242,7 @@
     };
 
     /**
-     * Starts an attempt unless the guard withholds the request. While the guard is not certain, the driver asks again.
+     * Starts an attempt unless the guard withholds the request. While evidence is pending, the driver asks again.
      */
     private dispatch(action: Extract<RequestAction, { kind: "dispatch" }>, checksLeft: number): void {
         const { attempt, endpoint, backUp, continueAt } = action;
@@ -249,8 +251,8 @@
             this.retryTimer = setTimeout(() => this.dispatch(action, checksLeft - 1), withheld.evidencePendingMs);
             return;
         }
-        // A guard that is still not certain is no reason to refuse: where many callers send the same call, some always
-        // break off.
+        // Evidence that is still pending is no reason to refuse: where many callers send the same request, some calls are
+        // always interrupted.
         if (withheld && !withheld.evidencePendingMs) return this.handle({ kind: "withheld", ...withheld });
         const again = continueAt === undefined ? "retry" : "continue";
         this.deps.onDispatch(this.state.attempts === 1 ? "first" : again);
--- a/packages/host/src/daemon.ts
+++ b/packages/host/src/daemon.ts
@@ -19,7 +19,7 @@
 import { probeByConnecting } from "./endpoints/endpoint-probe.js";
 import { isLeaving, Placement } from "./endpoints/placement.js";
 import { RequestGuard } from "./endpoints/request-guard.js";
-import { createOperators } from "./operators/operators.js";
+import { createOperatorsServer } from "./operators/operators.js";
 import { Peers } from "./peers/peers.js";
 import { type HostCfg, memoryBudgetBytes } from "./runtime/config.js";
 import { HostMemory } from "./runtime/host-memory.js";
@@ -80,9 +80,9 @@
         metrics,
         signal,
         share: news => host.peers?.shareQuarantine(news),
-        investigate: (endpoint, run) => endings.investigate(endpoint, run),
+        investigate: (endpoint, run) => crashDetector.investigate(endpoint, run),
     });
-    const endings = new CrashDetector({
+    const crashDetector = new CrashDetector({
         clock,
         log,
         probe: ({ address }) => probeByConnecting(address),
@@ -104,7 +104,7 @@
         signal,
         engines: new Placement(signal, clock),
         plain: new Placement(signal, clock, PLAIN_VARIANT),
-        runs: new OpenRequests(),
+        openRequests: new OpenRequests(),
         limits: new WorkspaceUsage(),
         memory: new HostMemory({ budgetBytes: memoryBudgetBytes(cfg), clock, log, metrics }),
         guard,
@@ -112,16 +112,16 @@
         peers: undefined,
     };
     if (cfg["peers.secrets"].length === 0) log.warn({}, "peers_secret_missing");
-    host.peers = await Peers.start({ ...host, spread: settingsExchange(feed) });
+    host.peers = await Peers.start({ ...host, versionExchange: settingsExchange(feed) });
     clock.onWake(({ suspendedMs, jumpMs }) => {
         log.warn({ suspended_ms: Math.round(suspendedMs), jump_ms: Math.round(jumpMs) }, "host_woke");
-        host.runs.woke();
+        host.openRequests.onWake();
         host.peers?.onWake();
     });
     watchEndpoints(host);
     feed.onChange(() => host.peers?.announceSettings());
     const tls = readTls(cfg);
-    const servers = { callers: createCallersServer(host, tls), operators: createOperators(host, tls) };
+    const servers = { callers: createCallersServer(host, tls), operators: createOperatorsServer(host, tls) };
     const callersUrl = await listen(servers.callers, cfg["callers.listen"], tls !== undefined);
     const operatorsUrl = await listen(servers.operators, cfg["operators.listen"], tls !== undefined);
     const { capacity } = host.peers;
@@ -140,9 +140,9 @@
         await dispatcher.destroy();
     };
     const stop = async (): Promise<void> => {
-        log.info({ open: host.runs.size }, "stopping");
+        log.info({ open: host.openRequests.size }, "stopping");
         host.peers?.leave();
-        await Promise.all([host.runs.drain(), pause(cfg["callers.still-served"])]);
+        await Promise.all([host.openRequests.drain(), pause(cfg["callers.still-served"])]);
         await end();
         log.info({}, "stopped");
     };
--- a/packages/host/src/endpoints/endpoint-notices.ts
+++ b/packages/host/src/endpoints/endpoint-notices.ts
@@ -19,7 +19,7 @@
     /** The schedulers; each endpoint is known to one of them. */
     readonly placements: readonly Placement[];
     /** Shares changed notices with peers. */
-    share(words: readonly EndpointNotice[]): void;
+    share(notices: readonly EndpointNotice[]): void;
 }
 
 /** The part of an answer's head that carries notices. */
@@ -43,10 +43,10 @@
      *
      * @example
      * ```ts
-     * notices.heard("i-7@1700", 200, wire.readAnswer(headers));
+     * notices.receiveAnswerHead("i-7@1700", 200, wire.readAnswer(headers));
      * ```
      */
-    heard(endpoint: string, status: number, head: NoticeHead): void {
+    receiveAnswerHead(endpoint: string, status: number, head: NoticeHead): void {
         const isLeavingNews = head.leaving && this.applyLeaving(endpoint, "endpoint");
         const isLimitNews = this.readLimit(endpoint, head);
         if (isLeavingNews || isLimitNews) this.shareWithPeers(endpoint);
@@ -54,9 +54,9 @@
     }
 
     /** Applies notices from a peer; returns those that are new here. */
-    receive(words: readonly EndpointNotice[]): readonly EndpointNotice[] {
+    receive(notices: readonly EndpointNotice[]): readonly EndpointNotice[] {
         const now = this.deps.clock.now();
-        return words.filter(({ endpoint, leaves, limit }) => {
+        return notices.filter(({ endpoint, leaves, limit }) => {
             const isLeavingNews = leaves && this.applyLeaving(endpoint, "peer");
             const isLimitNews = limit !== undefined && this.applyLimit(endpoint, saidFromNotice(limit, now), "peer");
             return isLeavingNews || isLimitNews;
@@ -121,7 +121,7 @@
         if (!known && said.limitPerS === undefined) return false;
         const isUnchanged = known?.limitPerS === said.limitPerS;
         if (known && (known.at >= said.at || isUnchanged && said.at - known.at < REPEAT_INTERVAL_MS)) return false;
-        for (const placement of this.deps.placements) placement.said(endpoint, said);
+        for (const placement of this.deps.placements) placement.applyAnnouncedLimit(endpoint, said);
         if (isUnchanged || !this.viewOf(endpoint)) return false;
         const before = known?.limitPerS ?? "none";
         this.deps.log.info({ endpoint, per_s: said.limitPerS ?? "none", before, source }, "endpoint_limit");
--- a/packages/host/src/endpoints/placement.ts
+++ b/packages/host/src/endpoints/placement.ts
@@ -169,7 +169,7 @@
     }
 
     /** An endpoint has stated its limit, or that it has none. */
-    said(endpoint: string, said: AnnouncedLimit): void {
+    applyAnnouncedLimit(endpoint: string, said: AnnouncedLimit): void {
         this.handle({ kind: "said", endpoint, said });
     }
 
--- a/packages/host/src/gateway.ts
+++ b/packages/host/src/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * The daemon of an entry host that forwards calls unchanged: creates its parts, starts them, and stops them without cutting
- * calls before the platform's deadline.
+ * The daemon of a host that forwards calls unchanged: creates its components, starts them, and on a stop lets open calls run until
+ * shortly before the platform kills the process.
  *
  * @module
  */
@@ -55,9 +55,9 @@
         /** Undefined if the settings have no separate address for metrics. */
         readonly metrics: number | undefined;
     };
-    /** Refuses new streams, serves the rest until it is done or the time to stop is over, then stops. */
+    /** Refuses new calls, serves the open ones until they end or the stop deadline passes, then closes the servers. */
     stop(): Promise<void>;
-    /** Stops at once, cutting calls. */
+    /** Closes the servers at once and aborts open calls. */
     kill(): Promise<void>;
 }
 
@@ -71,15 +71,18 @@
     backups: true,
     askAlways: true,
 } as const;
-/** How long one call of a watch waits for changes, and the further time for its response: a lost one is noticed within their sum. */
+/**
+ * How long one call that watches the store waits for changes, and how much longer the host waits for the response: a lost connection
+ * is noticed within their sum.
+ */
 const WATCH_WAIT_MS = 2_000;
 const WATCH_MARGIN_MS = 400;
-/** Time from the end of a stop until the platform kills the process. */
+/** How long before the end of the grace period a stopping host refuses the calls that still run. */
 const STOP_MARGIN_MS = 400;
-/** How often a stopping host checks whether calls still run, and the time that it allows for sending its last refusals. */
+/** How often a stopping host checks whether calls are still open, and how long it then leaves for sending its last refusals. */
 const STOP_POLL_MS = 50;
 const STOP_FLUSH_MS = 100;
-/** How often the clock is read, by which an idle host notices that it was suspended. */
+/** How often the host reads the clock, so that it notices a suspension also while it has no calls. */
 const CLOCK_POLL_MS = 50;
 const SEED_RANGE = 1_000_000;
 
@@ -106,7 +109,7 @@
         onCall: call => metrics.countStoreCall(call, feed.callReason),
     });
     const feed: DeploymentFeed = new DeploymentFeed({ kv, clock, wire: platformWire, log, metrics, signal });
-    const runs = new OpenRequests();
+    const openRequests = new OpenRequests();
     const seed = Math.floor(Math.random() * SEED_RANGE);
     const retries = createFleetRetryBudget({
         windowMs: cfg["forward.retry-window"],
@@ -126,7 +129,7 @@
         signal,
         endpoint: incarnation => feed.endpoint(incarnation),
     });
-    const lives = new IncarnationSignals();
+    const incarnationSignals = new IncarnationSignals();
     const connections = new EndpointConnections(
         signal,
         clock,
@@ -135,7 +138,7 @@
             onAnswered: address => peers.reach.endpointAnswered(address),
             onUnreachable: address => peers.reach.connectionFailed(address),
             onClosedWhileIdle: address => {
-                for (const endpoint of endpointsAt(address, latestRegistry)) doubts.raise(endpoint);
+                for (const endpoint of endpointsAt(address, latestRegistry)) restartSuspicions.raise(endpoint);
             },
         },
     );
@@ -146,37 +149,37 @@
         signal,
         share: news => peers.shareQuarantine(news),
         investigate: (endpoint, run) => {
-            doubts.raise(endpoint);
-            endings.investigate(endpoint, run);
+            restartSuspicions.raise(endpoint);
+            crashDetector.investigate(endpoint, run);
         },
     });
     let latestRegistry: Registry | undefined;
-    const endings = new CrashDetector({
+    const crashDetector = new CrashDetector({
         clock,
         log,
         probe: endpoint => probeWithinLimit(endpoint, [engines, plain], signal),
         isLeaving: incarnation => isLeaving(incarnation, engines, plain),
-        // An endpoint that had reported that it leaves has ended as planned.
-        isOver: incarnation => hasRestarted(incarnation, latestRegistry) && !words.hasAnnouncedLeaving(incarnation),
+        // An endpoint that had announced that it was leaving did not crash.
+        isOver: incarnation => hasRestarted(incarnation, latestRegistry) && !notices.hasAnnouncedLeaving(incarnation),
         isRegistryStale: () => feed.isStoreAway,
         onCrash: ending => guard.endpointCrashed(ending),
         onNoCrash: runs => guard.noCrashFound(runs),
-        learnIncarnation: life => peers.learnIncarnation(life),
+        learnIncarnation: incarnation => peers.learnIncarnation(incarnation),
     });
-    const doubts = new RestartSuspicions({
+    const restartSuspicions = new RestartSuspicions({
         log,
         placements: [engines, plain],
         probe: endpoint => probeWithinLimit(endpoint, [engines, plain], signal),
-        learnIncarnation: life => peers.learnIncarnation(life),
+        learnIncarnation: incarnation => peers.learnIncarnation(incarnation),
     });
-    const words = new EndpointNotices({
+    const notices = new EndpointNotices({
         clock,
         log,
         metrics,
         placements: [engines, plain],
         share: news => peers.shareNotices(news),
     });
-    let endsAt: number | undefined;
+    let exitsAt: number | undefined;
     let openCallerSockets = 0;
     const descriptorLimit = new DescriptorLimit({
         maxDescriptors: cfg["host.descriptors"],
@@ -190,19 +193,19 @@
         log,
         metrics,
         connections,
-        lives,
+        incarnationSignals,
         guard,
         engines,
         plain,
-        runs,
+        openRequests,
         copies,
         memory,
-        words,
+        notices,
         signal,
         bodyTimeoutMs: cfg["callers.body-timeout"],
         logCalls: cfg["log.requests"],
-        exitsAt: () => endsAt,
-        hasDescriptors: () => descriptorLimit.hasRoom(),
+        exitsAt: () => exitsAt,
+        hasDescriptors: () => descriptorLimit.admitsCall(),
         isStale: () => feed.isStale,
         table: () => feed.table,
         endpoint: incarnation => feed.endpoint(incarnation),
@@ -210,12 +213,12 @@
         hallsInRegions: homes => hallsIn(cfg["forward.regions"], homes),
         softwareVersionsOf: service => softwareOf(service, latestRegistry),
         onMisdirected: incarnation => {
-            // A separate source, so that an owner that does not know of the new incarnation cannot reset it to staying.
+            // "address" is a source of its own: an owner that does not know the new incarnation yet cannot undo the mark.
             if (engines.setLeaving(incarnation, "address", true) || plain.setLeaving(incarnation, "address", true)) {
                 log.warn({ endpoint: incarnation }, "endpoint_is_another_one");
             }
         },
-        meetLife: life => peers.learnIncarnation(life),
+        learnIncarnation: incarnation => peers.learnIncarnation(incarnation),
     };
     const callers = createForwardServer({
         requestTimeoutMs: cfg["callers.body-timeout"],
@@ -233,10 +236,10 @@
         metrics,
         engines,
         plain,
-        spread: feed.versionExchange,
+        versionExchange: feed.versionExchange,
         follower: feed.follower,
         guard,
-        words,
+        notices,
         memory,
         signal,
     });
@@ -244,31 +247,34 @@
         log.warn({ suspended_ms: Math.round(suspendedMs), jump_ms: Math.round(jumpMs) }, "host_woke");
         connections.closeAllIdle();
         feed.onWake(suspendedMs);
-        runs.woke();
+        openRequests.onWake();
         peers.onWake();
     });
     // Reading the clock detects a suspension; without calls nothing else does.
     repeat(() => void clock.now(), () => CLOCK_POLL_MS, signal);
     watchSpeeds({ clock, log, metrics, view: () => engines.view, signal });
-    const operatorsServer = createOperatorsServer(() => feed.isReady && peers.hasCaughtUp && !runs.stopping, metrics);
+    const operatorsServer = createOperatorsServer(
+        () => feed.isReady && peers.hasCaughtUp && !openRequests.stopping,
+        metrics,
+    );
     const allow = allowSecrets(cfg["peers.secrets"]);
     addQuarantineRoutes(operatorsServer, guard, allow);
     addEndpointRoutes(operatorsServer, [engines, plain], () => clock.now(), allow);
     const coldBounds = { over: cfg["forward.cold-over"], slack: cfg["forward.cold-slack"] };
-    const declare = (): void => {
+    const declareLatest = (): void => {
         if (latestRegistry && feed.table) declareEndpoints(feed.table, latestRegistry, coldBounds, engines, plain);
     };
     feed.onDeployment(table => {
         applyCallerLimits(callers, table.deployment.limits);
-        declare();
+        declareLatest();
     });
     feed.onEndpoints(registry => {
         latestRegistry = registry;
         peers.reach.setEndpoints([...registry.endpoints.values()].map(({ entry }) => entry));
-        declare();
-        endings.applyRegistry(registry);
-        endFinishedLives(registry, { lives, connections, engines, plain, log });
-        words.updateLimitedGauge();
+        declareLatest();
+        crashDetector.applyRegistry(registry);
+        endFinishedIncarnations(registry, { incarnationSignals, connections, engines, plain, log });
+        notices.updateLimitedGauge();
         copies.copyFromLeaving();
     });
     engines.setLeavingListener(() => copies.copyFromLeaving());
@@ -281,11 +287,11 @@
         owned: () => ownedEnginesInUse(engines, feed, peers),
         mayPoll: incarnation => engines.admitsControlCall(incarnation),
         onAnswer: (endpoint, { leaving, born }) => {
-            const life = { id: endpoint.id, born };
-            const order = compareIncarnations(life, endpoint);
+            const answered = { id: endpoint.id, born };
+            const order = compareIncarnations(answered, endpoint);
             if (order === IncarnationOrder.Earlier) return;
-            peers.learnIncarnation(life);
-            const incarnation = order === IncarnationOrder.Later ? incarnationOf(life) : endpoint.incarnation;
+            peers.learnIncarnation(answered);
+            const incarnation = order === IncarnationOrder.Later ? incarnationOf(answered) : endpoint.incarnation;
             if (!engines.setLeaving(incarnation, "endpoint", leaving)) return;
             log.info({ endpoint: incarnation, leaving, source: "endpoint" }, "endpoint_stay_changed");
             peers.shareLoadNow();
@@ -313,17 +319,17 @@
         await Promise.all([callers.close(), operatorsServer.close(), metricsServer.close()]);
     };
     const stop = async (): Promise<void> => {
-        log.info({ open: runs.size }, "stopping");
+        log.info({ open: openRequests.size }, "stopping");
         peers.leave();
-        void runs.drain();
+        void openRequests.drain();
         const deadline = clock.now() + cfg["forward.stop-grace"] - STOP_MARGIN_MS;
-        endsAt = deadline;
+        exitsAt = deadline;
         await pause(cfg["callers.still-served"]);
-        while (runs.size > 0 && clock.now() < deadline) await pause(STOP_POLL_MS);
-        // From here on every call is refused as not run; the pause lets these answers be sent.
-        endsAt = clock.now();
+        while (openRequests.size > 0 && clock.now() < deadline) await pause(STOP_POLL_MS);
+        // From here on the host refuses every call as not run; the pause leaves time to send these answers.
+        exitsAt = clock.now();
         await pause(STOP_FLUSH_MS);
-        log.info({ open: runs.size }, "stopped");
+        log.info({ open: openRequests.size }, "stopped");
         await kill();
     };
     const peersPort = Number(peers.address.split(":").at(-1));
@@ -342,27 +348,27 @@
 }
 
 /**
- * Ends what depends on endpoint lives that turn out to be over: first their copies, so that no stream continues there, then their
- * streams, which continue elsewhere or end with an unknown outcome.
+ * Ends what depends on incarnations that the registry reports as over: first the copies that they hold, so that no stream continues
+ * there, then their streams, which continue at other endpoints or end with an unknown outcome.
  */
-function endFinishedLives(
+function endFinishedIncarnations(
     registry: Registry,
-    { lives, connections, engines, plain, log }: Pick<
+    { incarnationSignals, connections, engines, plain, log }: Pick<
         GatewayContext,
-        "lives" | "connections" | "engines" | "plain" | "log"
+        "incarnationSignals" | "connections" | "engines" | "plain" | "log"
     >,
 ): void {
-    for (const incarnation of lives.applyRegistry(registry)) {
+    for (const incarnation of incarnationSignals.applyRegistry(registry)) {
         const address = registry.departed.get(incarnation)?.entry.address;
         log.info({ endpoint: incarnation }, "endpoint_life_over");
         engines.endIncarnation(incarnation);
         plain.endIncarnation(incarnation);
         if (address !== undefined) connections.closeIdle(address);
-        lives.abort(incarnation);
+        incarnationSignals.abort(incarnation);
     }
 }
 
-/** The halls in any of some regions, by a list of `hall:region` pairs. */
+/** The halls that lie in any of the regions `homes`; `regions` lists `hall:region` pairs. */
 function hallsIn(regions: readonly string[], homes: readonly string[]): readonly string[] {
     const pairs = regions.map(pair => pair.split(":") as [string, string]);
     return pairs.filter(([, region]) => homes.includes(region)).map(([hall]) => hall);
@@ -381,13 +387,13 @@
     return entries.filter(entry => entry.address === address);
 }
 
-/** Whether an endpoint's life is over, though it was not leaving. */
+/** Whether an incarnation is over although it was ready, not leaving: the endpoint has restarted or is gone. */
 function hasRestarted(incarnation: string, registry: Registry | undefined): boolean {
     const departed = registry?.departed.get(incarnation);
     return departed?.isOver === true && departed.entry.state === EndpointState.Ready;
 }
 
-/** Asks an endpoint whether its life still runs, unless that request would exceed the endpoint's limit. */
+/** Probes whether an incarnation of an endpoint still runs, unless the probe would exceed the endpoint's limit. */
 async function probeWithinLimit(
     { incarnation, address, id, born }: EndpointIncarnation,
     placements: readonly Placement[],
--- a/packages/host/src/operators/endpoints-api.ts
+++ b/packages/host/src/operators/endpoints-api.ts
@@ -15,7 +15,7 @@
 } from "@drumpaddle/policy";
 import type { FastifyInstance } from "fastify";
 import type { Placement } from "../endpoints/placement.js";
-import type { Allow } from "./quarantine-api.js";
+import type { Authorize } from "./quarantine-api.js";
 
 /** An entry of the operators' list of endpoints. */
 export interface ListedEndpoint {
@@ -73,7 +73,7 @@
     app: FastifyInstance,
     placements: readonly Placement[],
     now: () => number,
-    allow: Allow,
+    allow: Authorize,
 ): void {
     app.get("/endpoints", (req, reply) => {
         if (!allow(req, reply, "read")) return reply;
--- a/packages/host/src/operators/operators.ts
+++ b/packages/host/src/operators/operators.ts
@@ -53,18 +53,18 @@
     unknown: 504,
 };
 
-/** Maximum size of an edit, in bytes: more than a whole tree of settings needs. */
+/** Maximum size of an edit's body, in bytes; a whole tree of settings is smaller. */
 const MAX_EDIT_BYTES = 16_000_000;
 
 /** Creates the operators' server, which does not listen yet. */
-export function createOperators(host: Host, tls: { cert: string; key: string } | undefined): FastifyInstance {
+export function createOperatorsServer(host: Host, tls: { cert: string; key: string } | undefined): FastifyInstance {
     const app = Fastify({
         bodyLimit: MAX_EDIT_BYTES,
         forceCloseConnections: true,
         ...(tls ? { https: tls } as object : {}),
     });
     addHealthRoutes(host, app);
-    addQuarantineRoutes(app, host.guard, (req, reply, role) => allow(host, req, reply, role) !== undefined);
+    addQuarantineRoutes(app, host.guard, (req, reply, role) => authorize(host, req, reply, role) !== undefined);
     addSettingsRoutes(host, app);
     addAuditRoutes(host, app);
     return app;
@@ -73,7 +73,7 @@
 function addHealthRoutes(host: Host, app: FastifyInstance): void {
     app.get("/healthz", () => ({ ok: true }));
     app.get("/readyz", (_req, reply) => {
-        const why = host.runs.stopping ? "stopping" : host.feed.directory ? undefined : "no settings yet";
+        const why = host.openRequests.stopping ? "stopping" : host.feed.directory ? undefined : "no settings yet";
         return reply.code(why === undefined ? 200 : 503).send({ ready: why === undefined, why });
     });
     app.get("/metrics", async (_req, reply) => {
@@ -87,7 +87,7 @@
     readonly role: Role;
 }
 
-/** The operator whose token a request carries; the bootstrap token counts while the settings name no operator. */
+/** The operator whose token a request carries. The bootstrap token is valid only while the settings name no operator. */
 function operatorOf(host: Host, req: FastifyRequest): Operator | undefined {
     const token = /^Bearer (\S+)$/.exec(req.headers.authorization ?? "")?.[1];
     if (token === undefined) return undefined;
@@ -95,12 +95,12 @@
     const known = directory?.operatorOf(token, Date.now());
     if (known) return known;
     const bootstrap = host.cfg["operators.bootstrap-hash"];
-    const open = bootstrap !== undefined && directory?.hasOperators !== true;
-    return open && hashSecret(token) === bootstrap ? { name: "bootstrap", role: "edit" } : undefined;
+    const acceptsBootstrap = bootstrap !== undefined && directory?.hasOperators !== true;
+    return acceptsBootstrap && hashSecret(token) === bootstrap ? { name: "bootstrap", role: "edit" } : undefined;
 }
 
-/** The operator of a request, if it may act in a role; otherwise sends the refusal and returns undefined. */
-function allow(host: Host, req: FastifyRequest, reply: FastifyReply, role: Role): Operator | undefined {
+/** Returns the operator of a request if it has the required role; otherwise answers 401 or 403 and returns undefined. */
+function authorize(host: Host, req: FastifyRequest, reply: FastifyReply, role: Role): Operator | undefined {
     const operator = operatorOf(host, req);
     if (!operator) void reply.code(401).send({ kind: "unauthorized" });
     else if (role === "edit" && operator.role !== "edit") {
@@ -116,7 +116,7 @@
 
 function addSettingsRoutes(host: Host, app: FastifyInstance): void {
     app.get("/settings", (req, reply) => {
-        if (!allow(host, req, reply, "read")) return reply;
+        if (!authorize(host, req, reply, "read")) return reply;
         const head = host.feed.inForce?.snapshot.head;
         return { version: head?.version ?? 0, hash: head?.hash, tree: treeOf(host), ini: formatTree(treeOf(host)) };
     });
@@ -124,7 +124,7 @@
         "/settings/explain",
         { schema: { querystring: PlaceQuery } },
         (req, reply) => {
-            if (!allow(host, req, reply, "read")) return reply;
+            if (!authorize(host, req, reply, "read")) return reply;
             const { key, ...place } = req.query;
             if (key !== undefined && !Object.hasOwn(INHERITED_KEYS, key)) {
                 return reply.code(422).send({
@@ -137,14 +137,14 @@
         },
     );
     app.get("/status", (req, reply) => {
-        if (!allow(host, req, reply, "read")) return reply;
+        if (!authorize(host, req, reply, "read")) return reply;
         return statusOf(host);
     });
     app.post<{ Body: Static<typeof EditBody> }>(
         "/settings/edits",
         { schema: { body: EditBody } },
         async (req, reply) => {
-            const operator = allow(host, req, reply, "edit");
+            const operator = authorize(host, req, reply, "edit");
             if (!operator) return reply;
             const { editId, why, onlyAt, changes } = req.body;
             const result = await host.store.edit(
@@ -166,14 +166,14 @@
         },
     );
     app.get<{ Params: { id: string } }>("/settings/outcome/:id", async (req, reply) => {
-        if (!allow(host, req, reply, "read")) return reply;
+        if (!authorize(host, req, reply, "read")) return reply;
         const found = await host.store.outcome(req.params.id, host.signal);
         if (!found.ok) return reply.code(503).send({ kind: "away" });
         return found.value === undefined ? { kind: "notAccepted" } : { kind: "accepted", version: found.value };
     });
 }
 
-/** The answer of `/status`: this host's state as it knows it. */
+/** The answer of `/status`: the state of this host, and what it knows of its peers and endpoints. */
 export function statusOf(host: Host): object {
     const inForce = host.feed.inForce;
     return {
@@ -182,8 +182,8 @@
         capacity: host.peers?.capacity,
         version: inForce?.snapshot.head.version ?? 0,
         since: inForce?.since,
-        stopping: host.runs.stopping,
-        open: host.runs.size,
+        stopping: host.openRequests.stopping,
+        open: host.openRequests.size,
         waiting: host.engines.view.waiting.length,
         peers: host.peers?.status(),
         endpoints: [...host.engines.view.endpoints.values(), ...host.plain.view.endpoints.values()].map(view => ({
@@ -196,13 +196,13 @@
     };
 }
 
-/** The audit trail; undefined if the request was refused or the trail could not be read, which has then been answered. */
+/** Reads the audit trail for an operator; if the operator may not or the store is away, answers that and returns undefined. */
 async function readAuditTrail(
     host: Host,
     req: FastifyRequest,
     reply: FastifyReply,
 ): Promise<readonly AuditEntry[] | undefined> {
-    if (!allow(host, req, reply, "read")) return undefined;
+    if (!authorize(host, req, reply, "read")) return undefined;
     const found = await host.store.auditTrail(host.signal);
     if (found.ok) return found.value;
     await reply.code(503).send({ kind: "away" });
--- a/packages/host/src/operators/quarantine-api.ts
+++ b/packages/host/src/operators/quarantine-api.ts
@@ -1,5 +1,5 @@
 /**
- * Operators' routes for requests that are suspected of ending endpoints: list them, and lift a quarantine.
+ * Operators' routes for requests that are suspected of crashing endpoints: list them, and lift a quarantine.
  *
  * @module
  */
@@ -8,20 +8,20 @@
 import type { RequestGuard } from "../endpoints/request-guard.js";
 import { hashSecret, type Role } from "../store/directory.js";
 
-/** Whether a request may act in a role; if not, its refusal has been sent. */
-export type Allow = (req: FastifyRequest, reply: FastifyReply, role: Role) => boolean;
+/** Whether the sender of a request has a role; if not, the function has answered with a refusal. */
+export type Authorize = (req: FastifyRequest, reply: FastifyReply, role: Role) => boolean;
 
 const BEARER = /^Bearer (\S+)$/;
 
 /**
- * Allows every request that carries one of the fleet's secrets, on hosts that have no operators.
+ * Allows every request that carries one of the secrets that peers share, for hosts whose settings name no operators.
  *
  * @example
  * ```ts
  * addQuarantineRoutes(app, guard, allowSecrets(cfg["peers.secrets"]));
  * ```
  */
-export function allowSecrets(secrets: readonly string[]): Allow {
+export function allowSecrets(secrets: readonly string[]): Authorize {
     const allowed = secrets.map(secret => Buffer.from(hashSecret(secret)));
     return (req, reply) => {
         const given = Buffer.from(hashSecret(BEARER.exec(req.headers.authorization ?? "")?.[1] ?? ""));
@@ -39,11 +39,14 @@
 export function addQuarantineRoutes(
     app: FastifyInstance,
     guard: Pick<RequestGuard, "list" | "clear" | "isSuspect">,
-    allow: Allow,
+    authorize: Authorize,
 ): void {
-    app.get("/quarantine", (req, reply) => allow(req, reply, "read") ? reply.send({ requests: guard.list() }) : reply);
+    app.get(
+        "/quarantine",
+        (req, reply) => authorize(req, reply, "read") ? reply.send({ requests: guard.list() }) : reply,
+    );
     app.post<{ Params: { fingerprint: string } }>("/quarantine/:fingerprint/lift", (req, reply) => {
-        if (!allow(req, reply, "edit")) return reply;
+        if (!authorize(req, reply, "edit")) return reply;
         const { fingerprint } = req.params;
         if (!guard.isSuspect(fingerprint)) {
             const message = "nothing is held against a request of this fingerprint";
--- a/packages/host/src/peers/notice-sharing.ts
+++ b/packages/host/src/peers/notice-sharing.ts
@@ -21,7 +21,7 @@
     live(): readonly string[];
     send(names: readonly string[], message: NoticePeerMessage): void;
     /** Applies notices from a peer; returns those that are new here. */
-    learn(words: readonly EndpointNotice[]): readonly EndpointNotice[];
+    learn(notices: readonly EndpointNotice[]): readonly EndpointNotice[];
     /** All notices worth sharing. */
     all(): readonly EndpointNotice[];
 }
@@ -51,8 +51,8 @@
     }
 
     /** Sends changed notices to a few hosts. */
-    share(words: readonly EndpointNotice[]): void {
-        this.sendToSome(FANOUT, words);
+    share(notices: readonly EndpointNotice[]): void {
+        this.sendToSome(FANOUT, notices);
     }
 
     /** Handles a message of a peer. */
@@ -66,13 +66,13 @@
         this.deps.send(this.someOthers(1), { kind: "saidAsk" });
     }
 
-    private sendToSome(most: number, words: readonly EndpointNotice[]): void {
-        if (words.length > 0) this.send(this.someOthers(most), words, false);
+    private sendToSome(most: number, notices: readonly EndpointNotice[]): void {
+        if (notices.length > 0) this.send(this.someOthers(most), notices, false);
     }
 
-    private send(to: readonly string[], words: readonly EndpointNotice[], isAll: boolean): void {
-        for (let at = 0; at === 0 || at < words.length; at += MAX_ITEMS) {
-            this.deps.send(to, { kind: "said", words: words.slice(at, at + MAX_ITEMS), isAll });
+    private send(to: readonly string[], notices: readonly EndpointNotice[], isAll: boolean): void {
+        for (let at = 0; at === 0 || at < notices.length; at += MAX_ITEMS) {
+            this.deps.send(to, { kind: "said", words: notices.slice(at, at + MAX_ITEMS), isAll });
         }
     }
 
--- a/packages/host/src/peers/peer-messages.ts
+++ b/packages/host/src/peers/peer-messages.ts
@@ -25,7 +25,7 @@
     scope: Type.String(),
     address: Type.String(),
     start: Type.Number(),
-    // Any number is valid: one host's implausible capacity must not discard the news of other hosts in the same message.
+    // Any number is valid: an implausible capacity of one host must not cause a message with news of other hosts to be dropped.
     capacity: Type.Optional(Type.Number()),
     incarnation: Type.Integer({ minimum: 0 }),
     status: Type.Union([Type.Literal("alive"), Type.Literal("suspect"), Type.Literal("dead")]),
@@ -45,7 +45,7 @@
 /** The store position and deployment version that a host has reached; negative if it knows none. */
 const StoreProgressFields = { epoch: Type.Integer(), revision: Type.Integer(), version: Type.Integer() };
 /** Schema fields of {@link Progress}. */
-const Progress = {
+const ProgressFields = {
     settings: Type.Optional(Type.Object({ version: Type.Integer(), hash: Type.String() })),
     store: Type.Optional(
         Type.Tuple([Type.Integer(), Type.Integer(), Type.Integer(), Type.Number({ minimum: 0 })]),
@@ -56,10 +56,10 @@
     self: SenderShape,
     news: Type.Optional(MemberList),
     for: Type.Optional(Type.String()),
-    ...Progress,
+    ...ProgressFields,
 });
 const NonNegative = Type.Number({ minimum: 0 });
-const ShownShape = Type.Array(NonNegative, { minItems: ENCODED_SAMPLES_LENGTH, maxItems: ENCODED_SAMPLES_LENGTH });
+const SamplesShape = Type.Array(NonNegative, { minItems: ENCODED_SAMPLES_LENGTH, maxItems: ENCODED_SAMPLES_LENGTH });
 const SpeedShape = Type.Tuple([Type.Number(), NonNegative, NonNegative]);
 const LoadShape = Type.Object({
     endpoint: Type.String(),
@@ -68,7 +68,7 @@
     stalled: Type.Integer({ minimum: 0 }),
     mean: Type.Array(Type.Number(), { minItems: 9, maxItems: 9 }),
     deviation: Type.Array(Type.Number(), { minItems: 9, maxItems: 9 }),
-    shown: Type.Optional(ShownShape),
+    shown: Type.Optional(SamplesShape),
     speed: Type.Optional(SpeedShape),
 });
 const ChangeShape = Type.Object({
@@ -80,7 +80,7 @@
 /** Names of requests, endpoints and their incarnations, software and attempts. */
 const Name = Type.String({ minLength: 1, maxLength: 256 });
 const Age = Type.Number({ minimum: 0 });
-const EndingShape = Type.Object({
+const CrashShape = Type.Object({
     life: Name,
     agoMs: Age,
     software: Type.Optional(Name),
@@ -95,7 +95,7 @@
     leaves: Type.Boolean(),
     limit: Type.Optional(Type.Object({ perS: Type.Optional(Type.Number({ minimum: 0 })), agoMs: Age })),
 });
-/** Most entries that one list of crashes, trials or notices in a message may have. */
+/** Maximum length of each list of crashes, trials or notices in a message. */
 export const MAX_ITEMS = 256;
 const TextRecord = Type.Record(Type.String(), Type.String());
 
@@ -103,17 +103,17 @@
 const SHAPES = {
     probe: ProbeShape,
     ack: ProbeShape,
-    check: Type.Object({ name: Type.String(), ...Progress }),
-    vouch: Type.Object({ name: Type.String(), ...Progress }),
-    gossip: Type.Object({ news: MemberList, ...Progress }),
+    check: Type.Object({ name: Type.String(), ...ProgressFields }),
+    vouch: Type.Object({ name: Type.String(), ...ProgressFields }),
+    gossip: Type.Object({ news: MemberList, ...ProgressFields }),
     sync: Type.Object({
         self: MemberShape,
         digest: Type.Number(),
         known: Type.Optional(Type.Array(Type.Number())),
         left: Type.Integer(),
-        ...Progress,
+        ...ProgressFields,
     }),
-    members: Type.Object({ news: MemberList, ...Progress }),
+    members: Type.Object({ news: MemberList, ...ProgressFields }),
     ask: Type.Object({ have: TextRecord }),
     give: Type.Object({
         head: Type.Object({ version: Type.Integer(), parts: TextRecord, hash: Type.String() }),
@@ -171,7 +171,7 @@
     }),
     quarantine: Type.Object({
         isAll: Type.Boolean(),
-        endings: Type.Array(EndingShape, { maxItems: MAX_ITEMS }),
+        endings: Type.Array(CrashShape, { maxItems: MAX_ITEMS }),
         trials: Type.Array(TrialShape, { maxItems: MAX_ITEMS }),
     }),
     quarantineAsk: Type.Object({}),
@@ -206,7 +206,7 @@
     | ReachPeerMessage
     | LoadMessage;
 
-/** Sent within a hall: a connection to an endpoint of another hall could not be established. */
+/** Reports to hosts of the sender's hall that it could not connect to an endpoint of another hall. */
 export interface ReachPeerMessage {
     readonly kind: "unreached";
     readonly endpoint: string;
@@ -222,18 +222,18 @@
 
 /** Messages by which hosts share which requests crash endpoints. */
 export type QuarantinePeerMessage =
-    /** `isAll`: everything that the sender knows, not only news. */
+    /** `isAll`: all crashes and trials that the sender knows, not only new ones. */
     | { readonly kind: "quarantine"; readonly isAll: boolean } & QuarantineNews
-    /** Asks a peer for everything that it knows. */
+    /** Asks a peer for all crashes and trials that it knows. */
     | { readonly kind: "quarantineAsk" };
 
 /**
- * How far the sender's knowledge has got, added to messages of the failure detector: its position in the store if it learns
- * settings from there, otherwise its settings' version.
+ * How far the sender is up to date, added to messages of the failure detector: its position in the store if it reads settings
+ * from there, otherwise the version of its settings.
  */
 export interface Progress {
     readonly settings?: VersionNews;
     readonly store?: StoreStamp;
-    /** A digest by which hosts see whether they know the same crashes. */
+    /** Digest of the crashes that the sender knows; a peer whose own digest differs sends it all crashes and trials. */
     readonly quarantine?: number;
 }
--- a/packages/host/src/peers/peers.ts
+++ b/packages/host/src/peers/peers.ts
@@ -76,19 +76,19 @@
     readonly engines: Placement;
     /** The scheduler of plain services: hosts share no load for it, but it depends on the number of hosts. */
     readonly plain: Placement;
-    readonly spread: VersionExchange;
+    readonly versionExchange: VersionExchange;
     /** If given, two hosts of each hall watch the store on behalf of all. */
     readonly follower?: StoreFollower;
     /** If given, hosts share which requests crash endpoints. */
     readonly guard?: Pick<RequestGuard, "all" | "digest" | "receive">;
     /** If given, hosts share the notices of endpoints. */
-    readonly words?: Pick<EndpointNotices, "all" | "receive">;
-    /** If given, messages that wait to be sent to peers count against its budget. */
+    readonly notices?: Pick<EndpointNotices, "all" | "receive">;
+    /** If given, messages queued for peers count against its memory budget. */
     readonly memory?: HostMemory;
     readonly signal: AbortSignal;
 }
 
-/** Many peers announce a new version at once; the host asks a second one for it only after this time. */
+/** Many peers announce a new settings version at once; the host asks another peer for it only after this time. */
 const SETTINGS_RETRY_MS = 500;
 /** Range of the random number that tells one start of a host from another. */
 const START_RANGE = 2 ** 32;
@@ -96,21 +96,21 @@
 /** This host as a member of its hall. */
 export class Peers {
     private detector: Detector;
-    private loadShare: LoadExchange;
+    private loadExchange: LoadExchange;
     private readonly storeSharing: StoreSharing | undefined;
     private readonly quarantineSharing: QuarantineSharing | undefined;
     private readonly noticeSharing: NoticeSharing | undefined;
     /** Tracks which other halls can be reached. */
     readonly reach: ReachSharing;
     private readonly ownershipLog: OwnershipLog;
-    /** The live hosts at the last log line about them. */
+    /** The live hosts that `hosts_changed` last logged. */
     private loggedLive: readonly string[] = [];
     /** The settings version that a peer was last asked for, and when. */
     private requestedVersion = { version: -Infinity, at: -Infinity };
 
     private constructor(private readonly deps: PeersDeps, private readonly mesh: PeerMesh, seeds: readonly string[]) {
         const { "host.name": name, "host.hall": hall, "peers.scope": scope = hall } = deps.cfg;
-        this.loadShare = createLoadExchange(name);
+        this.loadExchange = createLoadExchange(name);
         this.ownershipLog = new OwnershipLog(deps.log, deps.metrics);
         const start = randomInt(START_RANGE);
         const capacity = ownCapacity(deps.cfg);
@@ -151,15 +151,15 @@
             all: () => guard.all(),
             digest: () => guard.digest,
         });
-        const { words } = deps;
-        this.noticeSharing = words && new NoticeSharing({
+        const { notices: endpointNotices } = deps;
+        this.noticeSharing = endpointNotices && new NoticeSharing({
             name,
             clock: deps.clock,
             signal: deps.signal,
             live: () => this.live,
             send: (names, message) => this.sendAll(names, message),
-            learn: notices => words.receive(notices),
-            all: () => words.all(),
+            learn: notices => endpointNotices.receive(notices),
+            all: () => endpointNotices.all(),
         });
     }
 
@@ -204,7 +204,7 @@
     private activate(): void {
         const { cfg, signal } = this.deps;
         this.deps.engines.setOwnerQuery(action =>
-            this.applyLoadStep(askOwner(this.loadShare, action, this.endpoints, this.live, this.deps.clock.now()))
+            this.applyLoadStep(askOwner(this.loadExchange, action, this.endpoints, this.live, this.deps.clock.now()))
         );
         repeat(() => this.heartbeat(), () => cfg["control.heartbeat"], signal);
         repeat(
@@ -245,9 +245,9 @@
         this.detector = { ...this.detector, membership };
     }
 
-    /** Whether this host owns an endpoint, and so asks it for its load. */
+    /** Whether this host owns an endpoint: it collects the loads that all hosts put on it, and polls it on their behalf. */
     owns(endpoint: string): boolean {
-        const owner = endpointOwner(endpoint, this.endpoints.values().length, this.live, this.loadShare.weights);
+        const owner = endpointOwner(endpoint, this.endpoints.values().length, this.live, this.loadExchange.weights);
         return owner === this.deps.cfg["host.name"];
     }
 
@@ -262,22 +262,22 @@
     }
 
     /** Shares changed notices of endpoints. */
-    shareNotices(words: readonly EndpointNotice[]): void {
-        this.noticeSharing?.share(words);
+    shareNotices(notices: readonly EndpointNotice[]): void {
+        this.noticeSharing?.share(notices);
     }
 
     /** Records, and shares, which incarnation of an endpoint has answered this host. */
-    learnIncarnation(life: IncarnationId): void {
-        this.storeSharing?.meetLife(life);
+    learnIncarnation(incarnation: IncarnationId): void {
+        this.storeSharing?.learnIncarnation(incarnation);
     }
 
-    /** Called when the host may have been suspended: probes peers at once, to learn whether they took it for dead, and shares its load. */
+    /** Called after a suspension of the host: probes peers at once, to learn whether they consider it dead, and shares its load. */
     onWake(): void {
         this.heartbeat();
         this.shareLoadNow();
     }
 
-    /** Tells peers at once that this host is leaving. */
+    /** Announces to peers at once that this host is leaving. */
     leave(): void {
         this.applyDetectorStep(announceLeaving(this.detector, this.detectorEnv));
     }
@@ -288,24 +288,24 @@
         for (const { address } of aliveMembers(this.membership, this.deps.clock.now())) this.send(address, message);
     }
 
-    /** What this host's messages say about its own progress. */
+    /** This host's progress, as it adds it to messages of the failure detector. */
     private get progress(): Progress {
         const { guard } = this.deps;
         const quarantine = guard ? { quarantine: guard.digest } : {};
         // A host that learns settings from the store reports its store position instead of a settings version.
-        if (!this.storeSharing) return { settings: this.deps.spread.news(), ...quarantine };
+        if (!this.storeSharing) return { settings: this.deps.versionExchange.news(), ...quarantine };
         const store = this.storeSharing.stamp();
         return { ...(store ? { store } : {}), ...quarantine };
     }
 
     private heartbeat(): void {
         this.applyDetectorStep(tickDetector(this.detector, this.detectorEnv));
-        const { metrics, follower, spread, cfg } = this.deps;
+        const { metrics, follower, versionExchange, cfg } = this.deps;
         const { live } = this;
         metrics.liveHosts.set(live.length);
         this.logHostChanges(live);
         this.reach.update();
-        if (!follower) spread.setWatching(isWatcher(cfg["host.name"], live, this.weights));
+        if (!follower) versionExchange.setWatching(isWatcher(cfg["host.name"], live, this.weights));
     }
 
     private applyDetectorStep({ state, send }: DetectorStep): void {
@@ -355,10 +355,10 @@
         sync: (from, message) => this.receiveDetector(from, message),
         members: (from, message) => this.receiveDetector(from, message),
         ask: (from, ask) => {
-            const given = this.deps.spread.give(ask);
+            const given = this.deps.versionExchange.give(ask);
             if (given) this.send(from.address, { kind: "give", ...given });
         },
-        give: (_from, given) => this.deps.spread.accept(given),
+        give: (_from, given) => this.deps.versionExchange.accept(given),
         held: (from, message) => this.receiveLoad(from, message),
         others: (from, message) => this.receiveLoad(from, message),
         question: (from, message) => this.receiveLoad(from, message),
@@ -379,7 +379,7 @@
         const { settings, store, quarantine } = message;
         if (store) this.storeSharing?.receiveStamp(from.name, store);
         if (quarantine !== undefined) this.quarantineSharing?.receiveDigest(from.name, quarantine);
-        const ask = settings && this.deps.spread.ask(settings);
+        const ask = settings && this.deps.versionExchange.ask(settings);
         if (ask && this.shouldRequestSettings(settings.version)) this.send(from.address, { kind: "ask", ...ask });
     }
 
@@ -402,13 +402,13 @@
 
     private receiveLoad(from: PeerName, message: LoadMessage): void {
         this.applyLoadStep(
-            receiveLoadMessage(this.loadShare, from.name, message, this.deps.engines.view, this.deps.clock.now()),
+            receiveLoadMessage(this.loadExchange, from.name, message, this.deps.engines.view, this.deps.clock.now()),
         );
     }
 
-    /** Applies a step of the load sharing: stores its state, sends its messages, passes its events to the scheduler. */
+    /** Applies a step of the load exchange: stores its state, sends its messages, passes its events to the scheduler. */
     private applyLoadStep({ state, send, events }: LoadExchangeStep): void {
-        this.loadShare = state;
+        this.loadExchange = state;
         for (const { to, message } of send) this.sendTo(to, message);
         this.deps.engines.applyEvents(events);
     }
@@ -427,10 +427,17 @@
     /** @param othersEveryMs How often this host, as an owner, informs the other hosts; 0 to do so now. */
     private sendLoadRound(othersEveryMs: number): void {
         const { live } = this;
-        const unheard = unknownCandidates(this.membership).length;
-        this.deps.plain.applyEvents([hostsEvent(this.deps.cfg["host.name"], live, unheard)]);
-        this.loadShare = withOwnerWeights(this.loadShare, this.weights);
-        const step = runLoadRound(this.loadShare, this.endpoints, live, this.deps.clock.now(), othersEveryMs, unheard);
+        const unknownHosts = unknownCandidates(this.membership).length;
+        this.deps.plain.applyEvents([hostsEvent(this.deps.cfg["host.name"], live, unknownHosts)]);
+        this.loadExchange = withOwnerWeights(this.loadExchange, this.weights);
+        const step = runLoadRound(
+            this.loadExchange,
+            this.endpoints,
+            live,
+            this.deps.clock.now(),
+            othersEveryMs,
+            unknownHosts,
+        );
         this.ownershipLog.update(step.events);
         this.applyLoadStep(step);
     }
--- a/packages/host/src/runtime/descriptors.ts
+++ b/packages/host/src/runtime/descriptors.ts
@@ -1,6 +1,6 @@
 /**
- * The limit on a host's file descriptors. A host refuses calls while it still has some left, since a process without any cannot
- * accept a connection, not even to refuse a call.
+ * The limit on a host's file descriptors. A host refuses calls before its descriptors are used up, since a process without any
+ * cannot accept a connection, not even to refuse a call.
  *
  * @module
  */
@@ -54,8 +54,8 @@
 }
 
 /**
- * A shortage lasts until this share of the descriptors for sockets is free again, so that a host near its limit does not log a
- * line for each call.
+ * A shortage counts as over once this share of the descriptors for sockets is free again. Without this hysteresis, a host near its
+ * limit would log a line for each call.
  */
 const RECOVERY_SHARE = 0.05;
 
@@ -66,15 +66,15 @@
     constructor(private readonly deps: DescriptorLimitDeps) {}
 
     /** Whether there are descriptors for one more call; closes idle connections first if there are not. */
-    hasRoom(): boolean {
+    admitsCall(): boolean {
         const { maxDescriptors, countSockets, closeIdle } = this.deps;
         if (!hasEnoughDescriptors(maxDescriptors, countSockets())) closeIdle();
         const sockets = countSockets();
-        const hasRoom = hasEnoughDescriptors(maxDescriptors, sockets);
+        const hasEnough = hasEnoughDescriptors(maxDescriptors, sockets);
         const hasRecovered = maxDescriptors === undefined
             || hasEnoughDescriptors(maxDescriptors - RECOVERY_SHARE * maxSockets(maxDescriptors), sockets);
-        if (this.isShort ? hasRecovered : !hasRoom) this.setShort(!hasRoom, sockets);
-        return hasRoom;
+        if (this.isShort ? hasRecovered : !hasEnough) this.setShort(!hasEnough, sockets);
+        return hasEnough;
     }
 
     private setShort(isShort: boolean, sockets: OpenSockets): void {
--- a/packages/host/src/store/deployment-feed.ts
+++ b/packages/host/src/store/deployment-feed.ts
@@ -156,7 +156,10 @@
     /** This feed as {@link StoreSharing} uses it to share the store's changes with peers. */
     get follower(): StoreFollower {
         return {
-            heard: () => ({ hears: this.watchController ? this.lastCallAnswered : undefined, freshAt: this.freshAt }),
+            storeContact: () => ({
+                hears: this.watchController ? this.lastCallAnswered : undefined,
+                freshAt: this.freshAt,
+            }),
             isReady: () => this.isReady,
             currentUpdate: () => this.updateWith([]),
             setWatching: reason => this.setWatching(reason),
@@ -167,7 +170,7 @@
             progress: () => this.progress,
             state: asker => this.stateNewerThan(asker),
             adoptState: state => this.adoptState(state),
-            meetLife: (life, source) => this.meetLife(life, source),
+            learnIncarnation: (life, source) => this.learnIncarnation(life, source),
         };
     }
 
@@ -231,11 +234,11 @@
     }
 
     /**
-     * Records that an endpoint has begun a later life than the known one, as the endpoint or a peer reports.
+     * Records a later incarnation of an endpoint than the known one, as the endpoint or a peer reports.
      *
-     * @returns Whether this host did not know that life.
+     * @returns Whether this host did not know that incarnation.
      */
-    private meetLife(life: IncarnationId, source: "endpoint" | "peer"): boolean {
+    private learnIncarnation(life: IncarnationId, source: "endpoint" | "peer"): boolean {
         const next = learnIncarnation(this.registry, life, this.deps.clock.now());
         if (next === this.registry) return false;
         this.deps.log.info({ endpoint: incarnationOf(life), source }, "endpoint_began_again");
@@ -263,7 +266,7 @@
         return this.current !== undefined && this.endpointsRead;
     }
 
-    /** An endpoint that is registered, or was until recently; undefined for a life that has ended. */
+    /** An endpoint that is registered, or was until recently; undefined for an incarnation that has ended. */
     endpoint(incarnation: string): EndpointEntry | undefined {
         const registered = this.registry.endpoints.get(incarnation);
         if (registered) return registered.entry;
--- a/packages/host/src/store/endpoint-log.ts
+++ b/packages/host/src/store/endpoint-log.ts
@@ -63,7 +63,7 @@
 function isRemoved({ endpoints, latest }: Registry, name: string, id: string): boolean {
     const known = endpoints.get(name);
     if (known) return known.lapsedAt !== undefined;
-    // A later life that replaced this one is logged itself.
+    // A later incarnation that replaced this one has a log line of its own.
     const later = latest.get(id)?.incarnation;
     return later === undefined || !endpoints.has(later);
 }
--- a/packages/host/src/store/store-messages.ts
+++ b/packages/host/src/store/store-messages.ts
@@ -14,7 +14,7 @@
     | { readonly kind: "storeAsk" } & StoreProgress
     /** The reply to `storeAsk`. */
     | { readonly kind: "storeState" } & StoreState
-    /** An endpoint has reported a later life to the sender than was known. */
+    /** An endpoint has reported a later incarnation to the sender than was known. */
     | { readonly kind: "lifeMet"; readonly id: string; readonly born: number };
 
 /**
--- a/packages/host/src/store/store-sharing.ts
+++ b/packages/host/src/store/store-sharing.ts
@@ -25,7 +25,7 @@
 /** What a host knows from the store, and its own watch of the store, as {@link StoreSharing} uses them. */
 export interface StoreFollower {
     /** Whether the store answers this host's watch, and when it last answered this host or one that it follows. */
-    heard(): Omit<StoreContact, "seeking">;
+    storeContact(): Omit<StoreContact, "seeking">;
     /** Whether this host knows enough to serve. */
     isReady(): boolean;
     /** This host's position as an update without changes; undefined before it has one. */
@@ -46,8 +46,8 @@
     state(asker: StoreProgress): StoreState | undefined;
     /** Replaces this host's state with a peer's, if that is further ahead. */
     adoptState(state: StoreState): void;
-    /** Records that an endpoint has begun a later life; returns whether this host did not know that life. */
-    meetLife(life: IncarnationId, source: "endpoint" | "peer"): boolean;
+    /** Records a later incarnation of an endpoint; returns whether this host did not know it. */
+    learnIncarnation(incarnation: IncarnationId, source: "endpoint" | "peer"): boolean;
 }
 
 /** What {@link StoreSharing} depends on. */
@@ -84,7 +84,7 @@
     /** Starts or stops the watch as planned, tells the hall if due, and asks a peer if the store does not answer this host. */
     private reviewWatch(): void {
         const { follower } = this.deps;
-        const { hears } = follower.heard();
+        const { hears } = follower.storeContact();
         const { reason, shouldReport } = this.planWatch();
         follower.setWatching(reason);
         const update = follower.currentUpdate();
@@ -94,8 +94,8 @@
 
     private planWatch(): WatchPlan {
         const { deps } = this;
-        const heard = { ...deps.follower.heard(), seeking: deps.seeking() };
-        const plan = planWatching(this.following, deps.inHall(), heard, deps.clock.now(), deps.weights());
+        const contact = { ...deps.follower.storeContact(), seeking: deps.seeking() };
+        const plan = planWatching(this.following, deps.inHall(), contact, deps.clock.now(), deps.weights());
         this.following = plan.state;
         return plan;
     }
@@ -110,10 +110,10 @@
         this.deps.send(this.deps.inHall().filter(name => name !== this.deps.name), { kind: "storeWord", ...update });
     }
 
-    /** Records which life of an endpoint has answered this host, and tells the hall if that life was not known. */
-    meetLife({ id, born }: IncarnationId): void {
+    /** Records which incarnation of an endpoint has answered this host, and informs the hall if it was not known. */
+    learnIncarnation({ id, born }: IncarnationId): void {
         const { deps } = this;
-        if (born === undefined || !deps.follower.meetLife({ id, born }, "endpoint")) return;
+        if (born === undefined || !deps.follower.learnIncarnation({ id, born }, "endpoint")) return;
         deps.send(deps.inHall().filter(name => name !== deps.name), { kind: "lifeMet", id, born });
     }
 
@@ -132,7 +132,7 @@
     /** How far this host is with the store, as probes carry it; undefined before it has heard of the store. */
     stamp(): StoreStamp | undefined {
         const { follower } = this.deps;
-        const { freshAt } = follower.heard();
+        const { freshAt } = follower.storeContact();
         if (freshAt === -Infinity) return undefined;
         const { epoch, revision, version } = follower.progress();
         return [epoch, revision, version, Math.round(this.deps.clock.now() - freshAt)];
@@ -174,6 +174,6 @@
             if (state) this.deps.send([from], { kind: "storeState", ...state });
         },
         storeState: (_from, state) => this.deps.follower.adoptState(state),
-        lifeMet: (_from, { id, born }) => void this.deps.follower.meetLife({ id, born }, "peer"),
+        lifeMet: (_from, { id, born }) => void this.deps.follower.learnIncarnation({ id, born }, "peer"),
     };
 }
--- a/packages/host/test/descriptors.test.ts
+++ b/packages/host/test/descriptors.test.ts
@@ -30,17 +30,17 @@
             if (open.endpoints === 1_800) open = { ...open, endpoints: 1_000 };
         },
     });
-    t.true(descriptors.hasRoom());
+    t.true(descriptors.admitsCall());
     t.is(freed, 1);
     open = { ...open, callers: 3_000 };
-    t.false(descriptors.hasRoom());
-    t.false(descriptors.hasRoom());
+    t.false(descriptors.admitsCall());
+    t.false(descriptors.admitsCall());
     for (let callers = 2_700; callers < 2_900; callers += 10) {
         open = { ...open, callers };
-        descriptors.hasRoom();
+        descriptors.admitsCall();
     }
     t.deepEqual(log, ["descriptors_short"], "near the limit not every call is logged");
     open = NONE;
-    t.true(descriptors.hasRoom());
+    t.true(descriptors.admitsCall());
     t.deepEqual(log, ["descriptors_short", "descriptors_again"]);
 });
--- a/packages/request/src/proof.ts
+++ b/packages/request/src/proof.ts
@@ -1,19 +1,20 @@
 /**
- * Proof that a request did not run. An error with `ran: "no"` needs such a proof, and only {@link proveNotRun} makes
- * one, from the record of what was sent: either no byte was, or each endpoint refused its attempt before running it.
+ * Proof that a request did not run. An error with `ran: "no"` needs such a proof, and only {@link proveNotRun} creates
+ * one, from the record of the attempts: either no byte of any was sent, or each endpoint refused its attempt before
+ * running it.
  *
  * @module
  */
 
 declare const notRunProofBrand: unique symbol;
 
-/** Evidence that no endpoint ran the request. The brand keeps other modules from writing it as a literal. */
+/** Proof that no endpoint ran the request. The brand keeps other modules from writing it as a literal. */
 export interface NotRunProof {
     readonly kind: "nothingSent" | "endpointRefused";
     readonly [notRunProofBrand]: true;
 }
 
-/** What the host knows of all dispatches of one request. */
+/** Which attempts of a request were sent, and which of these their endpoints refused. */
 export interface DispatchRecord {
     /** Ids of the attempts whose first byte may have been sent. */
     readonly sent: readonly string[];
@@ -47,8 +48,8 @@
  * ```
  */
 export function recordRefused(record: DispatchRecord, attempt: string): DispatchRecord {
-    const isUnsettled = record.sent.includes(attempt) && !record.refused.includes(attempt);
-    return isUnsettled ? { ...record, refused: [...record.refused, attempt] } : record;
+    const isOutstanding = record.sent.includes(attempt) && !record.refused.includes(attempt);
+    return isOutstanding ? { ...record, refused: [...record.refused, attempt] } : record;
 }
 
 /**
--- a/packages/standins/src/endpoint-mutations.ts
+++ b/packages/standins/src/endpoint-mutations.ts
@@ -93,7 +93,7 @@
     {
         promise: "lives: what runs in one that is over does not wait",
         file: ATTEMPT,
-        find: 'life.addEventListener("abort", this.onLifeOver, { once: true });',
+        find: 'incarnationSignal.addEventListener("abort", this.onIncarnationOver, { once: true });',
         replace: "",
         tests: [LIVES],
     },
@@ -136,8 +136,8 @@
     {
         promise: "limits: hosts tell each other",
         file: "packages/host/src/peers/notice-sharing.ts",
-        find: "if (words.length > 0) this.send(this.someOthers(most), words, false);",
-        replace: "void [most, words];",
+        find: "if (notices.length > 0) this.send(this.someOthers(most), notices, false);",
+        replace: "void [most, notices];",
         tests: [LIMITS],
     },
     {
--- a/packages/standins/src/mutations.ts
+++ b/packages/standins/src/mutations.ts
@@ -111,15 +111,15 @@
     {
         promise: "a planned stop cuts nothing",
         file: "packages/host/src/daemon.ts",
-        find: 'await Promise.all([host.runs.drain(), pause(cfg["callers.still-served"])]);',
-        replace: "void host.runs.drain();",
+        find: 'await Promise.all([host.openRequests.drain(), pause(cfg["callers.still-served"])]);',
+        replace: "void host.openRequests.drain();",
         tests: [ENGINES],
     },
     {
         promise: "a stopping host still answers callers that the balancer sends",
         file: "packages/host/src/daemon.ts",
-        find: 'await Promise.all([host.runs.drain(), pause(cfg["callers.still-served"])]);',
-        replace: "await host.runs.drain();",
+        find: 'await Promise.all([host.openRequests.drain(), pause(cfg["callers.still-served"])]);',
+        replace: "await host.openRequests.drain();",
         tests: [ENGINES],
     },
     {
@@ -412,7 +412,7 @@
     {
         promise: "suspended: a deadline that passed meanwhile ends its call at the wake",
         file: "packages/host/src/gateway.ts",
-        find: "runs.woke();",
+        find: "openRequests.onWake();",
         replace: "",
         tests: [SUSPENDED],
     },
--- a/packages/standins/test/engine-faults.test.ts
+++ b/packages/standins/test/engine-faults.test.ts
@@ -159,7 +159,7 @@
     const cluster = await startCluster(t);
     const daemon = cluster.hosts[0]!.daemon;
     const running = send(cluster, { output: 400 });
-    await waitUntil(() => daemon.host.runs.size === 1);
+    await waitUntil(() => daemon.host.openRequests.size === 1);
     const stopped = daemon.stop();
     const late = await send(cluster);
     t.deepEqual([late.outcome, late.code, late.ran], ["refused", "host_stopping", "no"]);
--- a/packages/standins/test/rolling.test.ts
+++ b/packages/standins/test/rolling.test.ts
@@ -6,7 +6,7 @@
  */
 async function sendBalanced(cluster: LocalCluster, tag: string): Promise<CallerResult> {
     for (;;) {
-        const ready = cluster.hosts.filter(host => !host.daemon.host.runs.stopping);
+        const ready = cluster.hosts.filter(host => !host.daemon.host.openRequests.stopping);
         const host = ready[Number(/\d+/.exec(tag)) % ready.length]!;
         const result = await callOnce({
             url: host.daemon.callersUrl,
