--- a/packages/host/src/calls/forward-server.ts
+++ b/packages/host/src/calls/forward-server.ts
@@ -21,7 +21,7 @@
 const MAX_HEAD_BYTES = 65_536;
 /** How often Node checks for requests that exceed their timeout. */
 const LATE_REQUEST_CHECK_MS = 1_000;
-/** Connections stay open a little longer than callers are told, so that none is closed as a request arrives. */
+/** The server keeps idle connections open a little longer than it announces to callers, so that none closes as a request arrives. */
 const IDLE_MARGIN_MS = 1_000;
 
 const BAD_REQUEST = "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
--- a/packages/host/src/calls/forward-silence.ts
+++ b/packages/host/src/calls/forward-silence.ts
@@ -38,7 +38,7 @@
         probeAfterMs: gapMs * PROBE_GAP_SHARE,
         lostAfterMs: gapMs * LOST_GAPS,
         awakeMs,
-        isAlive: () => probeLife(deps, endpoint),
+        isAlive: () => probeIncarnation(deps, endpoint),
         canContinue: () => deps.engines.canContinue(head.id),
     };
 }
@@ -47,16 +47,16 @@
  * Probes whether the incarnation of an endpoint is still alive. An endpoint that does not answer gets no new work for a
  * while. A later incarnation that answers at the address does not have the streams of the earlier one.
  */
-async function probeLife(deps: GatewayContext, endpoint: EndpointEntry): Promise<boolean> {
+async function probeIncarnation(deps: GatewayContext, endpoint: EndpointEntry): Promise<boolean> {
     const { id, address, incarnation } = endpoint;
     // An endpoint that limits its requests may not be probed: it is slow rather than gone.
     if (!deps.engines.admitsControlCall(incarnation)) return true;
     try {
         const { status, body } = await callEndpoint(address, deps.wire.leavingCall(), PROBE_TIMEOUT_MS, deps.signal);
         const stay = deps.wire.decodeLeavingAnswer(status, body);
-        const life = { id, born: stay.kind === "told" ? stay.born : undefined };
-        if (compareIncarnations(life, endpoint) !== IncarnationOrder.Later) return true;
-        deps.learnIncarnation(life);
+        const answered = { id, born: stay.kind === "told" ? stay.born : undefined };
+        if (compareIncarnations(answered, endpoint) !== IncarnationOrder.Later) return true;
+        deps.learnIncarnation(answered);
         return false;
     }
     catch (err) {
--- a/packages/host/src/calls/forward.ts
+++ b/packages/host/src/calls/forward.ts
@@ -228,7 +228,7 @@
         },
     });
     deps.metrics.open.inc();
-    if (driver.ended) return;
+    if (driver.hasEnded) return;
     memory.onGiveUp = givenUp => driver.handle({ kind: "givenUp", ...giveUpError(givenUp) });
     memory.onResume = () => driver.onReadResumed();
     deps.openRequests.add(driver);
--- a/packages/host/src/calls/generate.ts
+++ b/packages/host/src/calls/generate.ts
@@ -261,7 +261,7 @@
             settleAndLog(host, job, end);
         },
     });
-    if (driver.ended) return;
+    if (driver.hasEnded) return;
     host.openRequests.add(driver);
     memory.onGiveUp = givenUp => driver.handle({ kind: "givenUp", ...giveUpError(givenUp) });
     memory.onResume = () => driver.onReadResumed();
--- a/packages/host/src/calls/plain-service.ts
+++ b/packages/host/src/calls/plain-service.ts
@@ -318,7 +318,7 @@
             }, "call_ended");
         },
     });
-    if (driver.ended) return;
+    if (driver.hasEnded) return;
     host.openRequests.add(driver);
     call.memory.onGiveUp = givenUp => driver.handle({ kind: "givenUp", ...giveUpError(givenUp) });
     out.on("close", () => driver.handle({ kind: "callerGone" }));
--- a/packages/host/src/calls/request-driver.ts
+++ b/packages/host/src/calls/request-driver.ts
@@ -67,7 +67,7 @@
         sink: AttemptSink<T>,
         signal: AbortSignal,
     ): void;
-    /** Tells the endpoint to cancel an attempt; called only if its first byte may have been sent. */
+    /** Asks the endpoint to cancel an attempt; called only if its first byte may have been sent. */
     cancel(attempt: string, endpoint: string, generation: string | undefined): void;
 }
 
@@ -146,7 +146,7 @@
         for (const action of actions) this.perform(action);
     }
 
-    get ended(): boolean {
+    get hasEnded(): boolean {
         return this.state.phase === Phase.Ended;
     }
 
--- a/packages/host/src/endpoints/crash-detector.ts
+++ b/packages/host/src/endpoints/crash-detector.ts
@@ -63,7 +63,7 @@
     /** The endpoint is alive, or it cannot be probed; in the latter case a crash may still be reported later. */
     onNoCrash(runs: readonly InterruptedRun[]): void;
     /** A probe was answered by this later incarnation. */
-    learnIncarnation(life: IncarnationId): void;
+    learnIncarnation(incarnation: IncarnationId): void;
 }
 
 /**
--- a/packages/host/src/endpoints/placement.ts
+++ b/packages/host/src/endpoints/placement.ts
@@ -219,7 +219,7 @@
         resolve?.(plan);
     }
 
-    /** Passes events to the scheduler that follow from what hosts tell each other. */
+    /** Passes events to the scheduler that follow from messages of peers. */
     applyEvents(events: readonly SchedulerEvent[]): void {
         for (const event of events) this.handle(event);
     }
--- a/packages/host/src/endpoints/restart-suspicions.ts
+++ b/packages/host/src/endpoints/restart-suspicions.ts
@@ -17,8 +17,8 @@
     readonly placements: readonly Placement[];
     /** Asks an endpoint whether this incarnation is still alive. */
     probe(endpoint: EndpointIncarnation): Promise<ProbeResult>;
-    /** Records a later incarnation and tells the hall. */
-    learnIncarnation(life: IncarnationId): void;
+    /** Records a later incarnation of an endpoint and informs the hall. */
+    learnIncarnation(incarnation: IncarnationId): void;
 }
 
 /** How long a suspicion holds without an answer: a restarted endpoint has registered again by then. */
--- a/packages/host/src/main.ts
+++ b/packages/host/src/main.ts
@@ -71,7 +71,7 @@
         process.exitCode = EXIT.usage;
         return;
     }
-    if (options.print) process.stdout.write(printConfig(read.said));
+    if (options.print) process.stdout.write(printConfig(read.given));
     if (options.print || options.check) return;
     const log = createLog(read.cfg["log.level"], process.stdout);
     if (read.cfg["tls.certificate"] === undefined) log.warn({}, "tls_is_off");
--- a/packages/host/src/peers/notice-sharing.ts
+++ b/packages/host/src/peers/notice-sharing.ts
@@ -66,8 +66,8 @@
         this.deps.send(this.someOthers(1), { kind: "saidAsk" });
     }
 
-    private sendToSome(most: number, notices: readonly EndpointNotice[]): void {
-        if (notices.length > 0) this.send(this.someOthers(most), notices, false);
+    private sendToSome(maxHosts: number, notices: readonly EndpointNotice[]): void {
+        if (notices.length > 0) this.send(this.someOthers(maxHosts), notices, false);
     }
 
     private send(to: readonly string[], notices: readonly EndpointNotice[], isAll: boolean): void {
--- a/packages/host/src/peers/peers.ts
+++ b/packages/host/src/peers/peers.ts
@@ -90,7 +90,7 @@
 
 /** Many peers announce a new settings version at once; the host asks another peer for it only after this time. */
 const SETTINGS_RETRY_MS = 500;
-/** Range of the random number that tells one start of a host from another. */
+/** Range of the random number that distinguishes one start of a host from another. */
 const START_RANGE = 2 ** 32;
 
 /** This host as a member of its hall. */
@@ -338,7 +338,7 @@
             return;
         }
         const hall = this.membership.members.get(from.name)?.hall;
-        if (hall !== undefined) this.reach.hostHeard(hall);
+        if (hall !== undefined) this.reach.recordContact(hall);
         const handler = this.handlers[message.kind] as (
             from: PeerName,
             message: FrameMessage,
--- a/packages/host/src/peers/reach-sharing.ts
+++ b/packages/host/src/peers/reach-sharing.ts
@@ -73,7 +73,7 @@
     }
 
     /** Called when a message arrived from a host of the given hall. */
-    hostHeard(hall: string): void {
+    recordContact(hall: string): void {
         if (hall !== this.deps.hall) this.markHeard(hall);
     }
 
@@ -144,7 +144,7 @@
         const { state, isNews } = recordFailedConnection(this.reach, incarnation, hall, now - agoMs, now);
         this.reach = state;
         if (!isNews) return;
-        // Once the hall is in doubt, further failures tell the other hosts nothing.
+        // Once the hall is in doubt, further failures are no news to the other hosts.
         if (!isHallInDoubt(this.doubts, hall)) this.passOn({ kind: "unreached", endpoint: incarnation, agoMs });
         this.update();
     }
--- a/packages/host/src/runtime/config.ts
+++ b/packages/host/src/runtime/config.ts
@@ -199,7 +199,7 @@
 
 /** The settings, or all errors in them. */
 export type ConfigResult =
-    | { readonly ok: true; readonly cfg: HostCfg; readonly said: ReadonlyMap<ConfigKey, GivenValue> }
+    | { readonly ok: true; readonly cfg: HostCfg; readonly given: ReadonlyMap<ConfigKey, GivenValue> }
     | { readonly ok: false; readonly errors: readonly ConfigError[] };
 
 /** A value as it was written, and its source. */
@@ -238,7 +238,7 @@
     }
     for (const [key, value] of Object.entries(sources.flags ?? {})) setValue(key, value, `flag --${key}`);
     const cfg = readValues(given, errors);
-    return errors.length > 0 ? { ok: false, errors } : { ok: true, cfg: cfg as unknown as HostCfg, said: given };
+    return errors.length > 0 ? { ok: false, errors } : { ok: true, cfg: cfg as unknown as HostCfg, given };
 }
 
 function readIniFile(
@@ -292,7 +292,7 @@
  *
  * @example
  * ```ts
- * printConfig(read.said); // "[host]\nname = k1-a ; host.ini [host]\n..."
+ * printConfig(read.given); // "[host]\nname = k1-a ; host.ini [host]\n..."
  * ```
  */
 export function printConfig(given: ReadonlyMap<ConfigKey, GivenValue>): string {
--- a/packages/host/src/store/deployment-feed.ts
+++ b/packages/host/src/store/deployment-feed.ts
@@ -238,10 +238,10 @@
      *
      * @returns Whether this host did not know that incarnation.
      */
-    private learnIncarnation(life: IncarnationId, source: "endpoint" | "peer"): boolean {
-        const next = learnIncarnation(this.registry, life, this.deps.clock.now());
+    private learnIncarnation(incarnation: IncarnationId, source: "endpoint" | "peer"): boolean {
+        const next = learnIncarnation(this.registry, incarnation, this.deps.clock.now());
         if (next === this.registry) return false;
-        this.deps.log.info({ endpoint: incarnationOf(life), source }, "endpoint_began_again");
+        this.deps.log.info({ endpoint: incarnationOf(incarnation), source }, "endpoint_began_again");
         this.setRegistry(next);
         return true;
     }
--- a/packages/host/src/store/store-sharing.ts
+++ b/packages/host/src/store/store-sharing.ts
@@ -81,7 +81,7 @@
         repeat(() => this.reviewWatch(), () => WATCHER_REPORT_INTERVAL_MS, signal);
     }
 
-    /** Starts or stops the watch as planned, tells the hall if due, and asks a peer if the store does not answer this host. */
+    /** Starts or stops the watch as planned, informs the hall if due, and asks a peer if the store does not answer this host. */
     private reviewWatch(): void {
         const { follower } = this.deps;
         const { hears } = follower.storeContact();
--- a/packages/host/test/config-and-log.test.ts
+++ b/packages/host/test/config-and-log.test.ts
@@ -44,7 +44,7 @@
     });
     t.true(read.ok);
     if (!read.ok) return;
-    const printed = printConfig(read.said);
+    const printed = printConfig(read.given);
     t.false(printed.includes("a-very-long"));
     t.regex(printed, /secrets = \*{8}/);
     t.regex(printed, /name = k1-a/);
--- a/packages/host/test/partition-fleet.ts
+++ b/packages/host/test/partition-fleet.ts
@@ -119,7 +119,7 @@
         this.hallOf = new Map(endpoints.map(({ id, hall }) => [id, hall]));
         this.hosts = this.fleet.hosts.map(sim => this.startHost(sim, endpoints));
         this.byName = new Map(this.hosts.map(host => [host.sim.name, host]));
-        this.fleet.onMessage = (to, from) => this.byName.get(to.name)!.reach.hostHeard(from.hall);
+        this.fleet.onMessage = (to, from) => this.byName.get(to.name)!.reach.recordContact(from.hall);
     }
 
     private startHost(sim: SimHost, endpoints: readonly EndpointCfg[]): CallingHost {
--- a/packages/host/test/reach-sharing.test.ts
+++ b/packages/host/test/reach-sharing.test.ts
@@ -40,7 +40,7 @@
         applyEvent: event => void events.push(event),
     });
     sharing.setEndpoints(ENDPOINTS);
-    sharing.hostHeard("k2");
+    sharing.recordContact("k2");
     return { sharing, sent, events, log, gauge, advance: ms => now += ms };
 }
 
@@ -80,7 +80,7 @@
         sharing.connectionFailed(ADDRESS["c"]!);
         t.is(sent.length, 2, "further failures are not passed on");
         advance(700);
-        if (end === "host") sharing.hostHeard("k2");
+        if (end === "host") sharing.recordContact("k2");
         else sharing.endpointAnswered(ADDRESS["c"]!);
         t.deepEqual(asReachEvent(events.at(-1)), {
             kind: "reach",
@@ -107,10 +107,10 @@
     sharing.update();
     t.deepEqual(asReachEvent(events.at(-1)), { kind: "reach", doubted: { halls: [], endpoints: [] }, back: [] });
     t.deepEqual(log.at(-1), ["hall_no_longer_in_doubt", { hall: "k2", heard: false }]);
-    sharing.hostHeard("k2");
+    sharing.recordContact("k2");
     t.deepEqual(asReachEvent(events.at(-1)).back, ["k2"], "the hall is reported as back even after the doubt expired");
     const told = events.length;
-    sharing.hostHeard("k2");
+    sharing.recordContact("k2");
     t.is(events.length, told, "once");
 });
 
@@ -118,7 +118,7 @@
     const { sharing, events, advance } = createSharing();
     advance(300);
     sharing.connectionFailed(ADDRESS["a"]!);
-    sharing.hostHeard("k2");
+    sharing.recordContact("k2");
     t.deepEqual(asReachEvent(events.at(-1)), { kind: "reach", doubted: { halls: [], endpoints: [] }, back: [] });
 });
 
--- a/packages/request/src/error.ts
+++ b/packages/request/src/error.ts
@@ -1,5 +1,5 @@
 /**
- * The failures of a request, as its caller is told of them.
+ * The failures of a request, as they are reported to its caller.
  *
  * @module
  */
--- a/packages/standins/src/endpoint-mutations.ts
+++ b/packages/standins/src/endpoint-mutations.ts
@@ -136,8 +136,8 @@
     {
         promise: "limits: hosts tell each other",
         file: "packages/host/src/peers/notice-sharing.ts",
-        find: "if (notices.length > 0) this.send(this.someOthers(most), notices, false);",
-        replace: "void [most, notices];",
+        find: "if (notices.length > 0) this.send(this.someOthers(maxHosts), notices, false);",
+        replace: "void [maxHosts, notices];",
         tests: [LIMITS],
     },
     {
